--- a/crates/bench/src/load/caller.rs
+++ b/crates/bench/src/load/caller.rs
@@ -226,7 +226,7 @@
     };
     let told = [Outcome::NotRun, Outcome::Ran, Outcome::Unknown]
         .into_iter()
-        .find(|outcome| answer.detail() == Some(outcome.words()));
+        .find(|outcome| answer.detail() == Some(outcome.description()));
     Refusal { reason, outcome: told.unwrap_or(Outcome::Unknown) }
 }
 
--- a/crates/bench/src/load/series.rs
+++ b/crates/bench/src/load/series.rs
@@ -86,7 +86,7 @@
     let mut refused = BTreeMap::new();
     for record in records.clone() {
         if let Ending::Refused(refusal) = &record.ending {
-            let key = format!("{} ({})", refusal.reason.name(), refusal.outcome.words());
+            let key = format!("{} ({})", refusal.reason.name(), refusal.outcome.description());
             *refused.entry(key).or_default() += 1;
         }
     }
--- a/crates/core/src/request/error_kind.rs
+++ b/crates/core/src/request/error_kind.rs
@@ -18,7 +18,7 @@
 
 impl Outcome {
     /// The words that the answer carries for the caller.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Outcome::NotRun => "not run",
             Outcome::Ran => "ran",
@@ -187,6 +187,6 @@
 impl fmt::Display for ErrorKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let answer = self.answer();
-        write!(f, "{} ({})", answer.message, answer.outcome.words())
+        write!(f, "{} ({})", answer.message, answer.outcome.description())
     }
 }
--- a/crates/core/src/request/lead_proof.rs
+++ b/crates/core/src/request/lead_proof.rs
@@ -22,7 +22,7 @@
 
 /// What a member said of itself.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Word {
+pub struct LeadReport {
     /// When it was asked, in microseconds of this process's clock.
     pub asked_us: u64,
     /// Whether it leads, as it sees itself.
@@ -53,7 +53,7 @@
     ///
     /// A member that is not listed yet may acknowledge as well. Where one may exist, all listed ones
     /// are needed: a successor is one of them and knows its own term.
-    pub fn words_needed(&self) -> usize {
+    pub fn reports_needed(&self) -> usize {
         let others = self.others.len() + self.departed;
         match self.is_complete {
             true => others.saturating_sub(self.sync_replicas),
@@ -88,13 +88,13 @@
 /// What the members of one group said.
 #[derive(Clone, Debug, Default)]
 pub struct LeadWords {
-    words: FastMap<Arc<str>, Word>,
+    words: FastMap<Arc<str>, LeadReport>,
     last_proof: Option<Proof>,
 }
 
 impl LeadWords {
     /// A member answered. Answers may come in another order than they were asked for.
-    pub fn heard(&mut self, member: &Arc<str>, word: Word) {
+    pub fn record(&mut self, member: &Arc<str>, word: LeadReport) {
         let known = self.words.entry(Arc::clone(member)).or_insert(word);
         if word.asked_us >= known.asked_us {
             *known = word;
@@ -118,9 +118,9 @@
         if last.is_some_and(|last| last.holds_to_us >= moment_us) {
             return LeadVerdict::Proved;
         }
-        let needed = group.words_needed();
+        let needed = group.reports_needed();
         let heard = group.others.iter().filter_map(|other| self.words.get(*other).copied());
-        let heard: Vec<Word> = heard.collect();
+        let heard: Vec<LeadReport> = heard.collect();
         let Some(own) = self.words.get(target).copied().filter(|own| own.leads) else {
             return LeadVerdict::TermUnknown;
         };
@@ -132,7 +132,8 @@
                 false => LeadVerdict::TermUnknown,
             };
         }
-        let counts = |word: &&Word| word.asked_us >= moment_us && word.received >= group.floor;
+        let counts =
+            |word: &&LeadReport| word.asked_us >= moment_us && word.received >= group.floor;
         let mut asked_us: Vec<u64> =
             heard.iter().filter(counts).map(|word| word.asked_us).collect();
         if asked_us.len() < needed {
--- a/crates/core/src/request/position_demand.rs
+++ b/crates/core/src/request/position_demand.rs
@@ -12,7 +12,7 @@
 pub const WINDOW_US: u64 = 4_000_000;
 
 /// How many reads within [`WINDOW_US`] have positions brought ahead.
-pub const OFTEN: usize = 2;
+pub const MIN_READS: usize = 2;
 
 /// The time between two positions that are brought ahead, in microseconds: a third of the shortest bound on
 /// age that is usual.
@@ -29,8 +29,8 @@
 
 impl PositionDemand {
     /// A read, or another process, needs a position.
-    pub fn needed(&mut self, now_us: u64) {
-        if self.reads_us.len() == OFTEN {
+    pub fn record_need(&mut self, now_us: u64) {
+        if self.reads_us.len() == MIN_READS {
             self.reads_us.pop_front();
         }
         self.reads_us.push_back(now_us);
@@ -47,8 +47,13 @@
 
     /// Whether a position is to be brought now, where the newest one was taken at `newest_us`. It counts as
     /// brought from then on, whatever comes of it.
-    pub fn brings(&mut self, tells_others: bool, newest_us: Option<u64>, now_us: u64) -> bool {
-        let least = if tells_others { 1 } else { OFTEN };
+    pub fn start_prefetch(
+        &mut self,
+        tells_others: bool,
+        newest_us: Option<u64>,
+        now_us: u64,
+    ) -> bool {
+        let least = if tells_others { 1 } else { MIN_READS };
         let is_fresh = |taken_us: u64| now_us < taken_us + SPACING_US;
         let is_needed = self.recent(now_us) >= least;
         if !is_needed || newest_us.is_some_and(is_fresh) || self.brought_us.is_some_and(is_fresh) {
--- a/crates/core/src/request/primary_positions.rs
+++ b/crates/core/src/request/primary_positions.rs
@@ -19,7 +19,7 @@
 pub const SPACING_US: u64 = 50_000;
 
 /// How many samples are kept: with [`SPACING_US`] apart, 3.2 s, above the usual bounds on age.
-pub const MAX_KEPT: usize = 64;
+pub const MAX_SAMPLES: usize = 64;
 
 /// Why a position can't be used.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -36,7 +36,7 @@
 
 impl PrimaryPositions {
     /// A primary that proved its lead answered a request sent at `sent_us` with `position`.
-    pub fn saw(&mut self, sent_us: u64, position: LogPosition) {
+    pub fn record(&mut self, sent_us: u64, position: LogPosition) {
         let newest = self.samples.back();
         if newest.is_some_and(|newest| newest.taken_us > sent_us) {
             return;
@@ -47,7 +47,7 @@
             self.samples.pop_back();
         }
         self.samples.push_back(sample);
-        if self.samples.len() > MAX_KEPT {
+        if self.samples.len() > MAX_SAMPLES {
             self.samples.pop_front();
         }
     }
@@ -71,7 +71,7 @@
         position: LogPosition,
     ) -> Result<(), PositionError> {
         let taken_us = asked_us.checked_sub(age_us).ok_or(PositionError::BeforeClock)?;
-        self.saw(taken_us, position);
+        self.record(taken_us, position);
         Ok(())
     }
 
--- a/crates/core/src/request/retry.rs
+++ b/crates/core/src/request/retry.rs
@@ -89,9 +89,9 @@
     /// At least one whole message that runs something was written and nothing was answered.
     Sent,
     /// Some of the answer came, and none of it went to the caller.
-    AnswerBegun,
+    AnswerStarted,
     /// Some of the answer went to the caller.
-    AnswerPassedOn,
+    AnswerRelayed,
 }
 
 /// How a request failed.
@@ -146,7 +146,7 @@
     /// Answer the caller with this kind.
     Answer(ErrorKind),
     /// It is the target's answer to the request: pass it on as it is.
-    PassOn,
+    PassThrough,
 }
 
 /// Whether a failed try had an effect, as far as it can be proved.
@@ -167,7 +167,7 @@
     if let Some(claimed) = claimed {
         return claimed;
     }
-    let fresh = !attempt.in_transaction && attempt.stage < Stage::AnswerBegun;
+    let fresh = !attempt.in_transaction && attempt.stage < Stage::AnswerStarted;
     match &sqlstate {
         b"53300" if attempt.stage == Stage::Connecting => Outcome::NotRun,
         // At a commit it says that the target was fenced and kept nothing of the transaction.
@@ -187,7 +187,7 @@
 pub fn decide(attempt: &Attempt, budget: &RetryBudget, deadline_left_us: u64) -> RetryVerdict {
     let outcome = outcome_of(attempt);
     if outcome == Outcome::Ran || is_overload(attempt.failure) {
-        return RetryVerdict::PassOn;
+        return RetryVerdict::PassThrough;
     }
     if !may_repeat(attempt, outcome) || attempt.retries >= MAX_RETRIES {
         return final_verdict(attempt, outcome);
@@ -215,7 +215,7 @@
 
 /// The at-most-once rule.
 fn may_repeat(attempt: &Attempt, outcome: Outcome) -> bool {
-    if attempt.in_transaction || attempt.stage == Stage::AnswerPassedOn {
+    if attempt.in_transaction || attempt.stage == Stage::AnswerRelayed {
         return false;
     }
     match outcome {
@@ -235,7 +235,7 @@
 fn final_verdict(attempt: &Attempt, outcome: Outcome) -> RetryVerdict {
     match attempt.failure {
         // A home's answer says more than this proxy knows.
-        Failure::Said { claimed: Some(_), .. } => RetryVerdict::PassOn,
+        Failure::Said { claimed: Some(_), .. } => RetryVerdict::PassThrough,
         _ => RetryVerdict::Answer(final_kind(attempt, outcome)),
     }
 }
--- a/crates/core/src/request/routing/mod.rs
+++ b/crates/core/src/request/routing/mod.rs
@@ -88,11 +88,11 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct RoutingPolicy {
     /// What a read at the primary costs on top of its wait, because it takes a slot from writes.
-    pub primary_toll_us: u64,
+    pub primary_penalty_us: u64,
     /// The longest that one read waits for a replica.
     pub max_wait_us: u64,
     /// The lag reckoned with where none is known and the primary can't serve.
-    pub unknown_lag_us: u64,
+    pub assumed_lag_us: u64,
     /// The way there and back to another zone.
     pub other_zone_us: u64,
     /// The way there and back to another region.
@@ -102,9 +102,9 @@
 impl Default for RoutingPolicy {
     fn default() -> RoutingPolicy {
         RoutingPolicy {
-            primary_toll_us: 30_000,
+            primary_penalty_us: 30_000,
             max_wait_us: 250_000,
-            unknown_lag_us: 100_000,
+            assumed_lag_us: 100_000,
             other_zone_us: 3_000,
             other_region_us: 40_000,
         }
--- a/crates/core/src/request/routing/survey.rs
+++ b/crates/core/src/request/routing/survey.rs
@@ -48,7 +48,7 @@
     /// What a read at the primary costs the group as a whole.
     pub fn price_us(&self, policy: &RoutingPolicy) -> u64 {
         let imposed_us = self.predicted_wait_us;
-        self.cost_us.saturating_add(imposed_us).saturating_add(policy.primary_toll_us)
+        self.cost_us.saturating_add(imposed_us).saturating_add(policy.primary_penalty_us)
     }
 }
 
@@ -205,7 +205,7 @@
         let ready_us = match expected_us {
             Some(expected_us) => expected_us.max(1),
             None if self.primary.is_some() => return None,
-            None => policy.unknown_lag_us.min(allowed_us),
+            None => policy.assumed_lag_us.min(allowed_us),
         };
         let cost_us = ready_us.saturating_add(fit.cost_us);
         if allowed_us == 0 || ready_us > allowed_us || cost_us > left_us {
@@ -246,7 +246,7 @@
         let ready_us = self.pending.and_then(|(ready_us, _, _)| ready_us);
         ReadVerdict::Refuse {
             kind,
-            retry_after_us: ready_us.unwrap_or(table_us).max(policy.primary_toll_us),
+            retry_after_us: ready_us.unwrap_or(table_us).max(policy.primary_penalty_us),
             reason,
         }
     }
--- a/crates/core/tests/lead_proof.rs
+++ b/crates/core/tests/lead_proof.rs
@@ -4,9 +4,9 @@
 
 use skylark_core::log_position::LogPosition;
 use skylark_core::request::lead_proof::GroupView;
+use skylark_core::request::lead_proof::LeadReport;
 use skylark_core::request::lead_proof::LeadVerdict;
 use skylark_core::request::lead_proof::LeadWords;
-use skylark_core::request::lead_proof::Word;
 
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident $body:block)*) => {
@@ -25,14 +25,14 @@
     LogPosition::new(1, index)
 }
 
-fn word(asked_us: u64, term: u64) -> Word {
-    Word { asked_us, leads: false, term, received: at(5) }
+fn word(asked_us: u64, term: u64) -> LeadReport {
+    LeadReport { asked_us, leads: false, term, received: at(5) }
 }
 
 /// Words of a group whose target `old` said early that it leads term 1.
 fn words() -> LeadWords {
     let mut words = LeadWords::default();
-    words.heard(&id("old"), Word { leads: true, ..word(0, 1) });
+    words.record(&id("old"), LeadReport { leads: true, ..word(0, 1) });
     words
 }
 
@@ -43,7 +43,7 @@
 cases! {
     one_word_of_three_members_is_enough {
         let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US, 1));
+        words.record(&id("b"), word(MOMENT_US, 1));
         let others = ["b", "c"];
         assert_eq!(words.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
     }
@@ -52,7 +52,7 @@
     /// after that must not rest on what it said before.
     a_word_from_before_the_moment_does_not_count {
         let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US - 1, 1));
+        words.record(&id("b"), word(MOMENT_US - 1, 1));
         let others = ["b", "c"];
         assert_eq!(words.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Missing(1));
     }
@@ -60,7 +60,7 @@
     /// A member acknowledged with the successor, started again and knows nothing of it.
     a_member_that_lost_its_log_does_not_count {
         let mut words = words();
-        words.heard(&id("b"), Word { received: at(0), ..word(MOMENT_US, 1) });
+        words.record(&id("b"), LeadReport { received: at(0), ..word(MOMENT_US, 1) });
         let others = ["b", "c"];
         assert_eq!(words.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Missing(1));
     }
@@ -69,17 +69,17 @@
     /// that was asked.
     a_fourth_member_takes_another_word {
         let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US, 1));
+        words.record(&id("b"), word(MOMENT_US, 1));
         let others = ["b", "c", "d"];
         assert_eq!(words.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Missing(1));
-        words.heard(&id("d"), word(MOMENT_US, 1));
+        words.record(&id("d"), word(MOMENT_US, 1));
         assert_eq!(words.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
     }
 
     /// A member that left may have acknowledged with the successor before.
     a_member_that_left_takes_another_word {
         let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US, 1));
+        words.record(&id("b"), word(MOMENT_US, 1));
         let others = ["b", "c"];
         let view = GroupView { departed: 1, ..group(&others) };
         assert_eq!(words.verdict(&id("old"), MOMENT_US, &view), LeadVerdict::Missing(1));
@@ -89,19 +89,19 @@
     /// one of them.
     a_list_that_may_lack_a_member_takes_all_words {
         let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US, 1));
+        words.record(&id("b"), word(MOMENT_US, 1));
         let others = ["b", "c"];
         let view = GroupView { is_complete: false, ..group(&others) };
         assert_eq!(words.verdict(&id("old"), MOMENT_US, &view), LeadVerdict::Missing(1));
-        words.heard(&id("c"), word(MOMENT_US, 1));
+        words.record(&id("c"), word(MOMENT_US, 1));
         assert_eq!(words.verdict(&id("old"), MOMENT_US, &view), LeadVerdict::Proved);
     }
 
     a_later_term_supersedes_whenever_it_was_heard {
         let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US, 1));
-        words.heard(&id("c"), word(500, 2));
-        words.heard(&id("old"), Word { leads: true, ..word(600, 1) });
+        words.record(&id("b"), word(MOMENT_US, 1));
+        words.record(&id("c"), word(500, 2));
+        words.record(&id("old"), LeadReport { leads: true, ..word(600, 1) });
         let others = ["b", "c"];
         let verdict = words.verdict(&id("old"), MOMENT_US, &group(&others));
         assert_eq!(verdict, LeadVerdict::Superseded { term: 2 });
@@ -110,20 +110,20 @@
     /// A target that was promoted again since it was asked leads a term that it has not told.
     a_target_is_asked_again_once_a_later_term_is_heard {
         let mut words = words();
-        words.heard(&id("c"), word(500, 3));
+        words.record(&id("c"), word(500, 3));
         let others = ["b", "c"];
         let verdict = words.verdict(&id("old"), MOMENT_US, &group(&others));
         assert_eq!(verdict, LeadVerdict::TermUnknown);
-        words.heard(&id("old"), Word { leads: true, ..word(600, 3) });
-        words.heard(&id("b"), word(MOMENT_US, 3));
+        words.record(&id("old"), LeadReport { leads: true, ..word(600, 3) });
+        words.record(&id("b"), word(MOMENT_US, 3));
         assert_eq!(words.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
     }
 
     /// What counts is when a word was asked for: it may have been under way for long.
     a_word_that_comes_late_dates_from_its_question {
         let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US, 1));
-        words.heard(&id("b"), word(MOMENT_US - 500, 1));
+        words.record(&id("b"), word(MOMENT_US, 1));
+        words.record(&id("b"), word(MOMENT_US - 500, 1));
         let others = ["b", "c"];
         let moment_us = MOMENT_US - 400;
         assert_eq!(words.verdict(&id("old"), moment_us, &group(&others)), LeadVerdict::Proved);
@@ -143,7 +143,7 @@
     a_proof_is_of_one_target_only {
         let mut words = words();
         words.acknowledged(&id("old"), MOMENT_US);
-        words.heard(&id("b"), Word { leads: true, ..word(0, 1) });
+        words.record(&id("b"), LeadReport { leads: true, ..word(0, 1) });
         let others = ["old", "c"];
         let verdict = words.verdict(&id("b"), MOMENT_US, &group(&others));
         assert_eq!(verdict, LeadVerdict::Missing(1));
--- a/crates/core/tests/position_demand.rs
+++ b/crates/core/tests/position_demand.rs
@@ -1,7 +1,7 @@
 //! Positions are brought ahead where a service is read often, and never more often than they are of use.
 
 use quickcheck::quickcheck;
-use skylark_core::request::position_demand::OFTEN;
+use skylark_core::request::position_demand::MIN_READS;
 use skylark_core::request::position_demand::PositionDemand;
 use skylark_core::request::position_demand::SPACING_US;
 use skylark_core::request::position_demand::WINDOW_US;
@@ -14,8 +14,8 @@
     let (mut demand, mut newest_us, mut brought) = (PositionDemand::default(), None, 0);
     for now_us in (0..span_us).step_by(LOOK_US as usize) {
         let due = reads_us.iter().filter(|read_us| (now_us..now_us + LOOK_US).contains(*read_us));
-        due.for_each(|read_us| demand.needed(*read_us));
-        if demand.brings(tells_others, newest_us, now_us + LOOK_US) {
+        due.for_each(|read_us| demand.record_need(*read_us));
+        if demand.start_prefetch(tells_others, newest_us, now_us + LOOK_US) {
             brought += 1;
             newest_us = arrives.then_some(now_us + LOOK_US);
         }
@@ -58,7 +58,7 @@
         let mut reads_us: Vec<u64> = reads.iter().map(|read| u64::from(*read) * 1_000).collect();
         reads_us.sort_unstable();
         let brought = brought(tells_others, &reads_us, 70_000_000, true);
-        let needed = if tells_others { reads.len() } else { reads.len().saturating_sub(OFTEN - 1) };
+        let needed = if tells_others { reads.len() } else { reads.len().saturating_sub(MIN_READS - 1) };
         brought <= needed * (WINDOW_US / SPACING_US) as usize
     }
 }
--- a/crates/core/tests/primary_positions.rs
+++ b/crates/core/tests/primary_positions.rs
@@ -3,7 +3,7 @@
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 use skylark_core::log_position::LogPosition;
-use skylark_core::request::primary_positions::MAX_KEPT;
+use skylark_core::request::primary_positions::MAX_SAMPLES;
 use skylark_core::request::primary_positions::PositionError;
 use skylark_core::request::primary_positions::PrimaryPositions;
 use skylark_core::request::primary_positions::SPACING_US;
@@ -16,7 +16,7 @@
 fn the_oldest_sample_that_is_young_enough_is_taken() {
     let mut positions = PrimaryPositions::default();
     for (number, time_us) in [(1, 0), (2, SPACING_US), (3, 2 * SPACING_US), (4, 3 * SPACING_US)] {
-        positions.saw(time_us, at(number));
+        positions.record(time_us, at(number));
     }
     assert_eq!(positions.covering(SPACING_US), Some(at(2)));
     assert_eq!(positions.covering(SPACING_US + 1), Some(at(3)));
@@ -27,8 +27,8 @@
 #[test]
 fn a_sample_is_told_with_the_time_at_which_it_was_taken() {
     let mut positions = PrimaryPositions::default();
-    positions.saw(SPACING_US, at(1));
-    positions.saw(3 * SPACING_US, at(2));
+    positions.record(SPACING_US, at(1));
+    positions.record(3 * SPACING_US, at(2));
     let taken_us = |as_of_us| positions.first_since(as_of_us).map(|sample| sample.taken_us);
     assert_eq!(taken_us(0), Some(SPACING_US));
     assert_eq!(taken_us(SPACING_US + 1), Some(3 * SPACING_US));
@@ -41,7 +41,7 @@
 fn a_sample_from_before_a_suspension_is_old() {
     let mut positions = PrimaryPositions::default();
     let (taken_us, suspended_us, bound_us) = (1_000_000, 4_000_000, 1_000_000);
-    positions.saw(taken_us, at(1));
+    positions.record(taken_us, at(1));
     let arrived_us = taken_us + suspended_us + 10_000;
     assert_eq!(positions.covering(arrived_us - bound_us), None);
     let arrived_without_suspension_us = taken_us + 10_000;
@@ -80,7 +80,7 @@
             let sent_us = now_us;
             index += u64::from(commits % 4);
             log.push((now_us, index));
-            positions.saw(sent_us, at(index));
+            positions.record(sent_us, at(index));
         }
         let as_of_us = u64::from(asked) % (now_us + 1);
         let acknowledged = log.iter().filter(|(time_us, _)| *time_us < as_of_us);
@@ -97,8 +97,8 @@
 #[test]
 fn memory_is_bounded() {
     let mut positions = PrimaryPositions::default();
-    for number in 0..10 * MAX_KEPT as u64 {
-        positions.saw(number * SPACING_US, at(number));
+    for number in 0..10 * MAX_SAMPLES as u64 {
+        positions.record(number * SPACING_US, at(number));
     }
-    assert_eq!(positions.covering(0), Some(at(9 * MAX_KEPT as u64)));
+    assert_eq!(positions.covering(0), Some(at(9 * MAX_SAMPLES as u64)));
 }
--- a/crates/core/tests/read_choice.rs
+++ b/crates/core/tests/read_choice.rs
@@ -8,10 +8,10 @@
         same_zone: true,
         is_primary: false,
         usual_us: 10_000,
-        under_way: 0,
+        outstanding: 0,
         is_preferred: true,
-        lags: false,
-        fails: false,
+        is_lagging: false,
+        is_failing: false,
     }
 }
 
@@ -31,7 +31,7 @@
         [ReadCandidate { same_zone: false, ..candidate() }, candidate()] => Some(1);
     /// Two statements under way there triple the wait, which costs more than the other zone does.
     a_busy_member_in_the_own_zone_is_not:
-        [ReadCandidate { same_zone: false, ..candidate() }, ReadCandidate { under_way: 2, ..candidate() }]
+        [ReadCandidate { same_zone: false, ..candidate() }, ReadCandidate { outstanding: 2, ..candidate() }]
         => Some(0);
     the_primary_is_spared: [ReadCandidate { is_primary: true, ..candidate() }, candidate()] => Some(1);
     /// An organisation's connections lie at one replica, which is worth another zone's way.
@@ -40,12 +40,12 @@
         => Some(1);
     /// Its own choice has several statements under way, and a connection elsewhere takes less time than they do.
     a_busy_choice_is_not:
-        [ReadCandidate { is_preferred: false, ..candidate() }, ReadCandidate { under_way: 3, ..candidate() }]
+        [ReadCandidate { is_preferred: false, ..candidate() }, ReadCandidate { outstanding: 3, ..candidate() }]
         => Some(0);
     one_that_lags_comes_after_all_that_don_t:
-        [ReadCandidate { lags: true, ..candidate() },
-         ReadCandidate { same_zone: false, under_way: 5, ..candidate() }] => Some(1);
+        [ReadCandidate { is_lagging: true, ..candidate() },
+         ReadCandidate { same_zone: false, outstanding: 5, ..candidate() }] => Some(1);
     one_that_fails_comes_last:
-        [ReadCandidate { fails: true, ..candidate() }, ReadCandidate { lags: true, ..candidate() }]
+        [ReadCandidate { is_failing: true, ..candidate() }, ReadCandidate { is_lagging: true, ..candidate() }]
         => Some(1);
 }
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -17,8 +17,8 @@
     Stage::NothingSent,
     Stage::PartlySent,
     Stage::Sent,
-    Stage::AnswerBegun,
-    Stage::AnswerPassedOn,
+    Stage::AnswerStarted,
+    Stage::AnswerRelayed,
 ];
 
 const CODES: [&[u8; 5]; 7] = [b"53300", b"25006", b"57P01", b"57P03", b"40001", b"23505", b"53000"];
@@ -63,9 +63,9 @@
     commit_not_sent: Commit, NothingSent, true, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
     read_sent: Read, Sent, false, Failure::Broken => RetryVerdict::Again;
-    read_answer_begun: Read, AnswerBegun, false, Failure::Broken => RetryVerdict::Again;
+    read_answer_begun: Read, AnswerStarted, false, Failure::Broken => RetryVerdict::Again;
     // The caller has half of the rows: the other half of another run would cross the answers.
-    read_answer_passed_on: Read, AnswerPassedOn, false, Failure::Broken
+    read_answer_passed_on: Read, AnswerRelayed, false, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::AnswerLost);
     read_in_transaction: Read, Sent, true, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
@@ -79,17 +79,17 @@
     cut_off_at_commit: Commit, Sent, true, said("57P01")
         => RetryVerdict::Answer(ErrorKind::AnswerLost);
     too_many_connections: Write, Connecting, false, said("53300") => RetryVerdict::Again;
-    duplicate_key: Write, Sent, false, said("23505") => RetryVerdict::PassOn;
-    serialization_failure: Commit, Sent, true, said("40001") => RetryVerdict::PassOn;
+    duplicate_key: Write, Sent, false, said("23505") => RetryVerdict::PassThrough;
+    serialization_failure: Commit, Sent, true, said("40001") => RetryVerdict::PassThrough;
     home_is_overloaded: Read, Sent, false,
         Failure::Said { sqlstate: *b"53000", claimed: Some(Outcome::NotRun) }
-        => RetryVerdict::PassOn;
+        => RetryVerdict::PassThrough;
     home_did_not_run_it: Write, Sent, false,
         Failure::Said { sqlstate: *b"57P03", claimed: Some(Outcome::NotRun) }
         => RetryVerdict::Again;
     home_does_not_know: Write, Sent, false,
         Failure::Said { sqlstate: *b"08007", claimed: Some(Outcome::Unknown) }
-        => RetryVerdict::PassOn;
+        => RetryVerdict::PassThrough;
 }
 
 /// Every combination of the table.
@@ -121,7 +121,7 @@
         }
         again += 1;
         assert!(!attempt.in_transaction, "{attempt:?}");
-        assert_ne!(attempt.stage, Stage::AnswerPassedOn, "{attempt:?}");
+        assert_ne!(attempt.stage, Stage::AnswerRelayed, "{attempt:?}");
         let silent = matches!(attempt.failure, Failure::Broken | Failure::TimedOut);
         if silent && attempt.effect != Effect::Read {
             assert!(attempt.stage < Stage::Sent, "{attempt:?}");
--- a/crates/ctl/tests/pages.rs
+++ b/crates/ctl/tests/pages.rs
@@ -53,7 +53,7 @@
     vec![
         format!("`refused.{}`", answer.name),
         format!("`{}`", answer.sqlstate),
-        answer.outcome.words().to_owned(),
+        answer.outcome.description().to_owned(),
         retry,
         if answer.closes { "yes" } else { "no" }.to_owned(),
         answer.message.to_owned(),
--- a/crates/proxy/src/request/exchange.rs
+++ b/crates/proxy/src/request/exchange.rs
@@ -262,10 +262,10 @@
         // A declared read that turns out to write is the caller's own error.
         let own_error = stakes.effect == Effect::Read && is_code(&said, b"25006");
         let verdict = match own_error {
-            true => RetryVerdict::PassOn,
+            true => RetryVerdict::PassThrough,
             false => self.decide(said, self.answer_stage()),
         };
-        if verdict != RetryVerdict::PassOn {
+        if verdict != RetryVerdict::PassThrough {
             let stage = self.answer_stage();
             let is_refusal = !is_fatal && self.exchange.live.is_none();
             let refusal = is_refusal.then(|| BytesMut::from(frame));
@@ -280,7 +280,7 @@
     fn refused_by_peer(&mut self, frame: &[u8]) -> Ending {
         let said = self.said(frame);
         match self.decide(said, Stage::Sent) {
-            RetryVerdict::PassOn => Ending::Farewell(BytesMut::from(frame)),
+            RetryVerdict::PassThrough => Ending::Farewell(BytesMut::from(frame)),
             verdict => {
                 let stage = Stage::Sent;
                 Ending::Failed(Failed {
@@ -308,8 +308,8 @@
     /// How far an answer has come whose latest message is an error.
     fn answer_stage(&self) -> Stage {
         match (self.relay.passed_on, self.relay.has_pending()) {
-            (true, _) => Stage::AnswerPassedOn,
-            (false, true) => Stage::AnswerBegun,
+            (true, _) => Stage::AnswerRelayed,
+            (false, true) => Stage::AnswerStarted,
             (false, false) => Stage::Sent,
         }
     }
@@ -319,8 +319,8 @@
         let sent_bytes = encoded.bytes.len() - self.unsent.len();
         let is_simple = encoded.replies.is_none();
         match () {
-            _ if self.relay.passed_on => Stage::AnswerPassedOn,
-            _ if self.relay.begun => Stage::AnswerBegun,
+            _ if self.relay.passed_on => Stage::AnswerRelayed,
+            _ if self.relay.begun => Stage::AnswerStarted,
             _ if sent_bytes == 0 => Stage::NothingSent,
             _ if sent_bytes <= encoded.prelude_bytes => Stage::PartlySent,
             _ if is_simple && !self.unsent.is_empty() => Stage::PartlySent,
@@ -345,7 +345,7 @@
         let stage = self.stage();
         let verdict = match self.decide(failure, stage) {
             // There is nothing to pass on where no answer came.
-            RetryVerdict::PassOn => RetryVerdict::Answer(ErrorKind::AnswerLost),
+            RetryVerdict::PassThrough => RetryVerdict::Answer(ErrorKind::AnswerLost),
             verdict => verdict,
         };
         let broken = failure == Failure::Broken;
@@ -391,5 +391,5 @@
 /// The outcome that another proxy's answer states.
 fn claimed_outcome(detail: &str) -> Option<Outcome> {
     let all = [Outcome::NotRun, Outcome::Ran, Outcome::Unknown];
-    all.into_iter().find(|outcome| outcome.words() == detail)
+    all.into_iter().find(|outcome| outcome.description() == detail)
 }
--- a/crates/proxy/src/request/execute.rs
+++ b/crates/proxy/src/request/execute.rs
@@ -305,7 +305,7 @@
         RetryVerdict::Again => Tries::Again(failed),
         RetryVerdict::Answer(kind) => Tries::Refused(kind.into()),
         // A refusal of the connection itself, which is no answer to the request.
-        RetryVerdict::PassOn => Tries::Refused(ErrorKind::TargetUnreachable.into()),
+        RetryVerdict::PassThrough => Tries::Refused(ErrorKind::TargetUnreachable.into()),
     }
 }
 
--- a/crates/proxy/src/request/refusal.rs
+++ b/crates/proxy/src/request/refusal.rs
@@ -55,7 +55,7 @@
             severity: if answer.closes { "FATAL" } else { "ERROR" },
             sqlstate: answer.sqlstate,
             message: &message,
-            detail: answer.outcome.words(),
+            detail: answer.outcome.description(),
             hint: &hint,
         };
         frames::error_response(out, fields);
--- a/crates/proxy/src/sessions/connection/peer.rs
+++ b/crates/proxy/src/sessions/connection/peer.rs
@@ -264,7 +264,7 @@
         let (gateway, service) = (&self.gateway, &self.target.record.service);
         let state = gateway.service(service);
         let now_us = gateway.clock.now_us();
-        state.demand.lock().needed(now_us);
+        state.demand.lock().record_need(now_us);
         let max_age_us = max_age_us.max(LEAST_POSITION_AGE_US);
         let first = || state.positions.lock().first_since(now_us.saturating_sub(max_age_us));
         if first().is_none()
--- a/crates/proxy/src/sessions/process/gateway.rs
+++ b/crates/proxy/src/sessions/process/gateway.rs
@@ -255,7 +255,7 @@
         let is_due = |name: &Arc<str>, state: &ServiceState| {
             let newest_us = state.positions.lock().newest().map(|newest| newest.taken_us);
             let tells_others = self.primary(name).is_some_and(|primary| primary.is_own());
-            state.demand.lock().brings(tells_others, newest_us, now_us)
+            state.demand.lock().start_prefetch(tells_others, newest_us, now_us)
         };
         let services: Vec<(Arc<str>, Arc<ServiceState>)> = {
             let services = self.services.read();
--- a/crates/proxy/src/sessions/process/lead.rs
+++ b/crates/proxy/src/sessions/process/lead.rs
@@ -44,7 +44,7 @@
         let is_news = state.leader.lock().proved(&target.record.id);
         // Without a position nothing is known of what reads have to see: they go to the primary.
         if let Some(position) = position {
-            state.positions.lock().saw(moment_us, position);
+            state.positions.lock().record(moment_us, position);
             state.sampling.notify();
         }
         if is_news {
--- a/crates/proxy/src/sessions/process/services.rs
+++ b/crates/proxy/src/sessions/process/services.rs
@@ -8,8 +8,8 @@
 
 use parking_lot::Mutex;
 use skylark_core::process::departures::Departures;
+use skylark_core::request::lead_proof::LeadReport;
 use skylark_core::request::lead_proof::LeadWords;
-use skylark_core::request::lead_proof::Word;
 use skylark_core::request::position_demand::PositionDemand;
 use skylark_core::request::primary_positions::PrimaryPositions;
 
@@ -42,8 +42,8 @@
 
 impl ServiceState {
     /// A member said how it stands.
-    pub fn heard(&self, member: &Arc<str>, word: Word) {
-        self.words.lock().heard(member, word);
+    pub fn heard(&self, member: &Arc<str>, word: LeadReport) {
+        self.words.lock().record(member, word);
         self.asked_in_vain_us.store(0, Ordering::Relaxed);
     }
 
--- a/crates/proxy/src/sessions/request/prove.rs
+++ b/crates/proxy/src/sessions/request/prove.rs
@@ -8,8 +8,8 @@
 
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
+use skylark_core::request::lead_proof::LeadReport;
 use skylark_core::request::lead_proof::LeadVerdict;
-use skylark_core::request::lead_proof::Word;
 use skylark_core::request::retry::Failure;
 use tokio::time;
 
@@ -223,14 +223,18 @@
     member: &TargetState<C>,
     asked_us: u64,
     reply: &Reply,
-) -> Option<Word>
+) -> Option<LeadReport>
 where
     C: Codec,
 {
     let End::Complete { .. } = reply.end else { return None };
     let status = C::decode_status(&reply.first_row).ok()?;
-    let word =
-        Word { asked_us, leads: status.is_primary, term: status.term, received: status.received };
+    let word = LeadReport {
+        asked_us,
+        leads: status.is_primary,
+        term: status.term,
+        received: status.received,
+    };
     gateway.service(&member.record.service).heard(&member.record.id, word);
     Some(word)
 }
@@ -249,7 +253,11 @@
 }
 
 /// What a member says of itself.
-async fn word_of<C>(gateway: &Gateway<C>, member: &TargetState<C>, until_us: u64) -> Option<Word>
+async fn word_of<C>(
+    gateway: &Gateway<C>,
+    member: &TargetState<C>,
+    until_us: u64,
+) -> Option<LeadReport>
 where
     C: Codec,
 {
--- a/crates/proxy/src/sessions/request/read.rs
+++ b/crates/proxy/src/sessions/request/read.rs
@@ -90,7 +90,7 @@
     let floor = session.floor_of(&call.route.service);
     let known = || call.gateway.position_for(call.route, floor, call.arrived_us);
     let state = call.gateway.service(&call.route.service);
-    state.demand.lock().needed(call.now_us());
+    state.demand.lock().record_need(call.now_us());
     loop {
         let sampled = state.sampling.ended();
         if let Some(position) = known() {
@@ -149,16 +149,16 @@
                 is_primary: call.gateway.is_primary(member),
                 is_preferred: preferred.is_none_or(|preferred| Arc::ptr_eq(preferred, member)),
                 usual_us: health.usual_us,
-                under_way: health.queued + health.in_flight,
-                lags: health.lagged_us > 0
+                outstanding: health.queued + health.in_flight,
+                is_lagging: health.lagged_us > 0
                     && now_us < health.lagged_us + limits::LAGGING_MEMBER_EJECTION_US,
-                fails: member.is_ejected(now_us),
+                is_failing: member.is_ejected(now_us),
             }
         })
         .collect();
     let best = read_choice::choose(&candidates)?;
     // A member that fails or lags is no better than the primary that is asked after all.
-    let is_poor = candidates[best].fails || candidates[best].lags;
+    let is_poor = candidates[best].is_failing || candidates[best].is_lagging;
     (!is_poor || tried.is_empty()).then(|| Arc::clone(&fit[best]))
 }
 
--- a/crates/spec/src/lead/model.rs
+++ b/crates/spec/src/lead/model.rs
@@ -5,9 +5,9 @@
 
 use skylark_core::log_position::LogPosition;
 use skylark_core::request::lead_proof::GroupView;
+use skylark_core::request::lead_proof::LeadReport;
 use skylark_core::request::lead_proof::LeadVerdict;
 use skylark_core::request::lead_proof::LeadWords;
-use skylark_core::request::lead_proof::Word;
 
 use super::Safeguard;
 use crate::explore::Model;
@@ -136,21 +136,21 @@
     fn serves(&self, state: &State) -> bool {
         let mut words = LeadWords::default();
         let received = |holds_floor: bool| if holds_floor { FLOOR } else { LogPosition::default() };
-        let own = Word { asked_us: BEFORE_US, leads: true, term: OLD_TERM, received: FLOOR };
-        words.heard(&Arc::from(TARGET), own);
+        let own = LeadReport { asked_us: BEFORE_US, leads: true, term: OLD_TERM, received: FLOOR };
+        words.record(&Arc::from(TARGET), own);
         for (name, member) in OTHERS.iter().zip(&state.members) {
             let Some(heard) = member.heard else { continue };
             let counts = heard.after_read || !self.has(Safeguard::FreshWord);
-            let word = Word {
+            let word = LeadReport {
                 asked_us: if counts { MOMENT_US } else { BEFORE_US },
                 leads: false,
                 term: if heard.knows_new_term { NEW_TERM } else { OLD_TERM },
                 received: received(heard.holds_floor),
             };
-            words.heard(&Arc::from(*name), word);
+            words.record(&Arc::from(*name), word);
         }
         // The target is asked again once a later term was heard, and still says that it leads its own.
-        words.heard(&Arc::from(TARGET), Word { asked_us: MOMENT_US, ..own });
+        words.record(&Arc::from(TARGET), LeadReport { asked_us: MOMENT_US, ..own });
         let listed = OTHERS.iter().zip(&state.members).filter(|(_, member)| member.listed);
         let others: Vec<&str> = listed.map(|(name, _)| *name).collect();
         let departed = state.members.iter().filter(|member| member.left).count();
--- a/crates/spec/src/repetition/model.rs
+++ b/crates/spec/src/repetition/model.rs
@@ -108,7 +108,7 @@
         match told {
             None => {}
             Some(Told::Success) => {
-                self.fail(state, place, Stage::AnswerBegun, Failure::Broken, next);
+                self.fail(state, place, Stage::AnswerStarted, Failure::Broken, next);
                 let mut after = *state;
                 sender_mut(&mut after, place).told = Some(Told::Success);
                 next.push((Step::Succeed(place), after));
@@ -140,10 +140,10 @@
                 let answer = kind.answer();
                 Some(told(answer.sqlstate, Some(answer.outcome)))
             }
-            (RetryVerdict::PassOn, Failure::Said { sqlstate, claimed }) => {
+            (RetryVerdict::PassThrough, Failure::Said { sqlstate, claimed }) => {
                 Some(Told::Error { sqlstate, claimed })
             }
-            (RetryVerdict::PassOn, _) => Some(told("08007", Some(Outcome::Unknown))),
+            (RetryVerdict::PassThrough, _) => Some(told("08007", Some(Outcome::Unknown))),
         };
         if sender.told.is_none() {
             sender.failed += 1;
