--- a/crates/core/src/version/plan/call.rs
+++ b/crates/core/src/version/plan/call.rs
@@ -96,7 +96,7 @@
 
 /// Where a confirmation stood when its caller stopped it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Standing {
+pub enum Progress {
     /// No object of the configuration was touched.
     Untouched,
     /// An update got no answer: it may have taken effect.
--- a/crates/core/src/version/plan/confirmation.rs
+++ b/crates/core/src/version/plan/confirmation.rs
@@ -26,7 +26,7 @@
 use crate::version::plan::call::Call;
 use crate::version::plan::call::End;
 use crate::version::plan::call::Next;
-use crate::version::plan::call::Standing;
+use crate::version::plan::call::Progress;
 use crate::version::plan::call::Verb;
 use crate::version::plan::record::PlanRecord;
 use crate::version::plan::record::PlanState;
@@ -107,12 +107,12 @@
     }
 
     /// What it means to stop here.
-    pub fn standing(&self) -> Standing {
+    pub fn progress(&self) -> Progress {
         let steps_done = self.record().map_or(0, |record| record.steps_done);
         match (self.in_flight || self.unanswered, self.step_took || steps_done > 0) {
-            (true, _) => Standing::Unanswered,
-            (false, false) => Standing::Untouched,
-            (false, true) => Standing::Unfinished,
+            (true, _) => Progress::Unanswered,
+            (false, false) => Progress::Untouched,
+            (false, true) => Progress::Unfinished,
         }
     }
 
--- a/crates/core/src/version/plan/error.rs
+++ b/crates/core/src/version/plan/error.rs
@@ -12,7 +12,7 @@
 /// What an unknown name was expected to name.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Named {
+pub enum NameKind {
     /// A target of any group.
     Target,
     /// A member of the group in question.
@@ -29,16 +29,16 @@
     Class,
 }
 
-impl fmt::Display for Named {
+impl fmt::Display for NameKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Named::Target => "target",
-            Named::Member => "member of this group",
-            Named::Vm => "VM",
-            Named::Group => "group",
-            Named::Service => "service",
-            Named::ReadKind => "read kind of this service",
-            Named::Class => "class of this service",
+            NameKind::Target => "target",
+            NameKind::Member => "member of this group",
+            NameKind::Vm => "VM",
+            NameKind::Group => "group",
+            NameKind::Service => "service",
+            NameKind::ReadKind => "read kind of this service",
+            NameKind::Class => "class of this service",
         })
     }
 }
@@ -50,7 +50,7 @@
     /// Nothing has this name.
     Unknown {
         /// What was looked for.
-        what: Named,
+        what: NameKind,
         /// The name.
         name: String,
         /// The most similar known name, if one is similar.
@@ -111,7 +111,7 @@
 
 impl PlanError {
     /// Nothing has this name; the nearest of the known names is offered.
-    pub fn unknown<'a, I>(what: Named, name: &str, known: I) -> PlanError
+    pub fn unknown<'a, I>(what: NameKind, name: &str, known: I) -> PlanError
     where
         I: IntoIterator<Item = &'a str>,
     {
--- a/crates/core/src/version/plan/new_group.rs
+++ b/crates/core/src/version/plan/new_group.rs
@@ -6,7 +6,7 @@
 use crate::version::objects::MemberSpec;
 use crate::version::objects::ServiceSpec;
 use crate::version::plan::Warning;
-use crate::version::plan::error::Named;
+use crate::version::plan::error::NameKind;
 use crate::version::plan::error::PlanError;
 use crate::version::plan::planner::State;
 
@@ -19,7 +19,7 @@
     if state.get::<GroupSpec>(group)?.is_some() {
         return Err(PlanError::NoChange { already: format!("there is a group `{group}`") });
     }
-    state.need::<ServiceSpec>(Named::Service, &spec.service)?;
+    state.need::<ServiceSpec>(NameKind::Service, &spec.service)?;
     if spec.members.is_empty() {
         return Err(bad("members", "[]", "at least one member"));
     }
--- a/crates/core/src/version/plan/planner.rs
+++ b/crates/core/src/version/plan/planner.rs
@@ -16,7 +16,7 @@
 use crate::version::objects::VmState;
 use crate::version::plan::Plan;
 use crate::version::plan::Warning;
-use crate::version::plan::error::Named;
+use crate::version::plan::error::NameKind;
 use crate::version::plan::error::PlanError;
 use crate::version::plan::intent::Intent;
 use crate::version::plan::new_group;
@@ -88,7 +88,7 @@
     }
 
     /// As [`State::get`]; an error where there is none.
-    pub(super) fn need<T>(&self, what: Named, name: &str) -> Result<Known<T>, PlanError>
+    pub(super) fn need<T>(&self, what: NameKind, name: &str) -> Result<Known<T>, PlanError>
     where
         T: PlannedBody,
     {
@@ -119,7 +119,7 @@
         found.ok_or_else(|| {
             let groups: Vec<Known<GroupSpec>> = self.groups().collect();
             let members = groups.iter().flat_map(|group| &group.body.members);
-            PlanError::unknown(Named::Target, target, members.map(|member| &*member.target))
+            PlanError::unknown(NameKind::Target, target, members.map(|member| &*member.target))
         })
     }
 
@@ -235,7 +235,7 @@
         let vms = self.state.vms();
         let found = vms.iter().find(|record| record.vm == name);
         let names = vms.iter().map(|record| &*record.vm);
-        found.cloned().ok_or_else(|| PlanError::unknown(Named::Vm, name, names))
+        found.cloned().ok_or_else(|| PlanError::unknown(NameKind::Vm, name, names))
     }
 
     fn edit_vm(&mut self, vm: &str, spec: Option<Known<VmSpec>>, drain: bool) {
@@ -260,7 +260,7 @@
     }
 
     fn move_primary(&mut self, group: &str, to: Option<&str>) -> Result<(), PlanError> {
-        let known = self.state.need::<GroupSpec>(Named::Group, group)?;
+        let known = self.state.need::<GroupSpec>(NameKind::Group, group)?;
         let lead = self.state.lead(group)?;
         let to = match to {
             Some(to) => to,
@@ -289,10 +289,11 @@
         read_kind: &str,
         max_age_ms: u64,
     ) -> Result<(), PlanError> {
-        let known = self.state.need::<ServiceSpec>(Named::Service, service)?;
+        let known = self.state.need::<ServiceSpec>(NameKind::Service, service)?;
         let names = known.body.read_kinds.iter().map(|kind| &*kind.name);
         let index = names.clone().position(|name| name == read_kind);
-        let index = index.ok_or_else(|| PlanError::unknown(Named::ReadKind, read_kind, names))?;
+        let index =
+            index.ok_or_else(|| PlanError::unknown(NameKind::ReadKind, read_kind, names))?;
         if max_age_ms > ReadKindSpec::HIGHEST_MAX_AGE_MS {
             return Err(PlanError::BadValue {
                 what: "the oldest age in ms".to_owned(),
@@ -311,10 +312,10 @@
     }
 
     fn set_weight(&mut self, service: &str, class: &str, weight: u32) -> Result<(), PlanError> {
-        let known = self.state.need::<ServiceSpec>(Named::Service, service)?;
+        let known = self.state.need::<ServiceSpec>(NameKind::Service, service)?;
         let names = known.body.classes.iter().map(|class| &*class.name);
         let index = names.clone().position(|name| name == class);
-        let index = index.ok_or_else(|| PlanError::unknown(Named::Class, class, names))?;
+        let index = index.ok_or_else(|| PlanError::unknown(NameKind::Class, class, names))?;
         if !(1..=ClassSpec::HIGHEST_WEIGHT).contains(&weight) {
             return Err(PlanError::BadValue {
                 what: "the weight".to_owned(),
@@ -340,7 +341,7 @@
     }
 
     fn remove_group(&mut self, group: &str) -> Result<(), PlanError> {
-        let known = self.state.need::<GroupSpec>(Named::Group, group)?;
+        let known = self.state.need::<GroupSpec>(NameKind::Group, group)?;
         self.warnings.push(Warning::CallersRefused { group: group.to_owned() });
         let edit = Edit::new(group, known.version, Some(known.body), None);
         self.change(Change::Group(edit));
@@ -359,7 +360,7 @@
 fn check_successor(spec: &GroupSpec, to: &str) -> Result<(), PlanError> {
     let members = spec.members.iter();
     match members.clone().find(|member| member.target == to) {
-        None => Err(PlanError::unknown(Named::Member, to, members.map(|it| &*it.target))),
+        None => Err(PlanError::unknown(NameKind::Member, to, members.map(|it| &*it.target))),
         Some(member) if member.drain => Err(PlanError::BadValue {
             what: "the new primary".to_owned(),
             value: to.to_owned(),
--- a/crates/core/tests/plan_confirmation.rs
+++ b/crates/core/tests/plan_confirmation.rs
@@ -11,7 +11,7 @@
 use skylark_core::version::plan::call::Call;
 use skylark_core::version::plan::call::End;
 use skylark_core::version::plan::call::Next;
-use skylark_core::version::plan::call::Standing;
+use skylark_core::version::plan::call::Progress;
 use skylark_core::version::plan::call::Verb;
 use skylark_core::version::plan::confirmation::Confirmation;
 use skylark_core::version::plan::intent::Intent;
@@ -169,7 +169,7 @@
     let mut confirmation = Confirmation::new(&plan.id);
     store.act_until_change(&mut confirmation);
     store.act(&mut confirmation, Fault::LostAfter);
-    assert_eq!(confirmation.standing(), Standing::Unanswered);
+    assert_eq!(confirmation.progress(), Progress::Unanswered);
     assert_eq!(store.finish(&mut confirmation), APPLIED);
     assert_eq!(store.writes_of(&plan), 1);
 }
@@ -183,14 +183,14 @@
     let plan = store.propose(&weight(2));
     let mut confirmation = Confirmation::new(&plan.id);
     store.act_until_change(&mut confirmation);
-    assert_eq!(confirmation.standing(), Standing::Untouched);
+    assert_eq!(confirmation.progress(), Progress::Untouched);
     store.act(&mut confirmation, Fault::None);
-    assert_eq!(confirmation.standing(), Standing::Unfinished);
+    assert_eq!(confirmation.progress(), Progress::Unfinished);
     store.act(&mut confirmation, Fault::LostBefore);
-    assert_eq!(confirmation.standing(), Standing::Unfinished);
+    assert_eq!(confirmation.progress(), Progress::Unfinished);
     let mut again = Confirmation::new(&plan.id);
     store.act(&mut again, Fault::None);
-    assert_eq!(again.standing(), Standing::Unanswered);
+    assert_eq!(again.progress(), Progress::Unanswered);
     assert_eq!(store.finish(&mut again), APPLIED);
     assert_eq!(store.writes_of(&plan), 1);
 }
@@ -313,7 +313,7 @@
     for _ in 0..6 {
         assert_eq!(store.act(&mut first, Fault::None), None, "the move is awaited");
     }
-    assert_eq!(first.standing(), Standing::Unfinished);
+    assert_eq!(first.progress(), Progress::Unfinished);
     drive(&mut store);
     assert_eq!(store.finish(&mut Confirmation::new(&plan.id)), APPLIED);
     assert_eq!(store.writes.iter().filter(|(kind, ..)| *kind == ObjectKind::Group).count(), 1);
--- a/crates/ctl/src/confirm.rs
+++ b/crates/ctl/src/confirm.rs
@@ -7,7 +7,7 @@
 use skylark_core::version::plan::call::Call;
 use skylark_core::version::plan::call::End;
 use skylark_core::version::plan::call::Next;
-use skylark_core::version::plan::call::Standing;
+use skylark_core::version::plan::call::Progress;
 use skylark_core::version::plan::call::Verb;
 use skylark_core::version::plan::confirmation::Confirmation;
 use skylark_core::version::plan::record::PlanRecord;
@@ -56,7 +56,7 @@
                 confirmation.answer(answer);
             }
         }
-        let untouched = confirmation.standing() == Standing::Untouched;
+        let untouched = confirmation.progress() == Progress::Untouched;
         if Instant::now() >= give_up_at || (untouched && lost_calls >= MAX_LOST_CALLS) {
             let stop = if lost_calls > 0 { Stop::Lost(lost_reason) } else { Stop::TimedOut };
             return Err(stopped(id, &confirmation, stop));
@@ -123,12 +123,12 @@
         Stop::Refused(reason) => reason.clone(),
         Stop::TimedOut => "the time is up".to_owned(),
     };
-    match (confirmation.standing(), stop) {
-        (Standing::Unanswered, _) => Failure::OutcomeUnknown { id, cause: reason },
-        (Standing::Unfinished, stop) => unfinished(id, confirmation.record(), stop, reason),
-        (Standing::Untouched, Stop::Refused(reason)) => Failure::PlatformRefused { reason },
-        (Standing::Untouched, Stop::Lost(reason)) => Failure::PlatformDown { reason },
-        (Standing::Untouched, Stop::TimedOut) => Failure::PlatformDown { reason },
+    match (confirmation.progress(), stop) {
+        (Progress::Unanswered, _) => Failure::OutcomeUnknown { id, cause: reason },
+        (Progress::Unfinished, stop) => unfinished(id, confirmation.record(), stop, reason),
+        (Progress::Untouched, Stop::Refused(reason)) => Failure::PlatformRefused { reason },
+        (Progress::Untouched, Stop::Lost(reason)) => Failure::PlatformDown { reason },
+        (Progress::Untouched, Stop::TimedOut) => Failure::PlatformDown { reason },
     }
 }
 
--- a/crates/spec/src/plans/machines.rs
+++ b/crates/spec/src/plans/machines.rs
@@ -9,7 +9,7 @@
 use skylark_core::version::plan::call::Call;
 use skylark_core::version::plan::call::End;
 use skylark_core::version::plan::call::Next;
-use skylark_core::version::plan::call::Standing;
+use skylark_core::version::plan::call::Progress;
 use skylark_core::version::plan::call::Verb;
 use skylark_core::version::plan::confirmation::Confirmation;
 
@@ -82,10 +82,10 @@
     }
 
     /// What it means to stop a confirmation here; none before it read its record.
-    pub fn standing(&self, number: u16) -> Option<Standing> {
+    pub fn progress(&self, number: u16) -> Option<Progress> {
         let confirmations = self.confirmations.borrow();
         let confirmation = confirmations.value(number);
-        confirmation.record().map(|_| confirmation.standing())
+        confirmation.record().map(|_| confirmation.progress())
     }
 
     /// What a confirmation does next, and its number after it was asked.
--- a/crates/spec/src/plans/model.rs
+++ b/crates/spec/src/plans/model.rs
@@ -8,7 +8,7 @@
 use skylark_core::version::plan::Plan;
 use skylark_core::version::plan::call::Call;
 use skylark_core::version::plan::call::End;
-use skylark_core::version::plan::call::Standing;
+use skylark_core::version::plan::call::Progress;
 use skylark_core::version::plan::call::Verb;
 use skylark_core::version::plan::intent::Intent;
 use skylark_core::version::plan::planner;
@@ -88,11 +88,11 @@
     }
 
     fn confirming(&self, state: &State, number: usize, confirmation: u16, next: &mut Next) {
-        let standing = match self.machines.standing(confirmation) {
-            Some(Standing::Untouched) => Told::Untouched,
+        let progress = match self.machines.progress(confirmation) {
+            Some(Progress::Untouched) => Told::Untouched,
             _ => Told::Other,
         };
-        self.tell(state, number, Step::Stop(number), standing, next);
+        self.tell(state, number, Step::Stop(number), progress, next);
         if self.again
             && let Some(id) = self.plan_id(state, number)
         {
