--- a/crates/core/src/version/organisations.rs
+++ b/crates/core/src/version/organisations.rs
@@ -43,26 +43,26 @@
 
 /// A text that is no digest.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct NotADigest;
+pub struct InvalidDigest;
 
-impl fmt::Display for NotADigest {
+impl fmt::Display for InvalidDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a digest has 64 hexadecimal digits")
     }
 }
 
 impl TryFrom<String> for KeyDigest {
-    type Error = NotADigest;
+    type Error = InvalidDigest;
 
-    fn try_from(text: String) -> Result<KeyDigest, NotADigest> {
+    fn try_from(text: String) -> Result<KeyDigest, InvalidDigest> {
         let digits = text.as_bytes();
         if digits.len() != 64 {
-            return Err(NotADigest);
+            return Err(InvalidDigest);
         }
         let mut bytes = [0; 32];
         for (byte, pair) in bytes.iter_mut().zip(digits.chunks_exact(2)) {
-            let pair = std::str::from_utf8(pair).map_err(|_| NotADigest)?;
-            *byte = u8::from_str_radix(pair, 16).map_err(|_| NotADigest)?;
+            let pair = std::str::from_utf8(pair).map_err(|_| InvalidDigest)?;
+            *byte = u8::from_str_radix(pair, 16).map_err(|_| InvalidDigest)?;
         }
         Ok(KeyDigest(bytes))
     }
@@ -147,7 +147,7 @@
     }
 
     /// Whether a key of this version is another organisation's or nobody's in `next`.
-    pub fn keys_differ_in(&self, next: &Organisations) -> bool {
+    pub fn any_key_revoked_in(&self, next: &Organisations) -> bool {
         let is_kept = |key: &KeyDigest, holder: &Organisation| {
             next.by_key.get(key).is_some_and(|next| next.name == holder.name)
         };
--- a/crates/core/src/version/route_changes.rs
+++ b/crates/core/src/version/route_changes.rs
@@ -21,7 +21,7 @@
 
 /// How many versions are remembered to tell changes since. Who is told is one or two behind, and who is
 /// further behind is sent the whole. Each may take 1 MB and more.
-const REMEMBERED: usize = 4;
+const MAX_VERSIONS: usize = 4;
 
 /// What changed from one version to a later one.
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
@@ -81,13 +81,13 @@
 
 /// What has to be sent to one who knows some version.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum RoutesSince {
+pub enum RoutesUpdate {
     /// It knows the newest version, or a later one.
-    Nothing,
+    UpToDate,
     /// What changed since.
     Changes(RouteChanges),
     /// All, since its version is not remembered.
-    Whole(Arc<RouteTable>),
+    Full(Arc<RouteTable>),
 }
 
 /// The last versions of a configuration.
@@ -107,7 +107,7 @@
         if table.version <= self.newest_version() {
             return false;
         }
-        if self.tables.len() == REMEMBERED {
+        if self.tables.len() == MAX_VERSIONS {
             self.tables.pop_front();
         }
         self.tables.push_back(Arc::clone(table));
@@ -115,7 +115,7 @@
     }
 
     /// The version that changes are told since to one who knows this version; zero if it is sent the whole.
-    pub fn base_of(&self, known_version: u64) -> u64 {
+    pub fn base_version_for(&self, known_version: u64) -> u64 {
         match self.tables.iter().any(|table| table.version == known_version) {
             true => known_version,
             false => 0,
@@ -123,14 +123,14 @@
     }
 
     /// What has to be sent to one who knows this version; zero for one who knows none.
-    pub fn since(&self, known_version: u64) -> RoutesSince {
-        let Some(newest) = self.tables.back() else { return RoutesSince::Nothing };
+    pub fn since(&self, known_version: u64) -> RoutesUpdate {
+        let Some(newest) = self.tables.back() else { return RoutesUpdate::UpToDate };
         if newest.version <= known_version {
-            return RoutesSince::Nothing;
+            return RoutesUpdate::UpToDate;
         }
         match self.tables.iter().find(|table| table.version == known_version) {
-            Some(base) => RoutesSince::Changes(RouteChanges::between(base, newest)),
-            None => RoutesSince::Whole(Arc::clone(newest)),
+            Some(base) => RoutesUpdate::Changes(RouteChanges::between(base, newest)),
+            None => RoutesUpdate::Full(Arc::clone(newest)),
         }
     }
 }
--- a/crates/core/src/version/spreading.rs
+++ b/crates/core/src/version/spreading.rs
@@ -45,7 +45,7 @@
     /// Ask that peer for its snapshot.
     Pull,
     /// Tell that peer our revision, so that it pulls.
-    Tell,
+    SendRevision,
     /// Nothing to do.
     Nothing,
 }
@@ -82,7 +82,7 @@
     }
 
     /// Judges a snapshot of `revision`. On [`OfferVerdict::Take`] the revision counts as in force.
-    pub fn offered(&mut self, revision: u64, source: Source) -> OfferVerdict {
+    pub fn judge_offer(&mut self, revision: u64, source: Source) -> OfferVerdict {
         if !self.ready || revision > self.revision {
             self.revision = revision;
             self.ready = true;
@@ -103,7 +103,7 @@
     /// within a second, and each would cost a snapshot.
     pub fn peer_seen(&mut self, revision: u64, now_us: u64) -> PeerAction {
         if revision < self.revision {
-            return PeerAction::Tell;
+            return PeerAction::SendRevision;
         }
         if revision == self.revision {
             return PeerAction::Nothing;
@@ -198,7 +198,7 @@
 
 /// Chooses up to `count` of `candidates` to ask at the start, spread by the asker's seed so that a
 /// rack of VMs that starts at once does not ask the same three.
-pub fn start_peers(candidates: usize, count: usize, seed: u64) -> Vec<usize> {
+pub fn choose_start_peers(candidates: usize, count: usize, seed: u64) -> Vec<usize> {
     let mut places: Vec<usize> = (0..candidates).collect();
     let count = count.min(candidates);
     for step in 0..count {
--- a/crates/core/tests/organisations.rs
+++ b/crates/core/tests/organisations.rs
@@ -34,15 +34,15 @@
         [holder(&after, "a"), holder(&after, "b"), holder(&after, "c")],
         [Some("lake"), Some("hill"), None]
     );
-    assert!(before.keys_differ_in(&after));
+    assert!(before.any_key_revoked_in(&after));
 }
 
 /// Sessions are only looked at when a key went: added keys and changed limits end none.
 #[test]
 fn an_added_key_withdraws_none() {
     let before = organisations(&[("lake", &["a"])]);
-    assert!(!before.keys_differ_in(&organisations(&[("lake", &["a", "b"]), ("hill", &["c"])])));
-    assert!(!before.keys_differ_in(&before));
+    assert!(!before.any_key_revoked_in(&organisations(&[("lake", &["a", "b"]), ("hill", &["c"])])));
+    assert!(!before.any_key_revoked_in(&before));
 }
 
 /// A key that two organisations list is the same one's on all VMs, in whatever order they are listed.
--- a/crates/core/tests/route_changes.rs
+++ b/crates/core/tests/route_changes.rs
@@ -6,7 +6,7 @@
 use skylark_core::FastMap;
 use skylark_core::version::route_changes::RecentVersions;
 use skylark_core::version::route_changes::RouteChanges;
-use skylark_core::version::route_changes::RoutesSince;
+use skylark_core::version::route_changes::RoutesUpdate;
 use skylark_core::version::routes::ReadRule;
 use skylark_core::version::routes::Route;
 use skylark_core::version::routes::RouteTable;
@@ -54,12 +54,12 @@
         for table in &tables {
             recent.push(table);
         }
-        let Some(newest) = tables.last() else { return recent.since(0) == RoutesSince::Nothing };
+        let Some(newest) = tables.last() else { return recent.since(0) == RoutesUpdate::UpToDate };
         let known = &tables[known % tables.len()];
         match recent.since(known.version) {
-            RoutesSince::Nothing => known.version == newest.version,
-            RoutesSince::Changes(changes) => changes.applied_to(known).as_ref() == Some(&**newest),
-            RoutesSince::Whole(whole) => whole == *newest,
+            RoutesUpdate::UpToDate => known.version == newest.version,
+            RoutesUpdate::Changes(changes) => changes.applied_to(known).as_ref() == Some(&**newest),
+            RoutesUpdate::Full(whole) => whole == *newest,
         }
     }
 }
@@ -92,7 +92,7 @@
     let mut recent = RecentVersions::default();
     let newest = Arc::new(table(9, &[(1, 1)]));
     recent.push(&newest);
-    assert_eq!(recent.since(0), RoutesSince::Whole(newest));
+    assert_eq!(recent.since(0), RoutesUpdate::Full(newest));
 }
 
 /// Whoever says that it knows a version that never was is sent what one is sent who knows nothing.
@@ -101,5 +101,8 @@
     let mut recent = RecentVersions::default();
     recent.push(&Arc::new(table(7, &[(1, 1)])));
     recent.push(&Arc::new(table(9, &[(1, 1)])));
-    assert_eq!([recent.base_of(7), recent.base_of(8), recent.base_of(0)], [7, 0, 0]);
+    assert_eq!(
+        [recent.base_version_for(7), recent.base_version_for(8), recent.base_version_for(0)],
+        [7, 0, 0]
+    );
 }
--- a/crates/core/tests/spreading.rs
+++ b/crates/core/tests/spreading.rs
@@ -12,7 +12,7 @@
 
 fn at(revision: u64) -> Spreading {
     let mut spreading = Spreading::new();
-    assert_eq!(spreading.offered(revision, Source::Platform), OfferVerdict::Take);
+    assert_eq!(spreading.judge_offer(revision, Source::Platform), OfferVerdict::Take);
     spreading
 }
 
@@ -22,7 +22,7 @@
 fn a_lower_revision_is_never_taken_whoever_offers_it() {
     for source in [Source::Platform, Source::Watcher, Source::Peer] {
         let mut spreading = at(9);
-        assert_eq!(spreading.offered(8, source), OfferVerdict::IgnoreOlder);
+        assert_eq!(spreading.judge_offer(8, source), OfferVerdict::IgnoreOlder);
         assert_eq!(spreading.revision(), 9);
     }
 }
@@ -30,22 +30,22 @@
 #[test]
 fn the_vm_list_of_the_same_revision_is_taken_from_fresh_sources_only() {
     let mut spreading = at(9);
-    assert_eq!(spreading.offered(9, Source::Watcher), OfferVerdict::TakeVmsOnly);
-    assert_eq!(spreading.offered(9, Source::Platform), OfferVerdict::TakeVmsOnly);
-    assert_eq!(spreading.offered(9, Source::Peer), OfferVerdict::IgnoreOlder);
+    assert_eq!(spreading.judge_offer(9, Source::Watcher), OfferVerdict::TakeVmsOnly);
+    assert_eq!(spreading.judge_offer(9, Source::Platform), OfferVerdict::TakeVmsOnly);
+    assert_eq!(spreading.judge_offer(9, Source::Peer), OfferVerdict::IgnoreOlder);
 }
 
 #[test]
 fn one_pull_at_a_time() {
     let mut spreading = at(3);
-    assert_eq!(spreading.peer_seen(2, 0), PeerAction::Tell);
+    assert_eq!(spreading.peer_seen(2, 0), PeerAction::SendRevision);
     assert_eq!(spreading.peer_seen(3, 0), PeerAction::Nothing);
     assert_eq!(spreading.peer_seen(4, 0), PeerAction::Pull);
     assert_eq!(spreading.peer_seen(5, 1), PeerAction::Nothing);
     assert_eq!(spreading.peer_seen(5, spreading::PULL_TIMEOUT_US), PeerAction::Pull);
     spreading.pull_failed();
     assert_eq!(spreading.peer_seen(5, spreading::PULL_TIMEOUT_US + 1), PeerAction::Pull);
-    assert_eq!(spreading.offered(5, Source::Peer), OfferVerdict::Take);
+    assert_eq!(spreading.judge_offer(5, Source::Peer), OfferVerdict::Take);
     assert_eq!(spreading.peer_seen(6, spreading::PULL_TIMEOUT_US + 2), PeerAction::Pull);
     assert_eq!(spreading.verify(), Vec::<String>::new());
 }
@@ -54,7 +54,7 @@
 fn a_store_without_changes_makes_ready() {
     let mut spreading = Spreading::new();
     assert!(!spreading.is_ready());
-    assert_eq!(spreading.offered(0, Source::Platform), OfferVerdict::Take);
+    assert_eq!(spreading.judge_offer(0, Source::Platform), OfferVerdict::Take);
     assert!(spreading.is_ready());
 }
 
@@ -63,7 +63,7 @@
     let mut in_force = 0;
     for (index, (revision, is_offer)) in offers.into_iter().enumerate() {
         if is_offer {
-            spreading.offered(revision, Source::Peer);
+            spreading.judge_offer(revision, Source::Peer);
         } else {
             spreading.peer_seen(revision, index as u64 * 300_000);
         }
@@ -107,12 +107,12 @@
 
 #[test]
 fn start_peers_are_distinct_and_differ_by_seed() {
-    let first = spreading::start_peers(50, spreading::START_PEERS, 1);
+    let first = spreading::choose_start_peers(50, spreading::START_PEERS, 1);
     let mut sorted = first.clone();
     sorted.sort_unstable();
     sorted.dedup();
     assert_eq!(sorted.len(), spreading::START_PEERS);
-    assert_ne!(first, spreading::start_peers(50, spreading::START_PEERS, 2));
-    assert_eq!(spreading::start_peers(2, spreading::START_PEERS, 1).len(), 2);
-    assert!(spreading::start_peers(0, spreading::START_PEERS, 1).is_empty());
+    assert_ne!(first, spreading::choose_start_peers(50, spreading::START_PEERS, 2));
+    assert_eq!(spreading::choose_start_peers(2, spreading::START_PEERS, 1).len(), 2);
+    assert!(spreading::choose_start_peers(0, spreading::START_PEERS, 1).is_empty());
 }
--- a/crates/proxy/src/process/control/first_version.rs
+++ b/crates/proxy/src/process/control/first_version.rs
@@ -145,7 +145,7 @@
         let timeout = Duration::from_millis(self.settings.timing.peer_timeout_ms);
         let peers = &self.settings.peers;
         let seed = self.seed.wrapping_add(attempt);
-        let chosen = spreading::start_peers(peers.len(), spreading::START_PEERS, seed);
+        let chosen = spreading::choose_start_peers(peers.len(), spreading::START_PEERS, seed);
         let addresses: Vec<String> = chosen.iter().map(|&place| peers[place].to_string()).collect();
         let clients = addresses.iter().map(|address| client::open(address, timeout));
         let mut asked: Vec<_> = clients.map(ask_version).collect();
--- a/crates/proxy/src/sessions/process/feed/outbox.rs
+++ b/crates/proxy/src/sessions/process/feed/outbox.rs
@@ -6,7 +6,7 @@
 use skylark_core::FastMap;
 use skylark_core::process::store_calls::StoreNews;
 use skylark_core::version::route_changes::RecentVersions;
-use skylark_core::version::route_changes::RoutesSince;
+use skylark_core::version::route_changes::RoutesUpdate;
 use skylark_core::version::routes::RouteTable;
 use tokio::sync::OnceCell;
 use tokio::sync::Semaphore;
@@ -203,7 +203,7 @@
             if version <= known_version {
                 return Ok(None);
             }
-            let base_version = configurations.recent.base_of(known_version);
+            let base_version = configurations.recent.base_version_for(known_version);
             let frame = configurations.frames.entry(base_version).or_default();
             (version, base_version, Arc::clone(frame))
         };
@@ -215,10 +215,10 @@
     }
 }
 
-fn encode(since: RoutesSince) -> Option<Frame> {
+fn encode(since: RoutesUpdate) -> Option<Frame> {
     match since {
-        RoutesSince::Nothing => None,
-        RoutesSince::Changes(changes) => Some(frame::encode(&Message::Changes(changes))),
-        RoutesSince::Whole(routes) => Some(frame::encode(&Message::Routes(routes))),
+        RoutesUpdate::UpToDate => None,
+        RoutesUpdate::Changes(changes) => Some(frame::encode(&Message::Changes(changes))),
+        RoutesUpdate::Full(routes) => Some(frame::encode(&Message::Routes(routes))),
     }
 }
--- a/crates/proxy/src/sessions/process/gateway.rs
+++ b/crates/proxy/src/sessions/process/gateway.rs
@@ -356,7 +356,7 @@
         return false;
     }
     match (before.organisations(), now.organisations()) {
-        (Some(before), Some(now)) => before.keys_differ_in(now),
+        (Some(before), Some(now)) => before.any_key_revoked_in(now),
         (None, Some(_)) => true,
         (_, None) => false,
     }
--- a/crates/proxy/src/version/configuration.rs
+++ b/crates/proxy/src/version/configuration.rs
@@ -80,7 +80,7 @@
 
     /// Takes a whole snapshot if it is newer.
     pub fn take_snapshot(&mut self, snapshot: Snapshot, source: Source) -> Taken {
-        match self.spreading.offered(snapshot.revision, source) {
+        match self.spreading.judge_offer(snapshot.revision, source) {
             OfferVerdict::Take => {
                 self.snapshot = snapshot;
                 self.resolve();
@@ -98,7 +98,7 @@
         if !leads_on {
             return Taken::NeedsSnapshot;
         }
-        match self.spreading.offered(revision, source) {
+        match self.spreading.judge_offer(revision, source) {
             OfferVerdict::Take => {
                 if base_revision == 0 {
                     self.snapshot.objects.clear();
--- a/crates/spec/src/spreading/model.rs
+++ b/crates/spec/src/spreading/model.rs
@@ -139,7 +139,7 @@
         if !self.has(Safeguard::HighestWins) {
             *spreading = Spreading::new();
         }
-        let taken = spreading.offered(u64::from(revision), source) == OfferVerdict::Take;
+        let taken = spreading.judge_offer(u64::from(revision), source) == OfferVerdict::Take;
         if taken {
             let highest = &mut state.processes[process].highest;
             *highest = revision.max(*highest);
@@ -254,7 +254,7 @@
 
     fn initial(&self) -> State {
         let mut spreading = Spreading::new();
-        spreading.offered(1, Source::Platform);
+        spreading.judge_offer(1, Source::Platform);
         let mut state = State {
             revision: 1,
             changed: [0; MAX_REVISIONS],
