--- a/crates/core/src/connection/floor.rs
+++ b/crates/core/src/connection/floor.rs
@@ -85,7 +85,7 @@
     /// The floor of a group: the lowest position when the session has none.
     pub fn get(&self, group: &str) -> LogPosition {
         match self.find(group) {
-            Ok(place) => self.entries[place].position,
+            Ok(index) => self.entries[index].position,
             Err(_) => LogPosition::default(),
         }
     }
@@ -93,16 +93,16 @@
     /// Raises the floor of a group; a lower position changes nothing.
     pub fn raise(&mut self, group: &str, position: LogPosition) -> Result<(), FloorError> {
         match self.find(group) {
-            Ok(place) => {
-                let entry = &mut self.entries[place];
+            Ok(index) => {
+                let entry = &mut self.entries[index];
                 entry.position = entry.position.max(position);
             }
-            Err(place) => {
+            Err(index) => {
                 check_group(group)?;
                 if self.entries.len() >= MAX_GROUPS {
                     return Err(FloorError::TooManyGroups);
                 }
-                self.entries.insert(place, GroupFloor { group: group.to_owned(), position });
+                self.entries.insert(index, GroupFloor { group: group.to_owned(), position });
             }
         }
         Ok(())
@@ -149,8 +149,8 @@
 
 impl fmt::Display for Floors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, entry) in self.entries.iter().enumerate() {
-            let separator = if place == 0 { "" } else { "," };
+        for (index, entry) in self.entries.iter().enumerate() {
+            let separator = if index == 0 { "" } else { "," };
             write!(f, "{separator}{}:{}", entry.group, entry.position)?;
         }
         Ok(())
--- a/crates/core/src/request/lead_proof.rs
+++ b/crates/core/src/request/lead_proof.rs
@@ -88,22 +88,22 @@
 /// What the members of one group said.
 #[derive(Clone, Debug, Default)]
 pub struct LeadWords {
-    words: FastMap<Arc<str>, LeadReport>,
+    reports: FastMap<Arc<str>, LeadReport>,
     last_proof: Option<Proof>,
 }
 
 impl LeadWords {
     /// A member answered. Answers may come in another order than they were asked for.
-    pub fn record(&mut self, member: &Arc<str>, word: LeadReport) {
-        let known = self.words.entry(Arc::clone(member)).or_insert(word);
-        if word.asked_us >= known.asked_us {
-            *known = word;
+    pub fn record(&mut self, member: &Arc<str>, report: LeadReport) {
+        let previous = self.reports.entry(Arc::clone(member)).or_insert(report);
+        if report.asked_us >= previous.asked_us {
+            *previous = report;
         }
     }
 
     /// A commit that was sent to the target at `sent_us` was acknowledged by it and a replica.
     pub fn acknowledged(&mut self, target: &Arc<str>, sent_us: u64) {
-        self.proved(target, sent_us);
+        self.record_proof(target, sent_us);
     }
 
     /// Whether `target`, which answered as primary, was the only one to have acknowledged anything by
@@ -119,12 +119,14 @@
             return LeadVerdict::Proved;
         }
         let needed = group.reports_needed();
-        let heard = group.others.iter().filter_map(|other| self.words.get(*other).copied());
-        let heard: Vec<LeadReport> = heard.collect();
-        let Some(own) = self.words.get(target).copied().filter(|own| own.leads) else {
+        let received_reports =
+            group.others.iter().filter_map(|other| self.reports.get(*other).copied());
+        let received_reports: Vec<LeadReport> = received_reports.collect();
+        let Some(own) = self.reports.get(target).copied().filter(|own| own.leads) else {
             return LeadVerdict::TermUnknown;
         };
-        if let Some(later) = heard.iter().filter(|word| word.term > own.term).max_by_key(|w| w.term)
+        if let Some(later) =
+            received_reports.iter().filter(|report| report.term > own.term).max_by_key(|w| w.term)
         {
             // It may have been promoted again since it was asked.
             return match own.asked_us >= later.asked_us {
@@ -133,22 +135,22 @@
             };
         }
         let counts =
-            |word: &&LeadReport| word.asked_us >= moment_us && word.received >= group.floor;
+            |report: &&LeadReport| report.asked_us >= moment_us && report.received >= group.floor;
         let mut asked_us: Vec<u64> =
-            heard.iter().filter(counts).map(|word| word.asked_us).collect();
+            received_reports.iter().filter(counts).map(|report| report.asked_us).collect();
         if asked_us.len() < needed {
             return LeadVerdict::Missing(needed - asked_us.len());
         }
         // The newest words that are enough prove the most.
         asked_us.sort_unstable();
         let holds_to_us = asked_us.iter().rev().take(needed).min().copied().unwrap_or(moment_us);
-        self.proved(target, holds_to_us);
+        self.record_proof(target, holds_to_us);
         LeadVerdict::Proved
     }
 
     /// When a member was asked for the last word that came.
     pub fn asked_us(&self, member: &str) -> Option<u64> {
-        self.words.get(member).map(|word| word.asked_us)
+        self.reports.get(member).map(|report| report.asked_us)
     }
 
     /// Forgets members that are no longer listed.
@@ -156,12 +158,12 @@
     where
         F: Fn(&str) -> bool,
     {
-        self.words.retain(|member, _| is_listed(member));
+        self.reports.retain(|member, _| is_listed(member));
     }
 
-    fn proved(&mut self, target: &Arc<str>, holds_to_us: u64) {
-        let known = self.last_proof.as_ref().filter(|known| known.target == *target);
-        if known.is_none_or(|known| known.holds_to_us < holds_to_us) {
+    fn record_proof(&mut self, target: &Arc<str>, holds_to_us: u64) {
+        let previous = self.last_proof.as_ref().filter(|previous| previous.target == *target);
+        if previous.is_none_or(|previous| previous.holds_to_us < holds_to_us) {
             self.last_proof = Some(Proof { target: Arc::clone(target), holds_to_us });
         }
     }
--- a/crates/core/src/request/position_demand.rs
+++ b/crates/core/src/request/position_demand.rs
@@ -24,7 +24,7 @@
     /// When the last ones needed a position, at most [`OFTEN`].
     reads_us: VecDeque<u64>,
     /// When a position was last brought ahead.
-    brought_us: Option<u64>,
+    prefetched_us: Option<u64>,
 }
 
 impl PositionDemand {
@@ -49,17 +49,18 @@
     /// brought from then on, whatever comes of it.
     pub fn start_prefetch(
         &mut self,
-        tells_others: bool,
+        serves_peers: bool,
         newest_us: Option<u64>,
         now_us: u64,
     ) -> bool {
-        let least = if tells_others { 1 } else { MIN_READS };
+        let min_reads = if serves_peers { 1 } else { MIN_READS };
         let is_fresh = |taken_us: u64| now_us < taken_us + SPACING_US;
-        let is_needed = self.recent(now_us) >= least;
-        if !is_needed || newest_us.is_some_and(is_fresh) || self.brought_us.is_some_and(is_fresh) {
+        let is_needed = self.recent(now_us) >= min_reads;
+        if !is_needed || newest_us.is_some_and(is_fresh) || self.prefetched_us.is_some_and(is_fresh)
+        {
             return false;
         }
-        self.brought_us = Some(now_us);
+        self.prefetched_us = Some(now_us);
         true
     }
 }
--- a/crates/core/src/request/read_choice.rs
+++ b/crates/core/src/request/read_choice.rs
@@ -41,8 +41,8 @@
     fn cost_us(&self) -> u64 {
         let zone_us = if self.same_zone { 0 } else { OTHER_ZONE_COST_US };
         let primary_us = if self.is_primary { PRIMARY_COST_US } else { 0 };
-        let user_us = if self.is_preferred { 0 } else { NOT_PREFERRED_COST_US };
-        self.usual_us * u64::from(1 + self.outstanding) + zone_us + primary_us + user_us
+        let organisation_us = if self.is_preferred { 0 } else { NOT_PREFERRED_COST_US };
+        self.usual_us * u64::from(1 + self.outstanding) + zone_us + primary_us + organisation_us
     }
 }
 
--- a/crates/core/src/request/retry.rs
+++ b/crates/core/src/request/retry.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     tokens_milli: AtomicU64,
-    earned_milli: u64,
+    earned_per_request_milli: u64,
     max_milli: u64,
 }
 
@@ -41,7 +41,7 @@
         let max_milli = u64::from(burst) * RETRY_COST_MILLI;
         RetryBudget {
             tokens_milli: AtomicU64::new(max_milli),
-            earned_milli: u64::from(share_percent) * RETRY_COST_MILLI / 100,
+            earned_per_request_milli: u64::from(share_percent) * RETRY_COST_MILLI / 100,
             max_milli,
         }
     }
@@ -49,7 +49,7 @@
     /// Counts a new request, not a retry.
     pub fn request_started(&self) {
         let earn = |tokens: u64| {
-            let earned = tokens.saturating_add(self.earned_milli).min(self.max_milli);
+            let earned = tokens.saturating_add(self.earned_per_request_milli).min(self.max_milli);
             (earned != tokens).then_some(earned)
         };
         let _ = self.tokens_milli.fetch_update(Ordering::Relaxed, Ordering::Relaxed, earn);
@@ -152,7 +152,7 @@
 /// Whether a failed try had an effect, as far as it can be proved.
 pub fn outcome_of(attempt: &Attempt) -> Outcome {
     match attempt.failure {
-        Failure::Said { sqlstate, claimed } => said_outcome(attempt, sqlstate, claimed),
+        Failure::Said { sqlstate, claimed } => reported_outcome(attempt, sqlstate, claimed),
         Failure::Broken | Failure::TimedOut => match (attempt.stage, attempt.effect) {
             (Stage::Connecting | Stage::NothingSent | Stage::PartlySent, _) => Outcome::NotRun,
             // Without its commit a transaction leaves nothing behind.
@@ -163,7 +163,7 @@
 }
 
 /// The refusals of a target that are given before anything runs (`docs/INTERFACES.md`).
-fn said_outcome(attempt: &Attempt, sqlstate: [u8; 5], claimed: Option<Outcome>) -> Outcome {
+fn reported_outcome(attempt: &Attempt, sqlstate: [u8; 5], claimed: Option<Outcome>) -> Outcome {
     if let Some(claimed) = claimed {
         return claimed;
     }
@@ -260,8 +260,8 @@
 ///
 /// The way back is kept in reserve, so that the next hop's refusal reaches the caller in time. What
 /// doesn't make up a millisecond is dropped: a hop must not grant more than it has.
-pub fn hop_deadline_ms(left_us: u64, way_back_us: u64) -> Option<u64> {
-    let left_ms = left_us.saturating_sub(way_back_us) / 1_000;
+pub fn hop_deadline_ms(left_us: u64, return_trip_us: u64) -> Option<u64> {
+    let left_ms = left_us.saturating_sub(return_trip_us) / 1_000;
     (left_ms > 0).then_some(left_ms)
 }
 
--- a/crates/core/src/request/routing/mod.rs
+++ b/crates/core/src/request/routing/mod.rs
@@ -112,7 +112,7 @@
 }
 
 impl RoutingPolicy {
-    fn way_us(&self, nearness: Nearness) -> u64 {
+    fn round_trip_us(&self, nearness: Nearness) -> u64 {
         match nearness {
             Nearness::SameZone => 0,
             Nearness::OtherZone => self.other_zone_us,
@@ -274,7 +274,7 @@
     if !covers_floor(request.floor, leader, member) {
         return Some(Shortfall::Floor);
     }
-    if !young_enough(request.max_age_us, member, now_us) {
+    if !fresh_enough(request.max_age_us, member, now_us) {
         return Some(Shortfall::Age);
     }
     None
@@ -293,12 +293,12 @@
     leader.is_some_and(|leader| leader.target == member.target && leader.term >= floor.term)
 }
 
-fn young_enough(max_age_us: u64, member: &MemberView, now_us: u64) -> bool {
+fn fresh_enough(max_age_us: u64, member: &MemberView, now_us: u64) -> bool {
     if max_age_us == NO_AGE_BOUND {
         return true;
     }
-    let shown = member.fresh_as_of_us != 0;
-    shown && now_us.saturating_sub(member.fresh_as_of_us) <= max_age_us
+    let is_proved = member.fresh_as_of_us != 0;
+    is_proved && now_us.saturating_sub(member.fresh_as_of_us) <= max_age_us
 }
 
 /// Decides who serves a read.
@@ -309,14 +309,16 @@
     members: &[MemberView],
     now_us: u64,
 ) -> ReadVerdict {
-    let survey = Survey::take(policy, request, leader, members, now_us);
+    let survey = Survey::collect(policy, request, leader, members, now_us);
     let left_us = request.deadline_us.saturating_sub(now_us);
     if let Some(replica) = survey.replica {
         return survey.send_to_replica(request, replica, left_us);
     }
     let wait = survey.wait_for_replica(policy, request, left_us);
     match (survey.primary, wait) {
-        (Some(primary), Some(wait)) if wait.cost_us < primary.price_us(policy) => wait.verdict(),
+        (Some(primary), Some(wait)) if wait.cost_us < primary.group_cost_us(policy) => {
+            wait.verdict()
+        }
         (Some(primary), _) if primary.cost_us <= left_us => {
             let reason = survey.reason_for_primary(members);
             ReadVerdict::Send { target: primary.target, reason }
--- a/crates/core/src/request/routing/survey.rs
+++ b/crates/core/src/request/routing/survey.rs
@@ -23,19 +23,19 @@
 
 /// A member that is fit now.
 #[derive(Clone, Copy)]
-pub(super) struct Fit {
+pub(super) struct Candidate {
     pub target: TargetId,
     pub cost_us: u64,
     predicted_wait_us: u64,
     nearness: Nearness,
 }
 
-impl Fit {
-    fn new(policy: &RoutingPolicy, member: &MemberView) -> Fit {
-        let way_us = policy.way_us(member.nearness);
-        Fit {
+impl Candidate {
+    fn new(policy: &RoutingPolicy, member: &MemberView) -> Candidate {
+        let round_trip_us = policy.round_trip_us(member.nearness);
+        Candidate {
             target: member.target,
-            cost_us: member.predicted_wait_us.saturating_add(way_us),
+            cost_us: member.predicted_wait_us.saturating_add(round_trip_us),
             predicted_wait_us: member.predicted_wait_us,
             nearness: member.nearness,
         }
@@ -46,7 +46,7 @@
     }
 
     /// What a read at the primary costs the group as a whole.
-    pub fn price_us(&self, policy: &RoutingPolicy) -> u64 {
+    pub fn group_cost_us(&self, policy: &RoutingPolicy) -> u64 {
         let imposed_us = self.predicted_wait_us;
         self.cost_us.saturating_add(imposed_us).saturating_add(policy.primary_penalty_us)
     }
@@ -70,11 +70,11 @@
 /// What one pass over the members finds.
 #[derive(Default)]
 pub(super) struct Survey {
-    pub replica: Option<Fit>,
+    pub replica: Option<Candidate>,
     ties: u32,
-    pub primary: Option<Fit>,
+    pub primary: Option<Candidate>,
     /// The replica that is expected to be fit first, with the time until then; unknown ones come last.
-    pending: Option<(Option<u64>, Fit, Shortfall)>,
+    pending: Option<(Option<u64>, Candidate, Shortfall)>,
     replica_leaving: bool,
     any_lacks_age: bool,
     any_lacks_floor: bool,
@@ -83,7 +83,7 @@
 }
 
 impl Survey {
-    pub fn take(
+    pub fn collect(
         policy: &RoutingPolicy,
         request: &ReadRequest,
         leader: Option<LeaderView>,
@@ -93,38 +93,40 @@
         let mut survey = Survey::default();
         for member in members {
             let is_primary = leader.is_some_and(|leader| leader.target == member.target);
-            let fit = Fit::new(policy, member);
+            let candidate = Candidate::new(policy, member);
             match routing::shortfall(request, leader, member, now_us) {
-                None if is_primary => survey.primary = Some(fit),
-                None => survey.add_replica(request, fit),
-                Some(shortfall) => survey.add_unfit(request, member, fit, shortfall, is_primary),
+                None if is_primary => survey.primary = Some(candidate),
+                None => survey.add_replica(request, candidate),
+                Some(shortfall) => {
+                    survey.add_ineligible(request, member, candidate, shortfall, is_primary)
+                }
             }
         }
         survey
     }
 
-    fn add_replica(&mut self, request: &ReadRequest, fit: Fit) {
+    fn add_replica(&mut self, request: &ReadRequest, candidate: Candidate) {
         let Some(best) = self.replica else {
-            self.replica = Some(fit);
+            self.replica = Some(candidate);
             self.ties = 1;
             return;
         };
-        if fit.rank() < best.rank() {
-            self.replica = Some(fit);
+        if candidate.rank() < best.rank() {
+            self.replica = Some(candidate);
             self.ties = 1;
-        } else if fit.rank() == best.rank() {
+        } else if candidate.rank() == best.rank() {
             self.ties += 1;
             if request.spread.is_multiple_of(self.ties) {
-                self.replica = Some(fit);
+                self.replica = Some(candidate);
             }
         }
     }
 
-    fn add_unfit(
+    fn add_ineligible(
         &mut self,
         request: &ReadRequest,
         member: &MemberView,
-        fit: Fit,
+        candidate: Candidate,
         shortfall: Shortfall,
         is_primary: bool,
     ) {
@@ -145,37 +147,38 @@
             }
         }
         // A replica whose usual lag passes the bound can't be waited for: it never gets there.
-        let hopeless = member.lag_us.is_some_and(|lag_us| lag_us > request.max_age_us);
-        if is_replica && !hopeless {
+        let never_fresh_enough = member.lag_us.is_some_and(|lag_us| lag_us > request.max_age_us);
+        if is_replica && !never_fresh_enough {
             let ready_us = match shortfall {
                 Shortfall::Floor => member.catch_up_us.or(member.lag_us),
                 _ => member.lag_us,
             };
-            self.add_pending(ready_us, fit, shortfall);
+            self.add_pending(ready_us, candidate, shortfall);
         }
     }
 
-    fn add_pending(&mut self, ready_us: Option<u64>, fit: Fit, shortfall: Shortfall) {
-        let cost_us =
-            |ready_us: Option<u64>, fit: &Fit| Some(ready_us?.saturating_add(fit.cost_us));
+    fn add_pending(&mut self, ready_us: Option<u64>, candidate: Candidate, shortfall: Shortfall) {
+        let cost_us = |ready_us: Option<u64>, candidate: &Candidate| {
+            Some(ready_us?.saturating_add(candidate.cost_us))
+        };
         let better = match &self.pending {
             None => true,
             Some((known_us, known, _)) => {
-                match (cost_us(ready_us, &fit), cost_us(*known_us, known)) {
+                match (cost_us(ready_us, &candidate), cost_us(*known_us, known)) {
                     (Some(new), Some(old)) => new < old,
                     (new, old) => new.is_some() && old.is_none(),
                 }
             }
         };
         if better {
-            self.pending = Some((ready_us, fit, shortfall));
+            self.pending = Some((ready_us, candidate, shortfall));
         }
     }
 
     pub fn send_to_replica(
         &self,
         request: &ReadRequest,
-        replica: Fit,
+        replica: Candidate,
         left_us: u64,
     ) -> ReadVerdict {
         if replica.cost_us <= left_us {
@@ -200,14 +203,14 @@
         request: &ReadRequest,
         left_us: u64,
     ) -> Option<Wait> {
-        let (expected_us, fit, shortfall) = self.pending?;
+        let (expected_us, candidate, shortfall) = self.pending?;
         let allowed_us = policy.max_wait_us.saturating_sub(request.waited_us);
         let ready_us = match expected_us {
             Some(expected_us) => expected_us.max(1),
             None if self.primary.is_some() => return None,
             None => policy.assumed_lag_us.min(allowed_us),
         };
-        let cost_us = ready_us.saturating_add(fit.cost_us);
+        let cost_us = ready_us.saturating_add(candidate.cost_us);
         if allowed_us == 0 || ready_us > allowed_us || cost_us > left_us {
             return None;
         }
@@ -215,7 +218,7 @@
             Shortfall::Age => ReadReason::WaitForAge,
             _ => ReadReason::WaitForFloor,
         };
-        Some(Wait { target: fit.target, ready_us, cost_us, reason })
+        Some(Wait { target: candidate.target, ready_us, cost_us, reason })
     }
 
     /// The reason names what the nearest replica lacks: one that holds the session's writes and is
