--- a/crates/core/src/connection/floor.rs
+++ b/crates/core/src/connection/floor.rs
@@ -1,8 +1,9 @@
-//! A session's floors: the position of each group that its reads must cover, and their token.
+//! A session's floors, which are the log positions per group that its reads must cover, and the token
+//! that encodes them.
 //!
-//! The token is `GROUP:TERM/INDEX` for each group, separated by commas. It is the session's whole
-//! state, so a caller that carries it can roam to any proxy. Merging takes the maximum, so presenting
-//! an old token again never lowers a floor.
+//! The token is a comma-separated list of `GROUP:TERM/INDEX`. It contains the whole state of the session,
+//! so a caller that carries it can move to any proxy. Merging takes the maximum, so a stale token never
+//! lowers a floor.
 
 use std::fmt;
 use std::str;
@@ -10,16 +11,16 @@
 use crate::log_position::LogPosition;
 use crate::log_position::ParsePositionError;
 
-/// The most groups that one token names.
+/// The maximum number of groups in a token.
 pub const MAX_GROUPS: usize = 32;
 
-/// The longest group name that a token carries, in bytes.
+/// The maximum length of a group name in a token, in bytes.
 pub const MAX_GROUP_BYTES: usize = 80;
 
-/// The longest token, in bytes: every token that [`Floors`] prints is shorter.
+/// The maximum length of a token, in bytes. Every token that [`Floors`] prints is shorter.
 pub const MAX_TOKEN_BYTES: usize = 4096;
 
-/// Why a text is no token, or why a floor can't be added.
+/// An error from parsing a token or adding a floor.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum FloorError {
     /// The token is longer than [`MAX_TOKEN_BYTES`].
@@ -28,9 +29,9 @@
     TooManyGroups,
     /// An entry has no `:` or an empty group name.
     MissingGroup,
-    /// The group's name is longer than [`MAX_GROUP_BYTES`] or holds a comma or whitespace.
+    /// The group's name is longer than [`MAX_GROUP_BYTES`] or contains a comma or whitespace.
     BadGroup,
-    /// An entry's position can't be read.
+    /// The position of an entry is invalid.
     BadPosition(ParsePositionError),
 }
 
@@ -49,7 +50,7 @@
     }
 }
 
-/// The floor of one group.
+/// The floor of a session in one group.
 #[derive(Clone, PartialEq, Eq, Debug)]
 struct GroupFloor {
     group: String,
@@ -59,13 +60,13 @@
 /// The floors of one session.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Floors {
-    /// Sorted by the group's name, each group once.
+    /// The entries, sorted by group name without duplicates.
     entries: Vec<GroupFloor>,
 }
 
 impl Floors {
-    /// Reads a token; the empty text is the token of a session that wrote nothing. A group that is
-    /// named twice counts with its higher position.
+    /// Parses a token. The empty string is the token of a session that wrote nothing. If a group occurs
+    /// twice, the higher position is used.
     pub fn parse(token: &str) -> Result<Floors, FloorError> {
         if token.len() > MAX_TOKEN_BYTES {
             return Err(FloorError::TooLong);
@@ -82,7 +83,7 @@
         Ok(floors)
     }
 
-    /// The floor of a group: the lowest position when the session has none.
+    /// Returns the floor of a group, or the lowest position if the session has none.
     pub fn get(&self, group: &str) -> LogPosition {
         match self.find(group) {
             Ok(index) => self.entries[index].position,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Raises the floor of a group; a lower position changes nothing.
+    /// Raises the floor of a group. A lower position has no effect.
     pub fn raise(&mut self, group: &str, position: LogPosition) -> Result<(), FloorError> {
         match self.find(group) {
             Ok(index) => {
@@ -108,7 +109,7 @@
         Ok(())
     }
 
-    /// Raises every floor to that of another session's state. On an error nothing has changed.
+    /// Raises every floor to at least that of `other`. On an error nothing is changed.
     pub fn merge(&mut self, other: &Floors) -> Result<(), FloorError> {
         let added = other.entries.iter().filter(|entry| self.find(&entry.group).is_err()).count();
         if self.entries.len() + added > MAX_GROUPS {
@@ -120,17 +121,17 @@
         Ok(())
     }
 
-    /// Whether the session has no floor.
+    /// Returns whether the session has no floor.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The groups and their floors, sorted by name.
+    /// Iterates over the groups and their floors, sorted by group name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, LogPosition)> {
         self.entries.iter().map(|entry| (entry.group.as_str(), entry.position))
     }
 
-    /// Every broken invariant.
+    /// Returns every violated invariant.
     pub fn verify(&self) -> Vec<FloorsViolation> {
         let mut violations = Vec::new();
         if !self.entries.is_sorted_by(|a, b| a.group < b.group) {
@@ -165,12 +166,12 @@
     }
 }
 
-/// A broken invariant of [`Floors`].
+/// A violated invariant of [`Floors`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum FloorsViolation {
-    /// The entries are not sorted, or a group stands twice.
+    /// The entries are not sorted, or a group occurs twice.
     NotSorted,
-    /// There are more groups than a token may name.
+    /// There are more groups than [`MAX_GROUPS`].
     TooManyGroups,
 }
 
--- a/crates/core/src/connection/mod.rs
+++ b/crates/core/src/connection/mod.rs
@@ -1,3 +1,3 @@
-//! What lives as long as one connection.
+//! State that belongs to one connection of a caller.
 
 pub mod floor;
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -1,7 +1,7 @@
-//! Entity references: small typed indices that stand for the named objects of one topology version.
+//! Entity references: small typed indices that identify the named objects of one topology version.
 //!
 //! Names are interned once, when a [`Topology`](crate::version::topology::Topology) is built.
-//! An index is only meaningful together with the version that issued it.
+//! An index is only valid for the version that issued it.
 
 use std::fmt;
 
@@ -12,7 +12,7 @@
         pub struct $name(pub u32);
 
         impl $name {
-            /// The position of this entity in a dense table.
+            /// Returns the index of this entity in a dense table.
             pub fn index(self) -> usize {
                 self.0 as usize
             }
@@ -49,10 +49,10 @@
     ZoneId, "zone"
 }
 entity_id! {
-    /// A class of requests that shares connections by weight.
+    /// A class of requests; connections are shared between classes by weight.
     ClassId, "class"
 }
 entity_id! {
-    /// A kind of read with a bound on the age of its data.
+    /// A kind of read, which bounds the age of the data read.
     ReadKindId, "kind"
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,12 +1,12 @@
 //! Coordination decisions of skylarklb, free of I/O, clocks and threads.
 //!
-//! Events and the time go in, verdicts and actions come out. Times are microseconds of one
-//! monotonic clock that the embedder reads (`now_us`); nothing here compares clocks of two
-//! machines. Each decision is a plain state with functions over it, so that the same code is
-//! called by the daemon, by tests, by the model checker, and by anyone who embeds it.
+//! The inputs are events and the current time, the outputs are verdicts and actions. Times are
+//! microseconds of one monotonic clock that the embedder reads (`now_us`); clocks of different
+//! machines are never compared. Each decision is a plain state with functions over it, so that the
+//! daemon, the tests, the model checker and embedding programs run the same code.
 //!
-//! The modules follow life spans: [`request`], [`connection`], [`version`], [`process`]. The data
-//! that all of them share is in [`ids`], [`log_position`] and [`member_status`].
+//! The modules are grouped by the lifetime of their state: [`request`], [`connection`], [`version`]
+//! and [`process`]. Shared data types are in [`ids`], [`log_position`] and [`member_status`].
 
 use std::collections;
 
@@ -18,9 +18,9 @@
 pub mod request;
 pub mod version;
 
-/// The hash map of this project: keys come from the configuration or from counters of our own, so a
-/// fast hasher without protection against chosen keys is enough.
+/// A hash map with a fast hasher that does not resist collision attacks. Keys come from the
+/// configuration or from internal counters, so callers can't choose them.
 pub type FastMap<K, V> = collections::HashMap<K, V, rustc_hash::FxBuildHasher>;
 
-/// The hash set that goes with [`FastMap`].
+/// A hash set with the hasher of [`FastMap`].
 pub type FastSet<K> = collections::HashSet<K, rustc_hash::FxBuildHasher>;
--- a/crates/core/src/log_position.rs
+++ b/crates/core/src/log_position.rs
@@ -1,9 +1,9 @@
 //! Terms and positions of a group's replicated log.
 //!
-//! A term is the reign of one primary. Positions are ordered by term first: a member whose last
-//! entry has a higher term holds every acknowledged entry of all lower terms, whatever the indexes
-//! say, because a new primary is promoted only from a majority that covers them
-//! (see `process/failover.rs`).
+//! A term is the period in which one primary leads. Positions are ordered by term first: a member
+//! whose last entry has a higher term holds every acknowledged entry of all lower terms, regardless
+//! of the indexes, because a new primary is promoted only from a majority that covers them
+//! (see `process/failover/mod.rs`).
 
 use std::fmt;
 use std::str;
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The number of a primary's reign. Zero is before the first primary.
+/// The number of a term, which grows with each new primary. Zero is before the first primary.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Serialize, Deserialize,
 )]
@@ -19,7 +19,7 @@
 pub struct Term(pub u64);
 
 impl Term {
-    /// The term that a failover out of this one opens.
+    /// Returns the term that the next failover opens.
     pub fn next(self) -> Term {
         Term(self.0 + 1)
     }
@@ -31,7 +31,8 @@
     }
 }
 
-/// A record's place in a group's log: the term that wrote it and its index, which is dense from 1.
+/// The position of a record in a group's log: the term that wrote it and its index. Indexes start at 1
+/// and have no gaps.
 ///
 /// Printed and parsed as `term/index`.
 #[derive(
@@ -45,14 +46,14 @@
 }
 
 impl LogPosition {
-    /// A position from its two numbers.
+    /// Creates a position from a term and an index.
     pub fn new(term: u64, index: u64) -> LogPosition {
         LogPosition { term: Term(term), index }
     }
 
-    /// Whether a log that ends here holds the acknowledged record at `floor`.
+    /// Returns whether a log that ends here holds the acknowledged record at `floor`.
     ///
-    /// Only right for acknowledged records: an unacknowledged record of an older term may be
+    /// Only valid for acknowledged records: an unacknowledged record of an older term may be
     /// missing from a newer log of the same length.
     pub fn covers(self, floor: LogPosition) -> bool {
         self >= floor
@@ -65,14 +66,14 @@
     }
 }
 
-/// Why a text is no log position.
+/// An error from parsing a log position.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ParsePositionError {
     /// There is no `/` between term and index.
     MissingSeparator,
-    /// The term is no unsigned number.
+    /// The term is not an unsigned number.
     BadTerm,
-    /// The index is no unsigned number.
+    /// The index is not an unsigned number.
     BadIndex,
 }
 
--- a/crates/core/src/member_status.rs
+++ b/crates/core/src/member_status.rs
@@ -1,4 +1,4 @@
-//! What a member of a group reports about itself, read in one atomic step at the member.
+//! The status that a member of a group reports about itself. The member reads it in one atomic step.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -6,43 +6,43 @@
 use crate::log_position::LogPosition;
 use crate::log_position::Term;
 
-/// The part that a member believes it plays.
+/// The replication role that a member believes it has.
 ///
-/// An isolated primary goes on reporting `Primary`; only terms decide who may acknowledge.
+/// An isolated primary keeps reporting `Primary`; only terms decide who may acknowledge.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
     /// Accepts writes in the term of its last promotion.
     Primary,
-    /// Follows a primary.
+    /// Replicates from a primary.
     Replica,
-    /// Follows nobody: fenced by a raised term, or waiting to be told whom to follow.
+    /// Neither leads nor replicates: fenced by a raised term, or not yet assigned a primary.
     Fenced,
 }
 
-/// A member's report. Every field belongs to the same moment: a member confirms what it holds
-/// after its check of the term, in one step.
+/// A member's status report. All fields are from the same moment: a member checks the term and
+/// confirms what it holds in one step.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The part the member plays.
+    /// The replication role of the member.
     pub role: Role,
-    /// The highest term that the member has promised itself to.
+    /// The highest term that the member has voted for. It confirms nothing of an older term.
     pub raised_term: Term,
-    /// The driver to whom the member gave its vote of `raised_term`; empty when none asked.
+    /// The failover driver that got the member's vote for `raised_term`; empty when none asked.
     pub raised_by: String,
-    /// The last record that the member holds durably.
+    /// The position of the last record that the member holds durably.
     pub log: LogPosition,
-    /// The last record that reads at this member see.
+    /// The position of the last record that is visible to reads at this member.
     pub applied: LogPosition,
-    /// Whether the member is going away and takes no new work.
+    /// Whether the member is shutting down and accepts no new work.
     pub leaving: bool,
 }
 
 impl MemberStatus {
-    /// Whether this report confirms that the member holds `position`, written in `position.term`.
+    /// Returns whether this report confirms that the member holds `position`, written in `position.term`.
     ///
-    /// A member that has raised its term confirms nothing of an older one, so an old primary can
-    /// collect no confirmation after the fence. Its last record must be of the same term: a longer
+    /// A member that has raised its term confirms nothing of an older one, so an old primary
+    /// collects no confirmations once it is fenced. The last record must be of the same term: a longer
     /// log of another term need not hold the record.
     pub fn confirms(&self, position: LogPosition) -> bool {
         self.raised_term == position.term
--- a/crates/core/src/request/lead_proof.rs
+++ b/crates/core/src/request/lead_proof.rs
@@ -1,58 +1,61 @@
-//! Whether a target was the only one that could acknowledge commits at a moment.
+//! Proofs that a target was the only member that could acknowledge commits at a given moment.
 //!
-//! A primary that was replaced while it was cut off goes on answering. It opens transactions and
-//! serves reads from a log that lacks what its successor acknowledged, so its own answers prove
-//! nothing. The other members of the group do: a commit is acknowledged by a primary and as many
-//! replicas as the service says, so a successor needs members of the group that know of its term.
+//! A primary that was partitioned away and replaced keeps answering. It opens transactions and serves
+//! reads from a log that lacks the commits acknowledged by its successor, so its own answers prove
+//! nothing. The other members prove it: a commit is acknowledged by a primary and a configured number
+//! of replicas, so a successor needs members of the group that know its term.
 //!
-//! Invariant: if so many other members that too few are left for an acknowledgement say, when asked
-//! after a moment, that they know of no term above the target's, then no commit of a later term was
-//! acknowledged by that moment. With three members and one replica for an acknowledgement, the word
-//! of one member is enough. A commit that the target itself gets acknowledged is such a word as well:
-//! a replica received it.
+//! Invariant: assume that other members, asked after a moment, report that they know no term above the
+//! target's, and that too few members remain to form an acknowledgement. Then no commit of a later term
+//! was acknowledged by that moment. With three members and one synchronous replica, the report of one
+//! member is enough. An acknowledged commit of the target is such a report too: a replica received it.
 //!
-//! What must not count: a word that was asked for before the moment; the word of a member that holds
-//! less than was acknowledged long ago, for it lost its log and with it what it knew; and a count that
-//! leaves out members that left lately, or that may have come since the list was seen.
+//! These reports must not count:
+//! - a report that was requested before the moment;
+//! - the report of a member whose log is shorter than what was acknowledged long ago: it lost its log,
+//!   and the terms that it knew.
+//!
+//! The number of required reports must include members that left recently, and members that may have
+//! joined since the list of members was read.
 
 use std::sync::Arc;
 
 use crate::FastMap;
 use crate::log_position::LogPosition;
 
-/// What a member said of itself.
+/// The status that a member reported about itself.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct LeadReport {
-    /// When it was asked, in microseconds of this process's clock.
+    /// The time when the report was requested, in microseconds of this process's clock.
     pub asked_us: u64,
-    /// Whether it leads, as it sees itself.
+    /// Whether the member believes that it is the primary.
     pub leads: bool,
-    /// The newest term that it knows of.
+    /// The highest term that the member knows.
     pub term: u64,
-    /// The end of the log that it received.
+    /// The position of the last record that the member received.
     pub received: LogPosition,
 }
 
-/// What is known of a group when its words are counted.
+/// The state of a group when its reports are counted.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupView<'a> {
-    /// The ids of the listed members but the target.
+    /// The ids of the listed members except the target.
     pub others: &'a [&'a str],
-    /// How many members left that may have acknowledged something nobody else holds.
+    /// The number of departed members that may have acknowledged a commit that no other member holds.
     pub departed: usize,
-    /// How many replicas receive a commit before it is acknowledged.
+    /// The number of replicas that must receive a commit before it is acknowledged.
     pub sync_replicas: usize,
-    /// Whether no member can have come that is not listed.
+    /// Whether the list is known to contain every current member.
     pub is_complete: bool,
-    /// What every member that kept its log has received.
+    /// The position that every member with an intact log has received.
     pub floor: LogPosition,
 }
 
 impl GroupView<'_> {
-    /// How many words are needed so that too few members are left for an acknowledgement.
+    /// Returns the number of reports after which too few members remain to acknowledge a commit.
     ///
-    /// A member that is not listed yet may acknowledge as well. Where one may exist, all listed ones
-    /// are needed: a successor is one of them and knows its own term.
+    /// A member that is not listed yet can acknowledge too. If one may exist, the reports of all listed
+    /// members are required: a successor is one of them and knows its own term.
     pub fn reports_needed(&self) -> usize {
         let others = self.others.len() + self.departed;
         match self.is_complete {
@@ -62,30 +65,31 @@
     }
 }
 
-/// What is known of a target's lead.
+/// Whether it is proved that a target was the only leader.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum LeadVerdict {
-    /// Nobody else had acknowledged anything by the moment in question.
+    /// No other member had acknowledged a commit by the given moment.
     Proved,
-    /// Another member knows of this later term.
+    /// Another member knows a later term.
     Superseded {
         /// The later term.
         term: u64,
     },
-    /// The target has not said under which term it leads, or said so before a later one was heard of.
+    /// The target has not reported the term in which it leads, or reported it before a later term was
+    /// reported.
     TermUnknown,
-    /// So many words are missing.
+    /// This many more reports are required.
     Missing(usize),
 }
 
-/// A proof that was had: the target, and the moment up to which it holds.
+/// An established proof: the target, and the time up to which the proof holds.
 #[derive(Clone, Debug)]
 struct Proof {
     target: Arc<str>,
     holds_to_us: u64,
 }
 
-/// What the members of one group said.
+/// The latest reports of the members of one group.
 #[derive(Clone, Debug, Default)]
 pub struct LeadWords {
     reports: FastMap<Arc<str>, LeadReport>,
@@ -93,7 +97,8 @@
 }
 
 impl LeadWords {
-    /// A member answered. Answers may come in another order than they were asked for.
+    /// Records a report of a member, unless a report that was requested later is already recorded. Reports may
+    /// arrive out of order.
     pub fn record(&mut self, member: &Arc<str>, report: LeadReport) {
         let previous = self.reports.entry(Arc::clone(member)).or_insert(report);
         if report.asked_us >= previous.asked_us {
@@ -101,13 +106,13 @@
         }
     }
 
-    /// A commit that was sent to the target at `sent_us` was acknowledged by it and a replica.
+    /// Records that the target and a replica acknowledged a commit that was sent to the target at `sent_us`.
     pub fn acknowledged(&mut self, target: &Arc<str>, sent_us: u64) {
         self.record_proof(target, sent_us);
     }
 
-    /// Whether `target`, which answered as primary, was the only one to have acknowledged anything by
-    /// `moment_us`.
+    /// Decides whether `target`, which answered as primary, was the only member that had acknowledged
+    /// commits by `moment_us`.
     pub fn verdict(
         &mut self,
         target: &Arc<str>,
@@ -128,7 +133,7 @@
         if let Some(later) =
             received_reports.iter().filter(|report| report.term > own.term).max_by_key(|w| w.term)
         {
-            // It may have been promoted again since it was asked.
+            // If its own report is older, the target may have been promoted again in the meantime.
             return match own.asked_us >= later.asked_us {
                 true => LeadVerdict::Superseded { term: later.term },
                 false => LeadVerdict::TermUnknown,
@@ -141,19 +146,19 @@
         if asked_us.len() < needed {
             return LeadVerdict::Missing(needed - asked_us.len());
         }
-        // The newest words that are enough prove the most.
+        // The newest sufficient set of reports gives the proof that holds longest.
         asked_us.sort_unstable();
         let holds_to_us = asked_us.iter().rev().take(needed).min().copied().unwrap_or(moment_us);
         self.record_proof(target, holds_to_us);
         LeadVerdict::Proved
     }
 
-    /// When a member was asked for the last word that came.
+    /// Returns when the newest report of a member was requested, or `None` without a report.
     pub fn asked_us(&self, member: &str) -> Option<u64> {
         self.reports.get(member).map(|report| report.asked_us)
     }
 
-    /// Forgets members that are no longer listed.
+    /// Removes the reports of members that are no longer listed.
     pub fn keep<F>(&mut self, is_listed: F)
     where
         F: Fn(&str) -> bool,
--- a/crates/core/src/request/mod.rs
+++ b/crates/core/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as one request.
+//! Decisions about single requests: routing, retries, errors and proofs of leadership.
 
 pub mod error_kind;
 pub mod lead_proof;
--- a/crates/core/src/request/position_demand.rs
+++ b/crates/core/src/request/position_demand.rs
@@ -1,34 +1,34 @@
-//! Whether positions of a service's primary are brought ahead of the reads that need them.
+//! Decides whether log positions of a service's primary are prefetched for the reads that need them.
 //!
-//! A read that finds no position waits for one, so they are brought ahead where a service is read often.
-//! With hundreds of services, each of which a process reads now and then, that would be more questions than
-//! reads: there each read that needs a position asks for one. A process that tells others has positions at
-//! hand as long as any of them asks, since a position that was taken some time ago is one that more replicas
-//! have reached.
+//! A read without a known position waits for one, so positions are prefetched for services that are read
+//! often. With hundreds of services that a process reads only occasionally, prefetching would send more
+//! requests than there are reads; each read of such a service requests a position itself. A process that
+//! serves positions to peers prefetches as long as any peer asks, since more replicas have reached an older
+//! position than a new one.
 
 use std::collections::VecDeque;
 
-/// Within which time reads count, in microseconds.
+/// The time window in which reads are counted, in microseconds.
 pub const WINDOW_US: u64 = 4_000_000;
 
-/// How many reads within [`WINDOW_US`] have positions brought ahead.
+/// The number of reads within [`WINDOW_US`] from which on positions are prefetched.
 pub const MIN_READS: usize = 2;
 
-/// The time between two positions that are brought ahead, in microseconds: a third of the shortest bound on
-/// age that is usual.
+/// The time between two prefetched positions, in microseconds: a third of the shortest usual bound on the
+/// age of data.
 pub const SPACING_US: u64 = 500_000;
 
-/// The reads of one service by one process.
+/// The demand of one process for positions of one service.
 #[derive(Clone, Debug, Default)]
 pub struct PositionDemand {
-    /// When the last ones needed a position, at most [`OFTEN`].
+    /// The times of the last reads that needed a position, at most [`MIN_READS`].
     reads_us: VecDeque<u64>,
-    /// When a position was last brought ahead.
+    /// When the last prefetch started.
     prefetched_us: Option<u64>,
 }
 
 impl PositionDemand {
-    /// A read, or another process, needs a position.
+    /// Records that a read, or a peer, needs a position.
     pub fn record_need(&mut self, now_us: u64) {
         if self.reads_us.len() == MIN_READS {
             self.reads_us.pop_front();
@@ -36,7 +36,7 @@
         self.reads_us.push_back(now_us);
     }
 
-    /// Whether any read or other process needed a position lately.
+    /// Returns whether a read or a peer needed a position within [`WINDOW_US`].
     pub fn is_needed(&self, now_us: u64) -> bool {
         self.recent(now_us) > 0
     }
@@ -45,8 +45,9 @@
         self.reads_us.iter().filter(|at_us| now_us < **at_us + WINDOW_US).count()
     }
 
-    /// Whether a position is to be brought now, where the newest one was taken at `newest_us`. It counts as
-    /// brought from then on, whatever comes of it.
+    /// Returns whether to prefetch a position now, when the newest known one was taken at `newest_us`.
+    /// If so, the prefetch counts as started, even if it fails later: failing prefetches are not
+    /// repeated more often than [`SPACING_US`].
     pub fn start_prefetch(
         &mut self,
         serves_peers: bool,
--- a/crates/core/src/request/primary_positions.rs
+++ b/crates/core/src/request/primary_positions.rs
@@ -1,41 +1,42 @@
-//! Log positions of a primary with the times by which they were reached.
+//! Samples of a primary's log position, with the times by which the primary had reached them.
 //!
-//! Whoever asks a target for "at least position P" has a read refused where P is missing, so no
-//! member's position needs to be known. P has to cover all that was acknowledged by the time that
-//! the read's bound on age allows. Each answer by which a primary proves that it led, such as that
-//! to a commit, brings such a position: it covers all that was acknowledged before the request was
-//! *sent*. The time of the answer would be wrong: what was acknowledged while it travelled may be
-//! missing.
+//! A read can require "at least position P" of a target, which refuses it if its log lacks P, so the
+//! positions of members need not be known. P must cover everything that was acknowledged by the oldest
+//! time that the read's bound on age allows. Each answer by which a primary proves that it led, such
+//! as the answer to a commit, gives such a position: it covers everything that was acknowledged before the
+//! request was *sent*. The time when the answer arrived would be wrong: commits that were acknowledged
+//! while the answer was in transit may be missing.
 //!
-//! Of the samples that are young enough the oldest is taken, since more replicas have reached it.
+//! Of the samples that are recent enough the oldest is used, since more replicas have reached it.
 
 use std::collections;
 
 use crate::log_position::LogPosition;
 use crate::process::read_age::Sample;
 
-/// The time between two samples that are kept. The choice of the oldest one that is young enough is
-/// at most this much younger than it could be.
+/// The minimum time between two stored samples, in microseconds. The oldest sample that is recent enough
+/// is at most this much newer than the optimum.
 pub const SPACING_US: u64 = 50_000;
 
-/// How many samples are kept: with [`SPACING_US`] apart, 3.2 s, above the usual bounds on age.
+/// The maximum number of stored samples. Spaced by [`SPACING_US`] they span 3.2 s, more than the usual
+/// bounds on the age of data.
 pub const MAX_SAMPLES: usize = 64;
 
-/// Why a position can't be used.
+/// The reason why a position of another process is rejected.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PositionError {
-    /// It was taken before this process's clock began.
+    /// It was taken before this process's clock started.
     BeforeClock,
 }
 
-/// The samples of one group, in the order of their times.
+/// The samples of one group, ordered by time.
 #[derive(Clone, Debug, Default)]
 pub struct PrimaryPositions {
     samples: collections::VecDeque<Sample>,
 }
 
 impl PrimaryPositions {
-    /// A primary that proved its lead answered a request sent at `sent_us` with `position`.
+    /// Records that a primary with proved leadership answered a request sent at `sent_us` with `position`.
     pub fn record(&mut self, sent_us: u64, position: LogPosition) {
         let newest = self.samples.back();
         if newest.is_some_and(|newest| newest.taken_us > sent_us) {
@@ -52,18 +53,18 @@
         }
     }
 
-    /// Another process, asked at `asked_us`, told a position that was `age_us` old when it answered.
+    /// Records a position that another process, asked at `asked_us`, reported to be `age_us` old.
     ///
-    /// It measured the age after the question was sent, so the primary had proved its lead at
-    /// `asked_us - age_us` or later.
+    /// The other process measured the age after the request was sent, so the primary had proved its
+    /// leadership at `asked_us - age_us` or later.
     ///
-    /// A position from before this process's clock began is refused. Taken for one of the clock's
-    /// first moment it would count as younger than it is, here and at those whom this process tells,
-    /// and reads would miss what was acknowledged in between.
+    /// A position from before this process's clock started is rejected. With its time clamped to the
+    /// start of the clock it would count as newer than it is, here and at peers that get it from this
+    /// process, and reads would miss commits that were acknowledged in between.
     ///
     /// # Errors
     ///
-    /// [`PositionError::BeforeClock`] for such a position.
+    /// Returns [`PositionError::BeforeClock`] for a position from before the clock started.
     pub fn told(
         &mut self,
         asked_us: u64,
@@ -75,28 +76,28 @@
         Ok(())
     }
 
-    /// The lowest known position that covers all that was acknowledged by `as_of_us`.
+    /// Returns the lowest known position that covers everything that was acknowledged by `as_of_us`.
     pub fn covering(&self, as_of_us: u64) -> Option<LogPosition> {
         self.first_since(as_of_us).map(|sample| sample.position)
     }
 
-    /// The oldest sample that was taken at `as_of_us` or later.
+    /// Returns the oldest sample that was taken at `as_of_us` or later.
     pub fn first_since(&self, as_of_us: u64) -> Option<Sample> {
         let first = self.samples.partition_point(|sample| sample.taken_us < as_of_us);
         self.samples.get(first).copied()
     }
 
-    /// The oldest position that is kept: what it covers was acknowledged some seconds ago.
+    /// Returns the oldest stored position. It covers commits that were acknowledged up to a few seconds ago.
     pub fn oldest(&self) -> Option<LogPosition> {
         self.samples.front().map(|sample| sample.position)
     }
 
-    /// The newest sample.
+    /// Returns the newest sample.
     pub fn newest(&self) -> Option<Sample> {
         self.samples.back().copied()
     }
 
-    /// Every violated invariant.
+    /// Returns a description of every violated invariant.
     pub fn verify(&self) -> Vec<String> {
         let pairs = self.samples.iter().zip(self.samples.iter().skip(1));
         let backward =
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Whether the newest sample stands too close after the one before it to be kept beside the
-    /// next one.
+    /// Returns whether a sample at `sent_us` replaces the newest one, because it is less than
+    /// [`SPACING_US`] after the sample before the newest.
     fn replaces_newest(&self, sent_us: u64) -> bool {
         let Some(before) = self.samples.len().checked_sub(2).and_then(|at| self.samples.get(at))
         else {
--- a/crates/core/src/request/read_choice.rs
+++ b/crates/core/src/request/read_choice.rs
@@ -1,43 +1,43 @@
-//! Which member of a group serves a read that any member may serve.
+//! Selects the member of a group that serves a read which any member may serve.
 //!
-//! A target refuses a read that its log can't serve by itself, so the choice is about time and bytes
-//! only: the member that is expected to answer first, with a preference for the own availability
-//! zone. Members that lately refused for lagging, or did not answer, come after all others: they
-//! are tried only when nothing else is left.
+//! A target itself refuses a read that its log can't serve, so the choice only weighs latency and
+//! traffic between zones: it takes the member that is expected to answer first, with a preference for
+//! the proxy's own availability zone. Members that recently refused a read because they lag, or that
+//! did not answer, rank after all others and are used only as a last resort.
 
-/// What a member in another availability zone costs beyond its answer time. A read that crosses
-/// zones costs about 1% of what it earns, so it pays only where the answer would come clearly sooner.
+/// The penalty for a member in another availability zone, in microseconds. A read across zones costs
+/// about 1% of its revenue, so it is worthwhile only if the answer arrives clearly sooner.
 pub const OTHER_ZONE_COST_US: u64 = 15_000;
 
-/// What a read at the primary costs beyond its answer time: the primary's slots are the only ones
-/// that can run writes.
+/// The penalty for a read at the primary, in microseconds: only the primary's slots can run writes.
 pub const PRIMARY_COST_US: u64 = 20_000;
 
-/// What a read costs at a member that is not its organisation's own choice, beyond its answer time: a connection
-/// has to be opened there as often as not, which takes a slot, and another organisation's gives way to it.
+/// The penalty for a member that is not the preferred one of the read's organisation, in microseconds. About
+/// every second read there has to open a connection, which takes a slot and evicts a connection of another
+/// organisation.
 pub const NOT_PREFERRED_COST_US: u64 = 20_000;
 
-/// One member that may serve the read.
+/// A member that may serve the read.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ReadCandidate {
-    /// Whether it is in the own availability zone.
+    /// Whether it is in the proxy's own availability zone.
     pub same_zone: bool,
-    /// Whether it leads.
+    /// Whether it is the primary.
     pub is_primary: bool,
-    /// How long its answers usually take, in microseconds.
+    /// The average latency of its answers, in microseconds.
     pub usual_us: u64,
-    /// How many statements this process has under way or waiting there.
+    /// The number of statements of this process that are queued for it or running at it.
     pub outstanding: u32,
-    /// Whether reads of the same organisation usually go there.
+    /// Whether it is the preferred member for reads of the same organisation.
     pub is_preferred: bool,
-    /// Whether it lately refused a read for lagging behind.
+    /// Whether it recently refused a read because it lags.
     pub is_lagging: bool,
-    /// Whether it lately did not answer.
+    /// Whether it recently failed to answer.
     pub is_failing: bool,
 }
 
 impl ReadCandidate {
-    /// How long the answer is expected to take, with the costs of the place.
+    /// Returns the expected latency plus the penalties of the member, in microseconds.
     fn cost_us(&self) -> u64 {
         let zone_us = if self.same_zone { 0 } else { OTHER_ZONE_COST_US };
         let primary_us = if self.is_primary { PRIMARY_COST_US } else { 0 };
@@ -46,7 +46,7 @@
     }
 }
 
-/// The place of the best candidate; none if there is none.
+/// Returns the index of the best candidate, or `None` if there are no candidates.
 pub fn choose(candidates: &[ReadCandidate]) -> Option<usize> {
     let rank = |index: &usize| {
         let candidate = &candidates[*index];
--- a/crates/core/src/request/retry.rs
+++ b/crates/core/src/request/retry.rs
@@ -1,13 +1,13 @@
-//! What may be sent again, how often, and how much time it has.
+//! Retry policy: which requests may be retried, how often, and with which deadline.
 //!
-//! A request that may not be repeated runs at most once. So it is sent again only where it provably
-//! did not run, or where it is a read. Once a byte of the answer went to the caller, nothing is sent
-//! again: the caller would get two halves. A statement inside an open transaction is never sent
-//! again on another connection, since the transaction is gone with its connection.
+//! A request that is not idempotent runs at most once. It is retried only if it provably did not run,
+//! or if it is a read. After the first byte of the answer was relayed to the caller, nothing is
+//! retried: the caller would get parts of two answers. A statement inside an open transaction is never
+//! retried on another connection, since the transaction is lost with its connection.
 //!
-//! Retries are budgeted: when everything fails, a proxy that repeats each request doubles the load
-//! exactly when there is least room. The budget earns a share of a token with each new request and
-//! spends one with each retry.
+//! Retries are limited by a budget: when everything fails, a proxy that retries each request doubles
+//! the load while capacity is lowest. Each new request adds a fraction of a token to the budget, and
+//! each retry spends one token.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -15,18 +15,19 @@
 use crate::request::error_kind::ErrorKind;
 use crate::request::error_kind::Outcome;
 
-/// How often a request may be forwarded from proxy to proxy before it is refused.
+/// The maximum number of hops from proxy to proxy before a request is refused.
 ///
-/// One hop is the rule. A second one is taken where the sender's view of the homes was old.
+/// One hop is usual. A second one happens if the sender's view of the homes was stale.
 pub const MAX_HOPS: u8 = 2;
 
-/// How often one request is sent again at most.
+/// The maximum number of retries of one request.
 pub const MAX_RETRIES: u32 = 3;
 
-/// The thousandths of a token that one retry costs.
+/// The cost of one retry, in thousandths of a token.
 const RETRY_COST_MILLI: u64 = 1_000;
 
-/// How many retries a group may make, as a share of its requests. Shared by the traffic threads.
+/// A token bucket that limits the retries of a group to a share of its requests. Shared by the traffic
+/// threads.
 #[derive(Debug)]
 pub struct RetryBudget {
     tokens_milli: AtomicU64,
@@ -35,8 +36,8 @@
 }
 
 impl RetryBudget {
-    /// A budget that earns `share_percent` hundredths of a retry with each request and keeps at most
-    /// `burst` retries. It starts full, so that the first failure after a start can be met.
+    /// Creates a budget that allows `share_percent` retries per hundred requests and accumulates at most
+    /// `burst` retries. It starts full, so that the first failures after a start can be retried.
     pub fn new(share_percent: u32, burst: u32) -> RetryBudget {
         let max_milli = u64::from(burst) * RETRY_COST_MILLI;
         RetryBudget {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Counts a new request, not a retry.
+    /// Adds the share of a new request to the budget. Not called for retries.
     pub fn request_started(&self) {
         let earn = |tokens: u64| {
             let earned = tokens.saturating_add(self.earned_per_request_milli).min(self.max_milli);
@@ -55,18 +56,18 @@
         let _ = self.tokens_milli.fetch_update(Ordering::Relaxed, Ordering::Relaxed, earn);
     }
 
-    /// Takes a retry out of the budget if there is one.
+    /// Takes one retry from the budget. Returns whether there was one.
     pub fn try_spend(&self) -> bool {
         let spend = |tokens: u64| tokens.checked_sub(RETRY_COST_MILLI);
         self.tokens_milli.fetch_update(Ordering::Relaxed, Ordering::Relaxed, spend).is_ok()
     }
 
-    /// How many whole retries are left.
+    /// Returns the number of whole retries that are left.
     pub fn retries_left(&self) -> u64 {
         self.tokens_milli.load(Ordering::Relaxed) / RETRY_COST_MILLI
     }
 
-    /// Every violated invariant.
+    /// Returns a description of every violated invariant.
     pub fn verify(&self) -> Vec<String> {
         let tokens = self.tokens_milli.load(Ordering::Relaxed);
         match tokens <= self.max_milli {
@@ -76,21 +77,21 @@
     }
 }
 
-/// How far a request had come when it failed.
+/// The progress of a request when it failed, in order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Stage {
-    /// No connection to the target, or none taken for this request yet.
+    /// No connection to the target was established or assigned to this request.
     Connecting,
-    /// A connection was taken, and no byte of the request was written to it.
+    /// A connection was assigned, but no byte of the request was written to it.
     NothingSent,
-    /// Something was written, but no message that runs anything in whole: a target runs no part of
-    /// a message.
+    /// Bytes were written, but no complete message that runs anything: a target runs no incomplete
+    /// message.
     PartlySent,
-    /// At least one whole message that runs something was written and nothing was answered.
+    /// At least one complete message that runs something was written, and no answer was received.
     Sent,
-    /// Some of the answer came, and none of it went to the caller.
+    /// A part of the answer was received, but none of it was relayed to the caller.
     AnswerStarted,
-    /// Some of the answer went to the caller.
+    /// A part of the answer was relayed to the caller.
     AnswerRelayed,
 }
 
@@ -99,70 +100,71 @@
 pub enum Failure {
     /// The connection was refused, broke, or was closed without an error message.
     Broken,
-    /// The time for this step ran out.
+    /// The step timed out.
     TimedOut,
-    /// The target, or the home that the request was forwarded to, said why: its SQLSTATE, and the
-    /// outcome that the answer's detail claims (only a home's answer has one).
+    /// The target, or the home that the request was forwarded to, answered with an error. Only the
+    /// answer of a home states an outcome.
     Said {
         /// The SQLSTATE, five characters.
         sqlstate: [u8; 5],
-        /// What the detail of the answer says about the outcome.
+        /// The outcome that the detail of the answer states.
         claimed: Option<Outcome>,
     },
 }
 
-/// What the request would do if it ran.
+/// The effect of the request if it runs.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Effect {
-    /// Only reads: running it twice is the same as once.
+    /// Only reads, so it is idempotent.
     Read,
-    /// May write: runs at most once.
+    /// May write, so it must run at most once.
     Write,
-    /// Ends a transaction that may have written, or may do so unseen, such as several statements in
-    /// one message.
+    /// Commits a transaction that may have written. Also used for requests that may contain a commit,
+    /// such as several statements in one message.
     Commit,
 }
 
-/// One failed try of a request.
+/// A failed attempt to run a request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct Attempt {
-    /// What the request would do.
+    /// The effect of the request.
     pub effect: Effect,
-    /// How far it had come.
+    /// The progress when it failed.
     pub stage: Stage,
-    /// Whether it is a statement of a transaction in which the target already ran something.
+    /// Whether it belongs to a transaction in which the target has already run a statement.
     pub in_transaction: bool,
     /// How it failed.
     pub failure: Failure,
-    /// How often it was sent again already.
+    /// The number of retries so far.
     pub retries: u32,
 }
 
-/// What to do with a failed try.
+/// The decision about a failed attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum RetryVerdict {
-    /// Choose a member anew and send it again.
+    /// Select a member again and retry.
     Again,
-    /// Answer the caller with this kind.
+    /// Answer the caller with this kind of error.
     Answer(ErrorKind),
-    /// It is the target's answer to the request: pass it on as it is.
+    /// Relay the target's answer to the caller unchanged.
     PassThrough,
 }
 
-/// Whether a failed try had an effect, as far as it can be proved.
+/// Returns whether a failed attempt had an effect, as far as this can be proved.
 pub fn outcome_of(attempt: &Attempt) -> Outcome {
     match attempt.failure {
         Failure::Said { sqlstate, claimed } => reported_outcome(attempt, sqlstate, claimed),
         Failure::Broken | Failure::TimedOut => match (attempt.stage, attempt.effect) {
             (Stage::Connecting | Stage::NothingSent | Stage::PartlySent, _) => Outcome::NotRun,
-            // Without its commit a transaction leaves nothing behind.
+            // A transaction has no effect without its commit.
             (_, Effect::Read | Effect::Write) if attempt.in_transaction => Outcome::NotRun,
             _ => Outcome::Unknown,
         },
     }
 }
 
-/// The refusals of a target that are given before anything runs (`docs/INTERFACES.md`).
+/// Maps an error answer to an outcome. `NotRun` is for the SQLSTATEs by which a target refuses a request
+/// before it runs anything (`docs/INTERFACES.md`).
 fn reported_outcome(attempt: &Attempt, sqlstate: [u8; 5], claimed: Option<Outcome>) -> Outcome {
     if let Some(claimed) = claimed {
         return claimed;
@@ -170,10 +172,10 @@
     let fresh = !attempt.in_transaction && attempt.stage < Stage::AnswerStarted;
     match &sqlstate {
         b"53300" if attempt.stage == Stage::Connecting => Outcome::NotRun,
-        // At a commit it says that the target was fenced and kept nothing of the transaction.
+        // At a commit it means that the target was fenced and discarded the transaction.
         b"25006" => Outcome::NotRun,
-        // Open transactions of a leaving target go on, so a commit that is told this was cut off by
-        // something else, and may have taken effect.
+        // A leaving target completes open transactions, so a commit that gets this error was aborted for
+        // another reason and may have taken effect.
         b"57P01" if attempt.effect == Effect::Commit => Outcome::Unknown,
         b"57P01" if attempt.in_transaction => Outcome::NotRun,
         b"57P01" | b"57P03" if fresh => Outcome::NotRun,
@@ -181,9 +183,10 @@
     }
 }
 
-/// Decides what to do with a failed try. `deadline_left_us` is what the request has left.
+/// Decides whether a failed attempt is retried. `deadline_left_us` is the time until the request's deadline,
+/// in microseconds.
 ///
-/// Spends from the budget only when the verdict is [`RetryVerdict::Again`].
+/// Takes a retry from the budget only if the verdict is [`RetryVerdict::Again`].
 pub fn decide(attempt: &Attempt, budget: &RetryBudget, deadline_left_us: u64) -> RetryVerdict {
     let outcome = outcome_of(attempt);
     if outcome == Outcome::Ran || is_overload(attempt.failure) {
@@ -204,8 +207,8 @@
     }
 }
 
-/// Whether a home refused the request because it has too much work. Sending it to the next home
-/// would carry the overload from one to the other; the caller is told when to come back instead.
+/// Returns whether a home refused the request because it is overloaded. A retry at the next home would
+/// spread the overload; the caller gets the refusal with its retry time instead.
 fn is_overload(failure: Failure) -> bool {
     match failure {
         Failure::Said { sqlstate, claimed } => claimed.is_some() && &sqlstate == b"53000",
@@ -213,7 +216,7 @@
     }
 }
 
-/// The at-most-once rule.
+/// Returns whether the at-most-once rule permits a retry.
 fn may_repeat(attempt: &Attempt, outcome: Outcome) -> bool {
     if attempt.in_transaction || attempt.stage == Stage::AnswerRelayed {
         return false;
@@ -234,7 +237,7 @@
 
 fn final_verdict(attempt: &Attempt, outcome: Outcome) -> RetryVerdict {
     match attempt.failure {
-        // A home's answer says more than this proxy knows.
+        // The answer of a home is more precise than what this proxy knows.
         Failure::Said { claimed: Some(_), .. } => RetryVerdict::PassThrough,
         _ => RetryVerdict::Answer(final_kind(attempt, outcome)),
     }
@@ -255,22 +258,22 @@
     }
 }
 
-/// The time that the next hop gets of `left_us`, in whole milliseconds; `None` when there is not
-/// enough left for it to do anything.
+/// Returns the deadline of the next hop in whole milliseconds, out of the remaining `left_us`; `None` if
+/// less than a millisecond is left.
 ///
-/// The way back is kept in reserve, so that the next hop's refusal reaches the caller in time. What
-/// doesn't make up a millisecond is dropped: a hop must not grant more than it has.
+/// The time of the return trip is reserved, so that a refusal by the next hop reaches the caller in time.
+/// Fractions of a millisecond are dropped: a hop must not grant more time than it has.
 pub fn hop_deadline_ms(left_us: u64, return_trip_us: u64) -> Option<u64> {
     let left_ms = left_us.saturating_sub(return_trip_us) / 1_000;
     (left_ms > 0).then_some(left_ms)
 }
 
-/// The count of hops that a forwarded request carries; `None` when the bound forbids another hop.
+/// Returns the hop count of the forwarded request, or `None` if [`MAX_HOPS`] forbids another hop.
 pub fn next_hop(hops: u8) -> Option<u8> {
     (hops < MAX_HOPS).then_some(hops + 1)
 }
 
-/// A deadline on this process's clock from the milliseconds that the sender left.
+/// Returns the deadline on this process's clock for a request to which the sender granted `left_ms`.
 pub fn deadline_us(now_us: u64, left_ms: u64) -> u64 {
     now_us.saturating_add(left_ms.saturating_mul(1_000))
 }
--- a/crates/core/src/request/routing/mod.rs
+++ b/crates/core/src/request/routing/mod.rs
@@ -1,19 +1,18 @@
-//! Which member of a group serves a read.
+//! Routing of reads: selects the member of a group that serves a read.
 //!
-//! A member may serve a read when it is reachable, is not leaving, covers the session's floor, and
-//! can show data young enough. Among the replicas that may, the one with the shortest expected
-//! time is taken: the predicted wait at the member plus the way to it; the nearer one on a tie.
+//! A member is eligible if it is reachable, is not leaving, covers the session's floor, and has data
+//! that is provably fresh enough. Of the eligible replicas the one with the lowest expected latency is
+//! taken: the predicted wait for a connection plus the round trip to it. The nearer one wins a tie.
 //!
-//! When no replica may serve the read now, two ways are weighed. Waiting costs the time in which the
-//! replica usually follows the primary or, where its data is too old, the age that it usually shows.
-//! The primary costs its own predicted wait, the same wait once more because the read delays
-//! the writes behind it, and a fixed toll for a slot that writes need. The cheaper way that meets
-//! the deadline is taken. Every verdict carries a [`ReadReason`], so that the share of reads served
-//! by replicas can be explained by counters.
+//! If no replica is eligible now, two costs are compared. Waiting for a replica costs the time that it
+//! usually takes to apply the primary's log or, if its data is too old, its usual age. The primary costs
+//! its predicted wait, the same wait once more because the read delays the writes queued behind it, and
+//! a fixed penalty for a slot that writes need. The cheaper alternative that meets the deadline is taken.
+//! Every verdict carries a [`ReadReason`], so that counters explain the share of reads that replicas serve.
 //!
-//! An age is claimed only where it is shown (`process/read_age.rs`). This holds for the primary too:
-//! an isolated old primary answers reads happily, and only the missing confirmation by a majority
-//! tells.
+//! The age of data is only assumed where it is proved (`process/read_age.rs`). This applies to the
+//! primary too: an isolated former primary answers reads, and only the missing confirmation by a
+//! majority reveals that its data may be stale.
 
 use crate::ids::TargetId;
 use crate::log_position::LogPosition;
@@ -26,7 +25,7 @@
 /// The value of [`ReadRequest::max_age_us`] for a read without a bound on its age.
 pub const NO_AGE_BOUND: u64 = u64::MAX;
 
-/// How far a member is from this proxy. Earlier is nearer.
+/// The distance of a member from this proxy, ordered from near to far.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Nearness {
     /// In this proxy's availability zone.
@@ -37,30 +36,30 @@
     OtherRegion,
 }
 
-/// What routing knows of one member.
+/// The state of a member as far as it is known here.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct MemberView {
     /// The member.
     pub target: TargetId,
-    /// The last record that reads at the member see.
+    /// The position of the last record that is visible to reads at the member.
     pub applied: LogPosition,
-    /// Reads at the member see all that was acknowledged by this time; zero when nothing is shown.
+    /// Reads at the member see everything that was acknowledged by this time; zero if nothing is proved.
     pub fresh_as_of_us: u64,
-    /// How old the member's data usually is when it reports; `None` when nothing is known.
+    /// The usual age of the member's data when it reports its status; `None` if unknown.
     pub lag_us: Option<u64>,
-    /// How long the member usually takes to apply what the primary has; `None` when nothing is known.
+    /// The usual time until the member has applied a record of the primary; `None` if unknown.
     pub catch_up_us: Option<u64>,
-    /// Whether the member answers now.
+    /// Whether the member currently answers.
     pub reachable: bool,
     /// Whether the member is leaving or drained.
     pub leaving: bool,
-    /// How far the member is.
+    /// The member's distance from this proxy.
     pub nearness: Nearness,
-    /// How long a request of this class is expected to wait for a connection to the member.
+    /// The predicted time that a request of this class waits for a connection to the member.
     pub predicted_wait_us: u64,
 }
 
-/// The primary, as far as this proxy knows.
+/// The primary of a group as this proxy knows it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct LeaderView {
     /// The primary.
@@ -69,33 +68,33 @@
     pub term: Term,
 }
 
-/// What a read asks for.
+/// The requirements of a read.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ReadRequest {
-    /// What the session must see; the default position when it wrote nothing.
+    /// The position that the read must see; the default position if the session wrote nothing.
     pub floor: LogPosition,
-    /// The oldest age of the data, or [`NO_AGE_BOUND`].
+    /// The maximum age of the data, or [`NO_AGE_BOUND`].
     pub max_age_us: u64,
-    /// When the caller gives up, on the clock of `now_us`.
+    /// The deadline of the caller, on the clock of `now_us`.
     pub deadline_us: u64,
-    /// How long this read has waited for a replica already; zero before the first verdict.
+    /// The time that this read has already waited for a replica; zero before the first verdict.
     pub waited_us: u64,
-    /// Spreads reads over members that are equally good, for instance a count of requests.
+    /// Selects among members with equal rank, for instance a count of requests.
     pub spread: u32,
 }
 
-/// The costs that routing reckons with.
+/// The costs and limits that routing uses.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct RoutingPolicy {
-    /// What a read at the primary costs on top of its wait, because it takes a slot from writes.
+    /// The additional cost of a read at the primary, because it takes a slot from writes.
     pub primary_penalty_us: u64,
-    /// The longest that one read waits for a replica.
+    /// The maximum time that one read waits for a replica.
     pub max_wait_us: u64,
-    /// The lag reckoned with where none is known and the primary can't serve.
+    /// The lag that is assumed if it is unknown and the primary is not eligible.
     pub assumed_lag_us: u64,
-    /// The way there and back to another zone.
+    /// The round trip to another availability zone.
     pub other_zone_us: u64,
-    /// The way there and back to another region.
+    /// The round trip to another region.
     pub other_region_us: u64,
 }
 
@@ -123,32 +122,32 @@
 
 macro_rules! read_reasons {
     ($($(#[$doc:meta])* $reason:ident = $name:literal, $replica:literal, $eligible:literal;)*) => {
-        /// Why a read went where it went. Each has a counter of its own.
+        /// The reason of a routing verdict. Each reason has its own counter.
         #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
         pub enum ReadReason {
             $($(#[$doc])* $reason,)*
         }
 
         impl ReadReason {
-            /// Every reason, in the order of [`ReadReason::index`].
+            /// All reasons, in the order of [`ReadReason::index`].
             pub const ALL: &'static [ReadReason] = &[$(ReadReason::$reason,)*];
 
-            /// The name of the reason in counters and answers.
+            /// Returns the name of the reason in counters and answers.
             pub fn name(self) -> &'static str {
                 match self {
                     $(ReadReason::$reason => $name,)*
                 }
             }
 
-            /// Whether a replica serves the read.
+            /// Returns whether a replica serves the read.
             pub fn is_replica(self) -> bool {
                 match self {
                     $(ReadReason::$reason => $replica,)*
                 }
             }
 
-            /// Whether a replica was fit to serve the read when it was decided: the denominator of
-            /// the replicas' share of eligible reads.
+            /// Returns whether a replica was eligible when the read was decided. These reads are the
+            /// denominator of the replicas' share of eligible reads.
             pub fn is_eligible(self) -> bool {
                 match self {
                     $(ReadReason::$reason => $eligible,)*
@@ -159,80 +158,80 @@
 }
 
 read_reasons! {
-    /// A replica serves the read at once.
+    /// A replica serves the read without a wait.
     Replica = "replica", true, true;
     /// A replica serves the read after the read waited for it.
     ReplicaAfterWait = "replica_after_wait", true, true;
     /// The primary serves it: no reachable replica holds the session's own writes yet.
     PrimaryForFloor = "primary_for_floor", false, false;
-    /// The primary serves it: no replica that holds the session's writes is young enough.
+    /// The primary serves it: no replica that holds the session's writes is fresh enough.
     PrimaryForAge = "primary_for_age", false, false;
     /// The primary serves it: no replica is reachable.
     PrimaryNoReplicaReachable = "primary_no_replica_reachable", false, false;
     /// The primary serves it: the reachable replicas are leaving.
     PrimaryReplicasLeaving = "primary_replicas_leaving", false, false;
-    /// The primary serves it: replicas were fit, and their waits pass the deadline.
+    /// The primary serves it: replicas are eligible, but their predicted waits exceed the deadline.
     PrimaryReplicasBusy = "primary_replicas_busy", false, true;
     /// The primary serves it: the group has no replica.
     PrimaryOnly = "primary_only", false, false;
-    /// Nobody serves it yet: it waits until a replica holds the session's own writes.
+    /// The read waits until a replica holds the session's own writes.
     WaitForFloor = "wait_for_floor", false, false;
-    /// Nobody serves it yet: it waits until a replica can show young enough data.
+    /// The read waits until a replica is provably fresh enough.
     WaitForAge = "wait_for_age", false, false;
-    /// Refused: no member can show data young enough in time.
+    /// Refused: no member is provably fresh enough in time.
     RefusedTooOld = "refused_too_old", false, false;
     /// Refused: no member holds the session's own writes in time.
     RefusedFloor = "refused_floor", false, false;
-    /// Refused: the predicted waits of all members that are fit pass the deadline.
+    /// Refused: the predicted waits of all eligible members exceed the deadline.
     RefusedDeadline = "refused_deadline", false, true;
-    /// Refused: no member takes work.
+    /// Refused: no member accepts work.
     RefusedNoMember = "refused_no_member", false, false;
 }
 
 impl ReadReason {
-    /// Whether the read is decided with this reason. The two waits are steps on the way.
+    /// Returns whether this reason is the final one of a read. The two waits are intermediate.
     pub fn is_final(self) -> bool {
         !matches!(self, ReadReason::WaitForFloor | ReadReason::WaitForAge)
     }
 
-    /// The place of this reason in a dense table of counters.
+    /// Returns the index of this reason in a dense table of counters.
     pub fn index(self) -> usize {
         self as usize
     }
 }
 
-/// What to do with a read.
+/// The routing decision for a read.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ReadVerdict {
     /// Send it to this member now.
     Send {
         /// The member.
         target: TargetId,
-        /// Why this one.
+        /// The reason for the choice.
         reason: ReadReason,
     },
-    /// Ask again when the state of `target` changes, at the latest after `wait_us`.
+    /// Route it again when the state of `target` changes, at the latest after `wait_us`.
     Wait {
-        /// The replica that is expected to be fit first.
+        /// The replica that is expected to be eligible first.
         target: TargetId,
-        /// The longest time until asking again.
+        /// The maximum time until the read is routed again.
         wait_us: u64,
-        /// What is waited for.
+        /// The reason for the wait.
         reason: ReadReason,
     },
-    /// Refuse it: nothing was run.
+    /// Refuse it. Nothing was run.
     Refuse {
-        /// The answer.
+        /// The error that the caller gets.
         kind: ErrorKind,
-        /// When coming back can help.
+        /// The time after which a retry can succeed.
         retry_after_us: u64,
-        /// Why.
+        /// The reason for the refusal.
         reason: ReadReason,
     },
 }
 
 impl ReadVerdict {
-    /// The reason that the verdict carries.
+    /// Returns the reason of the verdict.
     pub fn reason(&self) -> ReadReason {
         match *self {
             ReadVerdict::Send { reason, .. } => reason,
@@ -242,23 +241,23 @@
     }
 }
 
-/// What keeps a member from serving a read.
+/// The reason why a member is not eligible for a read.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Shortfall {
     /// It does not answer.
     Unreachable,
-    /// It takes no new work.
+    /// It is leaving and accepts no new work.
     Leaving,
-    /// It is not known to hold the session's own writes.
+    /// It is not known to cover the session's floor.
     Floor,
-    /// It can't show data young enough.
+    /// Its data is not provably fresh enough.
     Age,
 }
 
-/// What keeps `member` from serving `request` at `now_us`; `None` when it is fit.
+/// Returns why `member` is not eligible for `request` at `now_us`, or `None` if it is eligible.
 ///
-/// A read that waited in a queue after it was routed is checked once more with the time at which it
-/// is sent: its data grew older while it waited.
+/// A read that was queued after it was routed is checked again when it is sent, since the member's data
+/// has aged meanwhile.
 pub fn shortfall(
     request: &ReadRequest,
     leader: Option<LeaderView>,
@@ -280,12 +279,12 @@
     None
 }
 
-/// Whether reads at `member` see all that was acknowledged up to `floor`.
+/// Returns whether reads at `member` see everything that was acknowledged up to `floor`.
 ///
-/// Reports of the primary's position lag behind its log, and a session that reads right after its
-/// write would find no member. The primary of the floor's own term wrote the record, and one of a
-/// later term was promoted from a majority that holds it, so the term alone is enough. A primary
-/// of an older term than the floor is not: it was replaced before the write.
+/// The known position of the primary lags behind its log, so by positions alone a session that reads
+/// right after its write would find no eligible member. The term is therefore sufficient for the primary:
+/// the primary of the floor's own term wrote the record, and the primary of a later term was promoted from a
+/// majority that holds it. A primary of an older term is not eligible: it was replaced before the write.
 fn covers_floor(floor: LogPosition, leader: Option<LeaderView>, member: &MemberView) -> bool {
     if member.applied.covers(floor) {
         return true;
@@ -301,7 +300,7 @@
     is_proved && now_us.saturating_sub(member.fresh_as_of_us) <= max_age_us
 }
 
-/// Decides who serves a read.
+/// Decides which member serves a read, or whether the read waits or is refused.
 pub fn route(
     policy: &RoutingPolicy,
     request: &ReadRequest,
--- a/crates/core/src/request/routing/survey.rs
+++ b/crates/core/src/request/routing/survey.rs
@@ -1,4 +1,4 @@
-//! One pass over a group's members: who is fit for a read, and what the others lack.
+//! One pass over a group's members: the eligible members for a read, and why the others are not eligible.
 
 use crate::ids::TargetId;
 use crate::request::error_kind::ErrorKind;
@@ -12,7 +12,7 @@
 use crate::request::routing::RoutingPolicy;
 use crate::request::routing::Shortfall;
 
-/// Refuses a read because the predicted wait passes its deadline.
+/// Refuses a read because the predicted wait exceeds its deadline.
 pub(super) fn refuse_deadline(predicted_us: u64) -> ReadVerdict {
     ReadVerdict::Refuse {
         kind: ErrorKind::DeadlineUnreachable,
@@ -21,7 +21,7 @@
     }
 }
 
-/// A member that is fit now.
+/// A member with its costs for the read.
 #[derive(Clone, Copy)]
 pub(super) struct Candidate {
     pub target: TargetId,
@@ -45,14 +45,15 @@
         (self.cost_us, self.nearness)
     }
 
-    /// What a read at the primary costs the group as a whole.
+    /// Returns the cost of a read at the primary for the whole group: its own latency, the delay of the writes
+    /// queued behind it, and the penalty for the slot.
     pub fn group_cost_us(&self, policy: &RoutingPolicy) -> u64 {
         let imposed_us = self.predicted_wait_us;
         self.cost_us.saturating_add(imposed_us).saturating_add(policy.primary_penalty_us)
     }
 }
 
-/// A replica that is expected to become fit.
+/// A wait for a replica that is expected to become eligible.
 #[derive(Clone, Copy)]
 pub(super) struct Wait {
     target: TargetId,
@@ -67,13 +68,14 @@
     }
 }
 
-/// What one pass over the members finds.
+/// The result of one pass over the members of a group.
 #[derive(Default)]
 pub(super) struct Survey {
     pub replica: Option<Candidate>,
     ties: u32,
     pub primary: Option<Candidate>,
-    /// The replica that is expected to be fit first, with the time until then; unknown ones come last.
+    /// The replica that is expected to be eligible at the lowest cost, with the time until then. A replica
+    /// without a known time is only taken if there is no other.
     pending: Option<(Option<u64>, Candidate, Shortfall)>,
     replica_leaving: bool,
     any_lacks_age: bool,
@@ -146,7 +148,7 @@
                 self.replica_lacks_age |= is_replica;
             }
         }
-        // A replica whose usual lag passes the bound can't be waited for: it never gets there.
+        // A replica whose usual lag exceeds the bound is not waited for: its data never gets fresh enough.
         let never_fresh_enough = member.lag_us.is_some_and(|lag_us| lag_us > request.max_age_us);
         if is_replica && !never_fresh_enough {
             let ready_us = match shortfall {
@@ -221,8 +223,9 @@
         Some(Wait { target: candidate.target, ready_us, cost_us, reason })
     }
 
-    /// The reason names what the nearest replica lacks: one that holds the session's writes and is
-    /// too old is nearer than one that lacks them.
+    /// Returns the reason for a read at the primary: the shortfall of the replica that comes closest to
+    /// being eligible. One that holds the session's writes and is too old is closer than one that lacks
+    /// them.
     pub fn reason_for_primary(&self, members: &[MemberView]) -> ReadReason {
         if members.len() <= 1 {
             ReadReason::PrimaryOnly
--- a/crates/core/src/request/statement.rs
+++ b/crates/core/src/request/statement.rs
@@ -1,63 +1,63 @@
-//! The typed statements of protocols that state what a request does.
+//! Statements of protocols whose messages state the type of a request.
 //!
-//! A text of SQL has to be looked at to learn whether it writes. A typed statement says so itself,
-//! so routing, retries and pooling follow from the type.
+//! Whether SQL text writes can only be learned by classifying the text. The type of a typed statement
+//! states it, and routing, retries and pooling depend on that type.
 
 use std::sync::Arc;
 
 use crate::request::retry::Effect;
 
-/// One statement of a caller, borrowed from the message that brought it.
+/// A statement of a caller, borrowed from its message.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Statement<'a> {
     /// Opens a transaction.
     Begin {
-        /// Whether the caller says that it will only read.
+        /// Whether the caller declared the transaction read-only.
         read_only: bool,
     },
-    /// Ends the transaction and keeps what it wrote.
+    /// Commits the transaction.
     Commit,
-    /// Ends the transaction and drops what it wrote.
+    /// Rolls back the transaction.
     Rollback,
     /// Reads one item.
     Read {
-        /// The item.
+        /// The name of the item.
         item: &'a str,
     },
     /// Writes one item.
     Write {
-        /// The item and the data, as the caller spelled them.
+        /// The item and the data, as sent by the caller.
         arguments: &'a str,
     },
-    /// Sets a value of the session.
+    /// Sets a session variable.
     Set {
-        /// The value's name.
+        /// The name of the variable.
         name: &'a str,
         /// The value.
         value: &'a str,
     },
-    /// Prepares a statement under a name of the caller's.
+    /// Prepares a statement under a name chosen by the caller.
     Prepare {
         /// The name.
         name: &'a str,
-        /// What the statement will do.
+        /// The effect and shape of the statement.
         prepared: PreparedShape<'a>,
     },
     /// Runs a prepared statement.
     Execute {
-        /// The name that the caller prepared it under.
+        /// The name under which the caller prepared it.
         name: &'a str,
         /// The item and, for a write, the data.
         arguments: &'a str,
     },
-    /// Forgets a prepared statement.
+    /// Deallocates a prepared statement.
     Close {
         /// The name.
         name: &'a str,
     },
 }
 
-/// What a prepared statement does.
+/// The effect and shape of a prepared statement, borrowed.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct PreparedShape<'a> {
     /// Whether it reads or writes.
@@ -66,7 +66,7 @@
     pub shape: &'a str,
 }
 
-/// A prepared statement as a session keeps it.
+/// A prepared statement as a session stores it.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Prepared {
     /// Whether it reads or writes.
@@ -76,7 +76,7 @@
 }
 
 impl Prepared {
-    /// The statement, borrowed.
+    /// Borrows the statement.
     pub fn as_shape(&self) -> PreparedShape<'_> {
         PreparedShape { effect: self.effect, shape: &self.shape }
     }
@@ -90,43 +90,43 @@
     Idle,
     /// Inside a transaction.
     Open,
-    /// Inside a transaction that failed: only its end is accepted.
+    /// Inside a failed transaction, which only accepts its end.
     Failed,
 }
 
-/// Why a target refused or failed a statement.
+/// The reason why a target refused a statement, or why the statement failed.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum TargetError {
     /// Its queue is full, or it is starting. Not run.
     Busy,
-    /// The transaction was rolled back. Nothing is kept.
+    /// The transaction was rolled back and has no effect.
     Aborted,
-    /// Its log lacks the position that was asked for. Not run.
+    /// Its log lacks the required position. Not run.
     Lagging,
-    /// It does not lead, so it takes no writes. Not run.
+    /// It is not the primary, so it accepts no writes. Not run.
     ReadOnly,
-    /// It is not the target that the connection asked for. Not run.
+    /// It is not the target that the connection requested. Not run.
     Misrouted,
-    /// It has as many connections as it accepts. Not run.
+    /// It has reached its connection limit. Not run.
     TooManyConnections,
-    /// It does not know the prepared statement. Not run.
+    /// The prepared statement is unknown. Not run.
     UnknownPrepared,
-    /// The proxy that leads to it can't reach it. Not run.
+    /// The proxy in front of it can't reach it. Not run.
     Unreachable,
-    /// It ran the statement and failed.
+    /// The statement ran and failed.
     Failed,
-    /// It ran the statement for longer than it allows.
+    /// The statement exceeded the time limit of the target.
     TimedOut,
-    /// It can't tell whether a commit took effect.
+    /// The target does not know whether a commit took effect.
     InDoubt,
-    /// It does not understand the message.
+    /// The message is malformed.
     Malformed,
-    /// Anything else. Nothing is promised.
+    /// Any other error. Whether the statement ran is unknown.
     Other,
 }
 
 impl TargetError {
-    /// The SQLSTATE with the same meaning, by which [`crate::request::retry`] decides.
+    /// Returns the SQLSTATE with the same meaning, which [`crate::request::retry`] uses.
     pub fn sqlstate(self) -> [u8; 5] {
         match self {
             TargetError::Busy | TargetError::Unreachable => *b"57P03",
--- a/crates/core/src/version/mod.rs
+++ b/crates/core/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as one version of the configuration.
+//! Versions of the configuration: their contents, their changes, and how they spread between proxies.
 
 pub mod map_changes;
 pub mod objects;
