--- a/crates/core/src/version/plan/confirmation.rs
+++ b/crates/core/src/version/plan/confirmation.rs
@@ -46,25 +46,25 @@
     },
     ReadObject,
     /// Reads the record of the plan whose change `write` is about to overwrite.
-    ReadOverwritten {
+    ReadOverwrittenPlan {
         other: String,
         write: Call,
     },
     /// Notes there that its step was done.
-    NoteOverwritten {
-        note: Call,
+    MarkOverwrittenPlan {
+        mark: Call,
         write: Call,
     },
     WriteObject {
         write: Call,
     },
     /// Reads the own record for a note that another plan's confirmation left there.
-    ReadNote {
+    RecheckRecord {
         cause: String,
     },
     /// Reads the record of the plan that changed an object which this plan was to remove.
-    ReadRival {
-        rival: String,
+    ReadConflictingPlan {
+        conflicting: String,
         cause: String,
     },
     Ended(End),
@@ -84,7 +84,7 @@
     unanswered: bool,
     /// Whether a step is known to have taken effect. The record says so only once its own update
     /// took, and the platform may go down in between.
-    step_took: bool,
+    step_applied: bool,
 }
 
 impl Confirmation {
@@ -97,7 +97,7 @@
             pause: false,
             in_flight: false,
             unanswered: false,
-            step_took: false,
+            step_applied: false,
         }
     }
 
@@ -109,7 +109,7 @@
     /// What it means to stop here.
     pub fn progress(&self) -> Progress {
         let steps_done = self.record().map_or(0, |record| record.steps_done);
-        match (self.in_flight || self.unanswered, self.step_took || steps_done > 0) {
+        match (self.in_flight || self.unanswered, self.step_applied || steps_done > 0) {
             (true, _) => Progress::Unanswered,
             (false, false) => Progress::Untouched,
             (false, true) => Progress::Unfinished,
@@ -123,15 +123,15 @@
         }
         self.in_flight = matches!(self.stage, Stage::WriteObject { .. });
         match &self.stage {
-            Stage::ReadRecord | Stage::ReadNote { .. } => Next::Call(get_plan(&self.id)),
+            Stage::ReadRecord | Stage::RecheckRecord { .. } => Next::Call(get_plan(&self.id)),
             Stage::CheckBase { index } => Next::Call(self.get_object(*index)),
             Stage::WriteRecord { next } => {
                 Next::Call(put_record(&self.id, self.record_version(), next))
             }
             Stage::ReadObject => Next::Call(self.get_object(self.own().steps_done)),
-            Stage::ReadOverwritten { other, .. } => Next::Call(get_plan(other)),
-            Stage::ReadRival { rival, .. } => Next::Call(get_plan(rival)),
-            Stage::NoteOverwritten { note, .. } => Next::Call(note.clone()),
+            Stage::ReadOverwrittenPlan { other, .. } => Next::Call(get_plan(other)),
+            Stage::ReadConflictingPlan { conflicting, .. } => Next::Call(get_plan(conflicting)),
+            Stage::MarkOverwrittenPlan { mark, .. } => Next::Call(mark.clone()),
             Stage::WriteObject { write } => Next::Call(write.clone()),
             Stage::Ended(end) => Next::End(end.clone()),
         }
@@ -152,12 +152,12 @@
         self.pause = true;
         match stage {
             Stage::WriteRecord { .. } => Stage::ReadRecord,
-            Stage::NoteOverwritten { .. } => Stage::ReadObject,
+            Stage::MarkOverwrittenPlan { .. } => Stage::ReadObject,
             Stage::WriteObject { .. } => {
                 self.unanswered = true;
                 Stage::ReadObject
             }
-            reading => reading,
+            unchanged => unchanged,
         }
     }
 
@@ -170,17 +170,19 @@
             }
             (Stage::WriteRecord { .. }, _) => Stage::ReadRecord,
             (Stage::ReadObject, answer) => self.on_object(answer),
-            (Stage::ReadOverwritten { other, write }, answer) => {
-                on_overwritten(other, write, answer)
+            (Stage::ReadOverwrittenPlan { other, write }, answer) => {
+                on_overwritten_plan(other, write, answer)
             }
-            (Stage::NoteOverwritten { write, .. }, Answer::Took { .. }) => {
+            (Stage::MarkOverwrittenPlan { write, .. }, Answer::Took { .. }) => {
                 Stage::WriteObject { write }
             }
-            (Stage::NoteOverwritten { .. }, _) => Stage::ReadObject,
+            (Stage::MarkOverwrittenPlan { .. }, _) => Stage::ReadObject,
             (Stage::WriteObject { .. }, Answer::Took { .. }) => self.step_done(),
             (Stage::WriteObject { .. }, _) => Stage::ReadObject,
-            (Stage::ReadNote { cause }, answer) => self.on_note(cause, answer),
-            (Stage::ReadRival { cause, .. }, answer) => self.on_rival(cause, answer),
+            (Stage::RecheckRecord { cause }, answer) => self.on_rechecked_record(cause, answer),
+            (Stage::ReadConflictingPlan { cause, .. }, answer) => {
+                self.on_conflicting_plan(cause, answer)
+            }
             (Stage::Ended(end), _) => Stage::Ended(end),
         }
     }
@@ -261,16 +263,16 @@
                 let write = Call { kind, name: name.to_owned(), verb };
                 match current.as_ref().map_or("", last_plan) {
                     "" => Stage::WriteObject { write },
-                    other => Stage::ReadOverwritten { other: other.to_owned(), write },
+                    other => Stage::ReadOverwrittenPlan { other: other.to_owned(), write },
                 }
             }
             Verdict::Superseded { version, by } => {
                 let cause = cause(step, version, &by);
                 let removes = matches!(step, Step::Change(change) if change.removes());
                 if removes {
-                    Stage::ReadRival { rival: by, cause }
+                    Stage::ReadConflictingPlan { conflicting: by, cause }
                 } else {
-                    Stage::ReadNote { cause }
+                    Stage::RecheckRecord { cause }
                 }
             }
         }
@@ -278,13 +280,13 @@
 
     fn step_done(&mut self) -> Stage {
         self.unanswered = false;
-        self.step_took = true;
+        self.step_applied = true;
         let own = self.own();
         Stage::WriteRecord { next: own.advanced(own.steps_done + 1) }
     }
 
     /// Another change came between: before this plan's step or after it?
-    fn on_note(&mut self, cause: String, answer: Answer) -> Stage {
+    fn on_rechecked_record(&mut self, cause: String, answer: Answer) -> Stage {
         let steps_done = self.own().steps_done;
         let (version, record) = match read_record(answer) {
             Ok(Some(read)) => read,
@@ -301,19 +303,19 @@
 
     /// A removed object carries no id, so it can't tell who removed it. A rival that changed the
     /// very version that this plan was to remove proves that this plan did not remove it.
-    fn on_rival(&mut self, cause: String, answer: Answer) -> Stage {
+    fn on_conflicting_plan(&mut self, cause: String, answer: Answer) -> Stage {
         let own = &self.own().plan.steps[self.own().steps_done];
-        let Step::Change(change) = own else { return Stage::ReadNote { cause } };
-        let rival = read_record(answer).ok().flatten();
-        let changed_the_same = rival.is_some_and(|(_, rival)| {
-            let mut bases = rival.plan.base_versions();
+        let Step::Change(change) = own else { return Stage::RecheckRecord { cause } };
+        let conflicting = read_record(answer).ok().flatten();
+        let changed_same_version = conflicting.is_some_and(|(_, conflicting)| {
+            let mut bases = conflicting.plan.base_versions();
             bases.any(|base| {
                 (base.kind, base.name) == (change.kind(), change.name())
                     && base.version == change.base_version()
             })
         });
-        if changed_the_same {
-            Stage::ReadNote { cause }
+        if changed_same_version {
+            Stage::RecheckRecord { cause }
         } else {
             Stage::Ended(End::Unknown { cause })
         }
@@ -358,15 +360,15 @@
 }
 
 /// Before another plan's change is overwritten, its record gets the note that it took effect.
-fn on_overwritten(other: String, write: Call, answer: Answer) -> Stage {
+fn on_overwritten_plan(other: String, write: Call, answer: Answer) -> Stage {
     let Ok(Some((version, record))) = read_record(answer) else {
         // The record was removed, long after the plan ended: nobody asks for it any more.
         return Stage::WriteObject { write };
     };
-    match record.noted(write.kind, &write.name) {
-        Some(noted) => {
-            let note = put_record(&other, version, &noted);
-            Stage::NoteOverwritten { note, write }
+    match record.marked_done(write.kind, &write.name) {
+        Some(marked_done) => {
+            let mark = put_record(&other, version, &marked_done);
+            Stage::MarkOverwrittenPlan { mark, write }
         }
         None => Stage::WriteObject { write },
     }
--- a/crates/core/src/version/plan/error.rs
+++ b/crates/core/src/version/plan/error.rs
@@ -7,7 +7,7 @@
 use crate::version::objects::ObjectKind;
 
 /// How alike a known name must be to be offered for an unknown one, from 0 to 1.
-const MIN_LIKENESS: f64 = 0.8;
+const MIN_SIMILARITY: f64 = 0.8;
 
 /// What an unknown name was expected to name.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize)]
@@ -115,11 +115,11 @@
     where
         I: IntoIterator<Item = &'a str>,
     {
-        let likeness = |known: &str| strsim::jaro_winkler(name, known);
+        let similarity = |known: &str| strsim::jaro_winkler(name, known);
         let nearest = known
             .into_iter()
-            .filter(|known| likeness(known) >= MIN_LIKENESS)
-            .max_by(|a, b| likeness(a).total_cmp(&likeness(b)));
+            .filter(|known| similarity(known) >= MIN_SIMILARITY)
+            .max_by(|a, b| similarity(a).total_cmp(&similarity(b)));
         PlanError::Unknown { what, name: name.to_owned(), nearest: nearest.map(str::to_owned) }
     }
 }
--- a/crates/core/src/version/plan/new_group.rs
+++ b/crates/core/src/version/plan/new_group.rs
@@ -8,20 +8,20 @@
 use crate::version::plan::Warning;
 use crate::version::plan::error::NameKind;
 use crate::version::plan::error::PlanError;
-use crate::version::plan::planner::State;
+use crate::version::plan::planner::SnapshotView;
 
 /// Refuses a group that would not work; otherwise gives what the operator should know.
 pub(super) fn check(
-    state: &State<'_>,
+    state: &SnapshotView<'_>,
     group: &str,
     spec: &GroupSpec,
 ) -> Result<Vec<Warning>, PlanError> {
     if state.get::<GroupSpec>(group)?.is_some() {
         return Err(PlanError::NoChange { already: format!("there is a group `{group}`") });
     }
-    state.need::<ServiceSpec>(NameKind::Service, &spec.service)?;
+    state.require::<ServiceSpec>(NameKind::Service, &spec.service)?;
     if spec.members.is_empty() {
-        return Err(bad("members", "[]", "at least one member"));
+        return Err(bad_value("members", "[]", "at least one member"));
     }
     for (index, member) in spec.members.iter().enumerate() {
         check_member(index, member)?;
@@ -30,7 +30,7 @@
     Ok(warnings(state, group, spec))
 }
 
-fn bad(what: &str, value: &str, accepted: &str) -> PlanError {
+fn bad_value(what: &str, value: &str, accepted: &str) -> PlanError {
     let (what, value, accepted) = (what.to_owned(), value.to_owned(), accepted.to_owned());
     PlanError::BadValue { what, value, accepted }
 }
@@ -38,24 +38,24 @@
 fn check_member(index: usize, member: &MemberSpec) -> Result<(), PlanError> {
     let path = |key: &str| format!("members[{index}].{key}");
     if member.target.is_empty() {
-        return Err(bad(&path("target"), "", "a name"));
+        return Err(bad_value(&path("target"), "", "a name"));
     }
     let address = member.address.parse::<SocketAddr>();
     if !address.is_ok_and(|address| address.port() != 0) {
-        return Err(bad(&path("address"), &member.address, "an IP address and a port"));
+        return Err(bad_value(&path("address"), &member.address, "an IP address and a port"));
     }
     if member.slots == 0 {
-        return Err(bad(&path("slots"), "0", "at least 1"));
+        return Err(bad_value(&path("slots"), "0", "at least 1"));
     }
     if member.connections == 0 {
-        return Err(bad(&path("connections"), "0", "at least 1"));
+        return Err(bad_value(&path("connections"), "0", "at least 1"));
     }
     Ok(())
 }
 
 /// Two groups on one database would each fence the other's primary.
 fn check_unique(
-    state: &State<'_>,
+    state: &SnapshotView<'_>,
     earlier: &[MemberSpec],
     index: usize,
     member: &MemberSpec,
@@ -64,17 +64,17 @@
     for other in known.chain(earlier.iter().cloned()) {
         if other.target == member.target {
             let path = format!("members[{index}].target");
-            return Err(bad(&path, &member.target, "a name that no other target has"));
+            return Err(bad_value(&path, &member.target, "a name that no other target has"));
         }
         if other.address == member.address {
             let path = format!("members[{index}].address");
-            return Err(bad(&path, &member.address, "an address that no other target has"));
+            return Err(bad_value(&path, &member.address, "an address that no other target has"));
         }
     }
     Ok(())
 }
 
-fn warnings(state: &State<'_>, group: &str, spec: &GroupSpec) -> Vec<Warning> {
+fn warnings(state: &SnapshotView<'_>, group: &str, spec: &GroupSpec) -> Vec<Warning> {
     let mut warnings = Vec::new();
     if spec.members.len().is_multiple_of(2) {
         warnings.push(Warning::EvenMembers { group: group.to_owned() });
--- a/crates/core/src/version/plan/planner.rs
+++ b/crates/core/src/version/plan/planner.rs
@@ -27,33 +27,34 @@
 
 /// The plan that meets an intent, or why there is none.
 pub fn plan(intent: &Intent, snapshot: &Snapshot) -> Result<Plan, PlanError> {
-    let mut draft = Draft { state: State { snapshot }, steps: Vec::new(), warnings: Vec::new() };
+    let mut builder =
+        PlanBuilder { state: SnapshotView { snapshot }, steps: Vec::new(), warnings: Vec::new() };
     match intent {
-        Intent::DrainTarget { target } => draft.drain_target(target)?,
-        Intent::UndrainTarget { target } => draft.undrain_target(target)?,
-        Intent::DrainVm { vm } => draft.drain_vm(vm)?,
-        Intent::UndrainVm { vm } => draft.undrain_vm(vm)?,
-        Intent::MovePrimary { group, to } => draft.move_primary(group, to.as_deref())?,
+        Intent::DrainTarget { target } => builder.drain_target(target)?,
+        Intent::UndrainTarget { target } => builder.undrain_target(target)?,
+        Intent::DrainVm { vm } => builder.drain_vm(vm)?,
+        Intent::UndrainVm { vm } => builder.undrain_vm(vm)?,
+        Intent::MovePrimary { group, to } => builder.move_primary(group, to.as_deref())?,
         Intent::SetStaleness { service, read_kind, max_age_ms } => {
-            draft.set_staleness(service, read_kind, *max_age_ms)?;
+            builder.set_staleness(service, read_kind, *max_age_ms)?;
         }
         Intent::SetWeight { service, class, weight } => {
-            draft.set_weight(service, class, *weight)?;
+            builder.set_weight(service, class, *weight)?;
         }
-        Intent::AddGroup { group, spec } => draft.add_group(group, spec)?,
-        Intent::RemoveGroup { group } => draft.remove_group(group)?,
+        Intent::AddGroup { group, spec } => builder.add_group(group, spec)?,
+        Intent::RemoveGroup { group } => builder.remove_group(group)?,
     }
-    Ok(Plan::new(snapshot.revision, intent.clone(), draft.steps, draft.warnings))
+    Ok(Plan::new(snapshot.revision, intent.clone(), builder.steps, builder.warnings))
 }
 
 /// A stored object, read.
-pub(super) struct Known<T> {
+pub(super) struct ParsedObject<T> {
     pub(super) name: String,
     pub(super) version: u64,
     pub(super) body: T,
 }
 
-impl<T> Known<T>
+impl<T> ParsedObject<T>
 where
     T: PlannedBody,
 {
@@ -64,13 +65,13 @@
 }
 
 /// The snapshot, read by kinds and names.
-pub(super) struct State<'a> {
+pub(super) struct SnapshotView<'a> {
     snapshot: &'a Snapshot,
 }
 
-impl<'a> State<'a> {
+impl<'a> SnapshotView<'a> {
     /// The object of the kind of `T` with this name.
-    pub(super) fn get<T>(&self, name: &str) -> Result<Option<Known<T>>, PlanError>
+    pub(super) fn get<T>(&self, name: &str) -> Result<Option<ParsedObject<T>>, PlanError>
     where
         T: PlannedBody,
     {
@@ -78,7 +79,9 @@
         let found = objects.find(|object| object.kind == T::KIND && object.name == name);
         let Some(object) = found else { return Ok(None) };
         match T::deserialize(&object.body) {
-            Ok(body) => Ok(Some(Known { name: name.to_owned(), version: object.version, body })),
+            Ok(body) => {
+                Ok(Some(ParsedObject { name: name.to_owned(), version: object.version, body }))
+            }
             Err(error) => Err(PlanError::BadObject {
                 kind: object.kind,
                 name: name.to_owned(),
@@ -88,7 +91,11 @@
     }
 
     /// As [`State::get`]; an error where there is none.
-    pub(super) fn need<T>(&self, what: NameKind, name: &str) -> Result<Known<T>, PlanError>
+    pub(super) fn require<T>(
+        &self,
+        what: NameKind,
+        name: &str,
+    ) -> Result<ParsedObject<T>, PlanError>
     where
         T: PlannedBody,
     {
@@ -102,7 +109,7 @@
     }
 
     /// Every group that can be read. One that can't must not stop plans for the others.
-    pub(super) fn groups(&self) -> impl Iterator<Item = Known<GroupSpec>> {
+    pub(super) fn groups(&self) -> impl Iterator<Item = ParsedObject<GroupSpec>> {
         self.names(ObjectKind::Group).filter_map(|name| self.get(name).ok().flatten())
     }
 
@@ -111,33 +118,33 @@
     }
 
     /// The group that a target is a member of, and the target's place in it.
-    fn member(&self, target: &str) -> Result<(Known<GroupSpec>, usize), PlanError> {
-        let place = |group: &Known<GroupSpec>| {
+    fn member(&self, target: &str) -> Result<(ParsedObject<GroupSpec>, usize), PlanError> {
+        let index_in = |group: &ParsedObject<GroupSpec>| {
             group.body.members.iter().position(|member| member.target == target)
         };
-        let found = self.groups().find_map(|group| place(&group).map(|index| (group, index)));
+        let found = self.groups().find_map(|group| index_in(&group).map(|index| (group, index)));
         found.ok_or_else(|| {
-            let groups: Vec<Known<GroupSpec>> = self.groups().collect();
+            let groups: Vec<ParsedObject<GroupSpec>> = self.groups().collect();
             let members = groups.iter().flat_map(|group| &group.body.members);
             PlanError::unknown(NameKind::Target, target, members.map(|member| &*member.target))
         })
     }
 
     /// The lead record of a group that has a primary.
-    fn lead(&self, group: &str) -> Result<Known<LeadRecord>, PlanError> {
+    fn lead(&self, group: &str) -> Result<ParsedObject<LeadRecord>, PlanError> {
         let lead = self.get::<LeadRecord>(group)?.filter(|lead| !lead.body.primary.is_empty());
         lead.ok_or_else(|| PlanError::PrimaryUnknown { group: group.to_owned() })
     }
 }
 
 /// A plan in the making.
-struct Draft<'a> {
-    state: State<'a>,
+struct PlanBuilder<'a> {
+    state: SnapshotView<'a>,
     steps: Vec<Step>,
     warnings: Vec<Warning>,
 }
 
-impl Draft<'_> {
+impl PlanBuilder<'_> {
     fn change(&mut self, change: Change) {
         self.steps.push(Step::Change(change));
     }
@@ -153,7 +160,7 @@
         let lead = self.state.lead(&group.name)?;
         if lead.body.primary == target {
             let to = successor(&group.name, &after, target)?;
-            self.lead_move(lead, to);
+            self.request_move(lead, to);
         } else if lead.body.wanted == target {
             let group = group.name;
             return Err(PlanError::MoveUnderway { group, wanted: target.to_owned() });
@@ -176,7 +183,7 @@
     }
 
     /// Asks for a primary and waits for it.
-    fn lead_move(&mut self, lead: Known<LeadRecord>, to: &str) {
+    fn request_move(&mut self, lead: ParsedObject<LeadRecord>, to: &str) {
         let (group, from) = (lead.name.clone(), lead.body.primary.clone());
         if !lead.body.wanted.is_empty() {
             let wanted = lead.body.wanted.clone();
@@ -189,7 +196,7 @@
     }
 
     /// Withdraws the wish for another primary, so that the present one stays.
-    fn withdraw_wish(&mut self, lead: Known<LeadRecord>) {
+    fn cancel_move(&mut self, lead: ParsedObject<LeadRecord>) {
         let (group, wanted) = (lead.name.clone(), lead.body.wanted.clone());
         self.warnings.push(Warning::WishReplaced { group, wanted });
         let after = LeadRecord { wanted: String::new(), ..lead.body.clone() };
@@ -238,7 +245,7 @@
         found.cloned().ok_or_else(|| PlanError::unknown(NameKind::Vm, name, names))
     }
 
-    fn edit_vm(&mut self, vm: &str, spec: Option<Known<VmSpec>>, drain: bool) {
+    fn edit_vm(&mut self, vm: &str, spec: Option<ParsedObject<VmSpec>>, drain: bool) {
         let after = VmSpec { drain, plan: String::new() };
         let edit = match spec {
             Some(spec) => spec.edit(after),
@@ -260,7 +267,7 @@
     }
 
     fn move_primary(&mut self, group: &str, to: Option<&str>) -> Result<(), PlanError> {
-        let known = self.state.need::<GroupSpec>(NameKind::Group, group)?;
+        let known = self.state.require::<GroupSpec>(NameKind::Group, group)?;
         let lead = self.state.lead(group)?;
         let to = match to {
             Some(to) => to,
@@ -276,10 +283,10 @@
             return Err(PlanError::NoChange { already });
         }
         if lead.body.primary == to {
-            self.withdraw_wish(lead);
+            self.cancel_move(lead);
             return Ok(());
         }
-        self.lead_move(lead, to);
+        self.request_move(lead, to);
         Ok(())
     }
 
@@ -289,7 +296,7 @@
         read_kind: &str,
         max_age_ms: u64,
     ) -> Result<(), PlanError> {
-        let known = self.state.need::<ServiceSpec>(NameKind::Service, service)?;
+        let known = self.state.require::<ServiceSpec>(NameKind::Service, service)?;
         let names = known.body.read_kinds.iter().map(|kind| &*kind.name);
         let index = names.clone().position(|name| name == read_kind);
         let index =
@@ -312,7 +319,7 @@
     }
 
     fn set_weight(&mut self, service: &str, class: &str, weight: u32) -> Result<(), PlanError> {
-        let known = self.state.need::<ServiceSpec>(NameKind::Service, service)?;
+        let known = self.state.require::<ServiceSpec>(NameKind::Service, service)?;
         let names = known.body.classes.iter().map(|class| &*class.name);
         let index = names.clone().position(|name| name == class);
         let index = index.ok_or_else(|| PlanError::unknown(NameKind::Class, class, names))?;
@@ -341,7 +348,7 @@
     }
 
     fn remove_group(&mut self, group: &str) -> Result<(), PlanError> {
-        let known = self.state.need::<GroupSpec>(NameKind::Group, group)?;
+        let known = self.state.require::<GroupSpec>(NameKind::Group, group)?;
         self.warnings.push(Warning::CallersRefused { group: group.to_owned() });
         let edit = Edit::new(group, known.version, Some(known.body), None);
         self.change(Change::Group(edit));
--- a/crates/core/src/version/plan/record.rs
+++ b/crates/core/src/version/plan/record.rs
@@ -56,7 +56,7 @@
 
     /// The record after the step that changes this object is known to have taken effect; none
     /// where that is noted already.
-    pub(super) fn noted(&self, kind: ObjectKind, name: &str) -> Option<PlanRecord> {
+    pub(super) fn marked_done(&self, kind: ObjectKind, name: &str) -> Option<PlanRecord> {
         let index = self.plan.steps.iter().position(|step| step.changes(kind, name))?;
         (self.steps_done <= index).then(|| self.advanced(index + 1))
     }
--- a/crates/core/src/version/spreading.rs
+++ b/crates/core/src/version/spreading.rs
@@ -108,8 +108,8 @@
         if revision == self.revision {
             return PeerAction::Nothing;
         }
-        let under_way = self.pull.is_some_and(|pull| now_us < pull.until_us);
-        if under_way {
+        let in_progress = self.pull.is_some_and(|pull| now_us < pull.until_us);
+        if in_progress {
             return PeerAction::Nothing;
         }
         self.pull = Some(Pull { revision, until_us: now_us + PULL_TIMEOUT_US });
@@ -199,13 +199,13 @@
 /// Chooses up to `count` of `candidates` to ask at the start, spread by the asker's seed so that a
 /// rack of VMs that starts at once does not ask the same three.
 pub fn choose_start_peers(candidates: usize, count: usize, seed: u64) -> Vec<usize> {
-    let mut places: Vec<usize> = (0..candidates).collect();
+    let mut indices: Vec<usize> = (0..candidates).collect();
     let count = count.min(candidates);
     for step in 0..count {
         let left = (candidates - step) as u64;
         let other = step + jitter::below_us(seed, step as u64, left) as usize;
-        places.swap(step, other);
+        indices.swap(step, other);
     }
-    places.truncate(count);
-    places
+    indices.truncate(count);
+    indices
 }
