--- a/crates/core/src/version/map_changes.rs
+++ b/crates/core/src/version/map_changes.rs
@@ -1,13 +1,13 @@
-//! What changed between two versions of a map by name.
+//! Differences between two versions of a map keyed by name.
 
 use std::sync::Arc;
 
 use crate::FastMap;
 
-/// Values by name.
+/// A map from names to values.
 pub type ByName<V> = FastMap<Arc<str>, Arc<V>>;
 
-/// The values of `next` that are new or differ.
+/// Returns the values of `next` that are new or differ from `base`.
 pub fn written<V>(base: &ByName<V>, next: &ByName<V>) -> Vec<Arc<V>>
 where
     V: PartialEq,
@@ -16,12 +16,12 @@
     changed.map(|(_, value)| Arc::clone(value)).collect()
 }
 
-/// The names that `next` has no value for any more.
+/// Returns the names in `base` that are missing in `next`.
 pub fn removed<V>(base: &ByName<V>, next: &ByName<V>) -> Vec<Arc<str>> {
     base.keys().filter(|name| !next.contains_key(*name)).cloned().collect()
 }
 
-/// The map that follows from these changes, where `name_of` tells a value's name.
+/// Returns `base` with these changes applied. `name_of` returns the name of a value.
 pub fn applied<V, N>(
     base: &ByName<V>,
     written: &[Arc<V>],
--- a/crates/core/src/version/organisations.rs
+++ b/crates/core/src/version/organisations.rs
@@ -1,7 +1,7 @@
-//! Organisations: who holds an API key, and how many operations each may run.
+//! Organisations, their API keys and their limits of operations.
 //!
-//! Keys are kept as digests only. A digest tells whether a key that is presented is a known one, and nobody
-//! who reads a message between VMs or a memory image can present it.
+//! Only digests of keys are stored. A digest is enough to verify a key that a caller presents, and whoever
+//! reads a message between VMs or a memory dump can't recover the key from it.
 
 use std::fmt;
 use std::sync::Arc;
@@ -22,13 +22,13 @@
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Returns the digest of a key.
     pub fn of(key: &str) -> KeyDigest {
         KeyDigest(Sha256::digest(key.as_bytes()).into())
     }
 }
 
-/// Shows the first bytes only: enough to compare two in a debugger.
+/// Prints only the first two bytes, which are enough to compare digests in a debugger.
 impl fmt::Debug for KeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "KeyDigest({:02x}{:02x}..)", self.0[0], self.0[1])
@@ -41,7 +41,7 @@
     }
 }
 
-/// A text that is no digest.
+/// An error from parsing a key digest.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct InvalidDigest;
 
@@ -68,23 +68,23 @@
     }
 }
 
-/// How many operations an organisation may run, over all VMs together.
+/// The limit of operations of an organisation, counted over all VMs.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Serialize, Deserialize)]
 pub struct RateLimit {
-    /// Thousandths of an operation per second.
+    /// The sustained rate, in thousandths of an operation per second.
     pub rate_milli_per_s: u64,
-    /// How many operations it may run at once after a pause, in thousandths.
+    /// The burst that is allowed after idle time, in thousandths of an operation.
     pub burst_milli: u64,
 }
 
 /// One organisation.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Organisation {
-    /// The name, which targets know it by.
+    /// The name, by which targets identify the organisation.
     pub name: Arc<str>,
     /// The digests of its keys, sorted.
     pub keys: Vec<KeyDigest>,
-    /// Its limit; none if it has none.
+    /// The limit of operations; `None` for unlimited.
     pub limit: Option<RateLimit>,
 }
 
@@ -97,7 +97,7 @@
 }
 
 impl From<Vec<Arc<Organisation>>> for Organisations {
-    /// Of two with the same name the later one counts.
+    /// If several organisations have the same name, the last one is used.
     fn from(all: Vec<Arc<Organisation>>) -> Organisations {
         let by_name = all.into_iter().map(|it| (Arc::clone(&it.name), it));
         by_name.collect::<ByName<Organisation>>().into()
@@ -105,7 +105,7 @@
 }
 
 impl From<ByName<Organisation>> for Organisations {
-    /// A key that two organisations list belongs to the one whose name sorts first, on every VM.
+    /// A key that two organisations list belongs to the one whose name sorts first, so that all VMs agree.
     fn from(by_name: ByName<Organisation>) -> Organisations {
         let mut sorted: Vec<&Arc<Organisation>> = by_name.values().collect();
         sorted.sort_by(|a, b| a.name.cmp(&b.name));
@@ -126,27 +126,27 @@
 }
 
 impl Organisations {
-    /// How many there are.
+    /// Returns the number of organisations.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no organisations.
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// The organisation that holds a key.
+    /// Returns the organisation that holds a key.
     pub fn holder(&self, key: KeyDigest) -> Option<&Arc<Organisation>> {
         self.by_key.get(&key)
     }
 
-    /// An organisation by name.
+    /// Returns the organisation with this name.
     pub fn named(&self, name: &str) -> Option<&Arc<Organisation>> {
         self.by_name.get(name)
     }
 
-    /// Whether a key of this version is another organisation's or nobody's in `next`.
+    /// Returns whether any key of this version is revoked or assigned to another organisation in `next`.
     pub fn any_key_revoked_in(&self, next: &Organisations) -> bool {
         let is_kept = |key: &KeyDigest, holder: &Organisation| {
             next.by_key.get(key).is_some_and(|next| next.name == holder.name)
@@ -154,7 +154,7 @@
         self.by_key.iter().any(|(key, holder)| !is_kept(key, holder))
     }
 
-    /// What turns this version into `next`.
+    /// Returns the changes that turn this version into `next`.
     pub fn changes_to(&self, next: &Organisations) -> OrganisationChanges {
         OrganisationChanges {
             written: map_changes::written(&self.by_name, &next.by_name),
@@ -162,28 +162,28 @@
         }
     }
 
-    /// The version that follows from these changes.
+    /// Returns this version with the changes applied.
     pub fn with(&self, changes: &OrganisationChanges) -> Organisations {
         let OrganisationChanges { written, removed } = changes;
         map_changes::applied(&self.by_name, written, removed, |it| &it.name).into()
     }
 }
 
-/// What changed between two versions.
+/// The changes between two versions.
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub struct OrganisationChanges {
-    /// Those that are new or differ.
+    /// The organisations that are new or differ.
     pub written: Vec<Arc<Organisation>>,
-    /// The names of those that are gone.
+    /// The names of the removed organisations.
     pub removed: Vec<Arc<str>>,
 }
 
-/// Reads a field that may be null but not missing. A process of an earlier version leaves it out, and would have
-/// this one serve callers without a key.
+/// Deserializes a field that may be null but not missing. A process of an earlier version omits the field;
+/// if that were accepted as null, this process would serve callers without a key.
 ///
 /// # Errors
 ///
-/// The field is missing, or can't be read.
+/// Returns an error if the field is missing or invalid.
 pub fn present<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
--- a/crates/core/src/version/plan/call.rs
+++ b/crates/core/src/version/plan/call.rs
@@ -1,4 +1,4 @@
-//! The calls that a confirmation makes to the platform, and how it ends.
+//! The calls of a confirmation to the platform, their answers, and the results of a confirmation.
 
 use serde_json::Value;
 
@@ -12,25 +12,25 @@
     pub kind: ObjectKind,
     /// The object's name.
     pub name: String,
-    /// What to do with it.
+    /// The operation on the object.
     pub verb: Verb,
 }
 
-/// What a call does.
+/// The operation of a call.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Verb {
     /// Reads the object.
     Get,
-    /// Changes the object if it has this version.
+    /// Creates or replaces the object if it has the expected version.
     Put {
-        /// The version that it must have; zero where it must not exist.
+        /// The version that the object must have; zero if it must not exist.
         expected_version: u64,
         /// The new body.
         body: Value,
     },
-    /// Removes the object if it has this version.
+    /// Deletes the object if it has the expected version.
     Delete {
-        /// The version that it must have.
+        /// The version that the object must have.
         expected_version: u64,
     },
 }
@@ -38,69 +38,69 @@
 /// The platform's answer to a call.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Answer {
-    /// The object, to a read.
+    /// The object that was read.
     Found(StoredObject),
-    /// There is no such object, to a read.
+    /// The object that was to be read does not exist.
     Missing,
-    /// The update took.
+    /// The update was applied.
     Took {
         /// The object's new version.
         version: u64,
     },
-    /// The object had another version, and the update did not take.
+    /// The object had another version, so the update was not applied.
     Conflict,
-    /// No answer. An update may have taken effect.
+    /// No answer was received. An update may have been applied.
     Lost,
 }
 
-/// What to do next.
+/// The next action of a confirmation.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Next {
-    /// Make this call and pass its answer on.
+    /// Make this call, and pass its answer to the confirmation.
     Call(Call),
-    /// Ask again after a pause: a call was not answered, or a step waits for others.
+    /// Continue after a pause: a call was not answered, or a step waits for a change by others.
     Pause,
-    /// The end.
+    /// The confirmation has ended.
     End(End),
 }
 
-/// How a confirmation ended.
+/// The result of a confirmation.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum End {
-    /// Every step has taken effect.
+    /// All steps have been applied.
     Applied {
-        /// Whether that was so before.
+        /// Whether they had been applied before this run.
         already: bool,
     },
-    /// Another change came between.
+    /// A conflicting change was made in between.
     Superseded {
-        /// How many steps had taken effect before, counted from the first.
+        /// The number of steps, counted from the first, that had been applied before.
         steps_done: usize,
-        /// What came between, in words.
+        /// A description of the conflicting change.
         cause: String,
     },
-    /// The object is changed, and whether the plan or another change removed it before can't be
-    /// known.
+    /// The object is changed, and it is unknown whether this plan or another change removed it
+    /// before.
     Unknown {
-        /// What is not known, in words.
+        /// A description of the state of the object.
         cause: String,
     },
     /// There is no plan with this id.
     NoPlan,
-    /// What is stored under the id is no plan record.
+    /// The object with this id is not a valid plan record.
     BadRecord {
-        /// What is wrong.
+        /// The error in the record.
         reason: String,
     },
 }
 
-/// Where a confirmation stood when its caller stopped it.
+/// The progress of a confirmation that is stopped before its end.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Progress {
-    /// No object of the configuration was touched.
+    /// No object of the configuration was changed.
     Untouched,
-    /// An update got no answer: it may have taken effect.
+    /// An update got no answer, so it may have been applied.
     Unanswered,
-    /// Some steps have taken effect, and the rest waits.
+    /// Some steps have been applied, and the others are outstanding.
     Unfinished,
 }
--- a/crates/core/src/version/plan/confirmation.rs
+++ b/crates/core/src/version/plan/confirmation.rs
@@ -1,20 +1,21 @@
-//! Confirming a plan, as a state machine over the platform's answers.
+//! The confirmation of a plan, as a state machine over the platform's answers.
 //!
-//! A plan is kept as the object `plan/ID`, a [`PlanRecord`]. Confirming it
+//! A plan is stored as the object `plan/ID`, a [`PlanRecord`]. Its confirmation
 //! 1. compares the version of every object that the plan changes with the plan's base versions,
 //! 2. marks the record as confirmed,
-//! 3. takes the steps in order: each is one conditional update of one object at the plan's base
-//!    version, whose new body carries the plan's id, and each is followed by one update of the
-//!    record's progress.
+//! 3. applies the steps in order: each step is one conditional update of one object at the plan's base
+//!    version, whose new body contains the plan's id, followed by one update of the progress in the
+//!    record.
 //!
-//! **Lost answers.** No update is repeated blindly. The object is read first: it carries the
-//! plan's id (the update took), has the base version still (it did not), or something else came
-//! between. In the last case the plan may have taken effect and been overwritten. So whoever is
-//! about to overwrite an object first notes in the record of the plan that it names that this
-//! step was done. A record without the note proves that the plan was superseded before the step.
+//! **Lost answers.** An update without an answer is not repeated before the object is read. If the object
+//! contains the plan's id, the update was applied. If it still has the base version, the update was not
+//! applied. Otherwise another change was made in between, and this plan's change may have been applied and
+//! overwritten. To make this decidable, a confirmation that is about to overwrite another plan's change first
+//! marks the step as done in the record of that plan. A record without the mark proves that the plan was
+//! superseded before the step.
 //!
-//! **Resuming.** Everything needed stands in the record, so any operator may run the confirmation
-//! again, also two at once: the steps are idempotent.
+//! **Resuming.** The record contains the whole state, and the steps are idempotent. So any operator can run
+//! the confirmation again, and several can run it concurrently.
 
 use std::mem;
 
@@ -34,7 +35,7 @@
 use crate::version::plan::step::Verdict;
 use crate::version::plan::step::last_plan;
 
-/// Where the confirmation stands. A stage with a call waits for that call's answer.
+/// The state of the confirmation. Each stage except `Ended` makes a call and waits for its answer.
 #[derive(Clone, PartialEq, Debug)]
 enum Stage {
     ReadRecord,
@@ -45,12 +46,12 @@
         next: PlanRecord,
     },
     ReadObject,
-    /// Reads the record of the plan whose change `write` is about to overwrite.
+    /// Reads the record of the plan `other`, whose change `write` is about to overwrite.
     ReadOverwrittenPlan {
         other: String,
         write: Call,
     },
-    /// Notes there that its step was done.
+    /// Marks the overwritten step as done in the record of its plan, then does `write`.
     MarkOverwrittenPlan {
         mark: Call,
         write: Call,
@@ -58,11 +59,11 @@
     WriteObject {
         write: Call,
     },
-    /// Reads the own record for a note that another plan's confirmation left there.
+    /// Reads this plan's record again for a mark that the confirmation of another plan may have made.
     RecheckRecord {
         cause: String,
     },
-    /// Reads the record of the plan that changed an object which this plan was to remove.
+    /// Reads the record of the plan that changed an object which this plan removes.
     ReadConflictingPlan {
         conflicting: String,
         cause: String,
@@ -75,20 +76,20 @@
 pub struct Confirmation {
     id: String,
     stage: Stage,
-    /// The record with its version, as last read or written.
+    /// The record and its version, as last read or written.
     record: Option<(u64, PlanRecord)>,
     pause: bool,
-    /// Whether an update of an object was sent whose answer is still to come.
+    /// Whether an update of an object was sent and its answer is outstanding.
     in_flight: bool,
-    /// Whether an update of an object got no answer and has not been accounted for since.
+    /// Whether an update of an object got no answer, and it is still unknown whether it was applied.
     unanswered: bool,
-    /// Whether a step is known to have taken effect. The record says so only once its own update
-    /// took, and the platform may go down in between.
+    /// Whether a step is known to be applied. The record contains this only after its own update, and
+    /// the platform may become unreachable in between.
     step_applied: bool,
 }
 
 impl Confirmation {
-    /// The confirmation of the plan with this id.
+    /// Creates the confirmation of the plan with this id.
     pub fn new(id: &str) -> Confirmation {
         Confirmation {
             id: id.to_owned(),
@@ -101,12 +102,12 @@
         }
     }
 
-    /// The record as last read or written.
+    /// Returns the record as last read or written.
     pub fn record(&self) -> Option<&PlanRecord> {
         self.record.as_ref().map(|(_, record)| record)
     }
 
-    /// What it means to stop here.
+    /// Returns the progress, for a caller that stops the confirmation here.
     pub fn progress(&self) -> Progress {
         let steps_done = self.record().map_or(0, |record| record.steps_done);
         match (self.in_flight || self.unanswered, self.step_applied || steps_done > 0) {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// What to do next.
+    /// Returns the next action.
     pub fn next_action(&mut self) -> Next {
         if mem::take(&mut self.pause) {
             return Next::Pause;
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Takes the answer to the call that [`Confirmation::next_action`] asked for.
+    /// Handles the answer to the call that [`Confirmation::next_action`] returned.
     pub fn answer(&mut self, answer: Answer) {
         self.in_flight = false;
         let stage = mem::replace(&mut self.stage, Stage::ReadRecord);
@@ -147,7 +148,7 @@
         };
     }
 
-    /// What was read is read again; what was to be written is looked for first.
+    /// A lost read is repeated; after a lost write the object is read first.
     fn on_lost(&mut self, stage: Stage) -> Stage {
         self.pause = true;
         match stage {
@@ -198,7 +199,7 @@
         let steps_done = record.steps_done;
         let cause = record.cause.clone();
         self.record = Some((version, record));
-        // An earlier run may have sent an update that the record does not know of.
+        // An earlier run may have sent an update that is not in the record.
         self.unanswered |= first_reading && state == PlanState::Confirmed && steps_done == 0;
         match state {
             PlanState::Proposed => self.check_base(0),
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Goes on with the first step from `index` that changes an object.
+    /// Continues with the first step from `index` on that changes an object.
     fn check_base(&self, index: usize) -> Stage {
         let steps = self.own().plan.steps.iter().enumerate().skip(index);
         let mut changes = steps.filter(|(_, step)| matches!(step, Step::Change(_)));
@@ -223,8 +224,8 @@
         let step = &self.own().plan.steps[index];
         match step.judge(&self.id, current.as_ref()) {
             Verdict::Superseded { version, by } => {
-                // The record is still `Proposed` in the version that this update expects, so no
-                // run of this plan has changed anything.
+                // This update expects the version of the record in which it is still `Proposed`, so
+                // no run of this plan has changed an object.
                 let next = self.own().superseded(cause(step, version, &by));
                 Stage::WriteRecord { next }
             }
@@ -285,7 +286,8 @@
         Stage::WriteRecord { next: own.advanced(own.steps_done + 1) }
     }
 
-    /// Another change came between: before this plan's step or after it?
+    /// Decides whether the conflicting change was made before this plan's step or after it: a mark in the
+    /// record means after it.
     fn on_rechecked_record(&mut self, cause: String, answer: Answer) -> Stage {
         let steps_done = self.own().steps_done;
         let (version, record) = match read_record(answer) {
@@ -301,8 +303,8 @@
         Stage::WriteRecord { next }
     }
 
-    /// A removed object carries no id, so it can't tell who removed it. A rival that changed the
-    /// very version that this plan was to remove proves that this plan did not remove it.
+    /// A removed object contains no plan id, so it is unknown which plan removed it. If a conflicting plan
+    /// changed the version that this plan removes, this plan did not remove it.
     fn on_conflicting_plan(&mut self, cause: String, answer: Answer) -> Stage {
         let own = &self.own().plan.steps[self.own().steps_done];
         let Step::Change(change) = own else { return Stage::RecheckRecord { cause } };
@@ -359,10 +361,10 @@
     }
 }
 
-/// Before another plan's change is overwritten, its record gets the note that it took effect.
+/// Marks the change of another plan as done in its record before `write` overwrites that change.
 fn on_overwritten_plan(other: String, write: Call, answer: Answer) -> Stage {
     let Ok(Some((version, record))) = read_record(answer) else {
-        // The record was removed, long after the plan ended: nobody asks for it any more.
+        // Records are removed long after their plan ended, so no confirmation depends on this one.
         return Stage::WriteObject { write };
     };
     match record.marked_done(write.kind, &write.name) {
--- a/crates/core/src/version/plan/error.rs
+++ b/crates/core/src/version/plan/error.rs
@@ -1,4 +1,4 @@
-//! Why an intent gives no plan.
+//! Errors of planning.
 
 use std::fmt;
 
@@ -6,16 +6,16 @@
 
 use crate::version::objects::ObjectKind;
 
-/// How alike a known name must be to be offered for an unknown one, from 0 to 1.
+/// The minimum Jaro-Winkler similarity, from 0 to 1, of a known name that is suggested for an unknown one.
 const MIN_SIMILARITY: f64 = 0.8;
 
-/// What an unknown name was expected to name.
+/// The kind of entity that a name refers to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NameKind {
     /// A target of any group.
     Target,
-    /// A member of the group in question.
+    /// A member of the requested group.
     Member,
     /// An entry VM.
     Vm,
@@ -23,9 +23,9 @@
     Group,
     /// A service.
     Service,
-    /// A read kind of the service in question.
+    /// A read kind of the requested service.
     ReadKind,
-    /// A class of the service in question.
+    /// A class of the requested service.
     Class,
 }
 
@@ -43,54 +43,54 @@
     }
 }
 
-/// Why an intent gives no plan.
+/// The reason why there is no plan for an intent.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize)]
 #[serde(tag = "error", rename_all = "snake_case")]
 pub enum PlanError {
-    /// Nothing has this name.
+    /// There is no entity with this name.
     Unknown {
-        /// What was looked for.
+        /// The kind of entity.
         what: NameKind,
         /// The name.
         name: String,
-        /// The most similar known name, if one is similar.
+        /// The most similar known name, if its similarity is high enough.
         nearest: Option<String>,
     },
     /// A value is not accepted.
     BadValue {
-        /// What the value is for.
+        /// The setting that the value is for.
         what: String,
-        /// The value.
+        /// The rejected value.
         value: String,
-        /// What is accepted.
+        /// The accepted values.
         accepted: String,
     },
     /// The state is already as intended.
     NoChange {
-        /// What is so already.
+        /// The state that already exists.
         already: String,
     },
-    /// Too few members would be left to confirm writes.
+    /// The members in service would no longer form a majority, so writes could not be confirmed.
     WouldLoseMajority {
         /// The group.
         group: String,
-        /// The members that would be left.
+        /// The number of members that would stay in service.
         left: usize,
-        /// How many a majority needs.
+        /// The number of members that form a majority.
         needed: usize,
     },
-    /// No entry VM would be left.
+    /// No entry VM would stay in service.
     WouldLeaveNoVm,
-    /// Which member leads is not recorded at the moment, so the plan can't say what to move.
+    /// The group has no recorded primary at the moment, so a move can't be planned.
     PrimaryUnknown {
         /// The group.
         group: String,
     },
-    /// The primary is being moved to the target.
+    /// The target can't be drained because the primary is being moved to it.
     MoveUnderway {
         /// The group.
         group: String,
-        /// The target that is to lead.
+        /// The requested primary.
         wanted: String,
     },
     /// No other member can become the primary.
@@ -98,19 +98,19 @@
         /// The group.
         group: String,
     },
-    /// A stored object can't be read.
+    /// A stored object is invalid.
     BadObject {
         /// The object's kind.
         kind: ObjectKind,
         /// The object's name.
         name: String,
-        /// What is wrong.
+        /// The error in the object.
         reason: String,
     },
 }
 
 impl PlanError {
-    /// Nothing has this name; the nearest of the known names is offered.
+    /// Creates the error for an unknown name, with the most similar known name as a suggestion.
     pub fn unknown<'a, I>(what: NameKind, name: &str, known: I) -> PlanError
     where
         I: IntoIterator<Item = &'a str>,
--- a/crates/core/src/version/plan/intent.rs
+++ b/crates/core/src/version/plan/intent.rs
@@ -1,4 +1,4 @@
-//! What operators can ask for.
+//! The changes of the configuration that operators can request.
 
 use std::fmt;
 
@@ -7,48 +7,48 @@
 
 use crate::version::objects::GroupSpec;
 
-/// An operator's intent.
+/// A change that an operator requests.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(tag = "intent", rename_all = "snake_case")]
 pub enum Intent {
-    /// A target gets no new work and leads nothing.
+    /// Drains a target: it gets no new requests and can't be the primary.
     DrainTarget {
         /// The target.
         target: String,
     },
-    /// A target gets work again.
+    /// Puts a drained target back into service.
     UndrainTarget {
         /// The target.
         target: String,
     },
-    /// An entry VM is home to no target.
+    /// Drains an entry VM: its proxy is the home of no target.
     DrainVm {
         /// The VM.
         vm: String,
     },
-    /// An entry VM takes part again.
+    /// Puts a drained entry VM back into service.
     UndrainVm {
         /// The VM.
         vm: String,
     },
-    /// Another member becomes a group's primary.
+    /// Makes another member the primary of a group.
     MovePrimary {
         /// The group.
         group: String,
-        /// The member; the plan chooses one where none is given.
+        /// The new primary; `None` lets the planner choose one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         to: Option<String>,
     },
-    /// Reads of a kind may see data of another age.
+    /// Changes the maximum age of the data for a read kind.
     SetStaleness {
         /// The service.
         service: String,
-        /// The kind of reads.
+        /// The read kind.
         read_kind: String,
-        /// The new oldest age in milliseconds.
+        /// The new maximum age, in milliseconds.
         max_age_ms: u64,
     },
-    /// A class gets another share of connections.
+    /// Changes the weight of a class in the sharing of connections.
     SetWeight {
         /// The service.
         service: String,
@@ -57,14 +57,14 @@
         /// The new weight.
         weight: u32,
     },
-    /// A group is served.
+    /// Adds a group.
     AddGroup {
         /// The group's name.
         group: String,
-        /// The group.
+        /// The definition of the group.
         spec: GroupSpec,
     },
-    /// A group is no longer served. Its databases are left as they are.
+    /// Removes a group. Its databases are not touched.
     RemoveGroup {
         /// The group.
         group: String,
--- a/crates/core/src/version/plan/mod.rs
+++ b/crates/core/src/version/plan/mod.rs
@@ -1,14 +1,14 @@
-//! Intent, plan, confirmation: how operators change the configuration.
+//! Changes of the configuration by operators: intents, plans and their confirmation.
 //!
-//! An operator states an [`Intent`]. [`planner::plan`] turns it, with one snapshot of the objects,
-//! into a [`Plan`]: ordered steps with what each object holds before and after, the versions they
+//! An operator requests an [`Intent`]. [`planner::plan`] turns it, with one snapshot of the objects,
+//! into a [`Plan`]: ordered steps with each object's body before and after, the versions that they
 //! are based on, and warnings. It is a pure function, so the plan's id, a hash of its content,
-//! names the same plan wherever it is computed. Nothing changes until the plan is confirmed;
-//! [`confirmation::Confirmation`] decides how.
+//! is the same wherever it is computed. Nothing is changed until the plan is confirmed;
+//! [`confirmation::Confirmation`] applies it.
 //!
-//! Each step changes one object, if that object still has the version that the plan was made for,
-//! and writes the plan's id into it. Two plans that clash change the same object, and the platform
-//! lets only one of the updates take: the other plan is superseded.
+//! Each step changes one object, if the object still has the version that the plan is based on, and
+//! writes the plan's id into it. Conflicting plans change the same object, and the platform applies
+//! only one of their conditional updates: the other plan is superseded.
 
 use std::fmt;
 
@@ -28,18 +28,19 @@
 pub mod record;
 pub mod step;
 
-/// What will be done to meet an intent.
+/// The steps that fulfil an intent.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Plan {
-    /// A hash of the rest: the same intent on the same revision gives the same id.
+    /// A hash of the revision, the intent and the steps: the same intent at the same revision has the
+    /// same id.
     pub id: String,
-    /// The store's revision that the plan was made from.
+    /// The store's revision that the plan is based on.
     pub revision: u64,
     /// The intent.
     pub intent: Intent,
     /// The steps, in order.
     pub steps: Vec<Step>,
-    /// What the operator should know before confirming.
+    /// The warnings for the operator.
     pub warnings: Vec<Warning>,
 }
 
@@ -50,22 +51,22 @@
     pub kind: ObjectKind,
     /// The object's name.
     pub name: &'a str,
-    /// Its version; zero where it must not exist.
+    /// The object's version; zero if it must not exist.
     pub version: u64,
 }
 
 impl Plan {
-    /// A plan with its id.
+    /// Creates a plan and computes its id.
     ///
-    /// The revision is part of the id: without it, adding, removing and adding a group again would
-    /// give the first and the third plan one id, and the third would be taken for done.
+    /// The revision is part of the hash. Without it, if a group is added, removed and added again, the
+    /// first and the third plan would have the same id, and the third would count as already applied.
     pub fn new(revision: u64, intent: Intent, steps: Vec<Step>, warnings: Vec<Warning>) -> Plan {
         let content = serde_json::to_string(&(revision, &intent, &steps));
         let id = format!("{:016x}", fnv1a(content.expect("a plan is plain data").as_bytes()));
         Plan { id, revision, intent, steps, warnings }
     }
 
-    /// The versions that the plan is based on.
+    /// Iterates over the object versions that the plan is based on.
     pub fn base_versions(&self) -> impl Iterator<Item = BaseVersion<'_>> {
         self.steps.iter().filter_map(|step| match step {
             Step::Change(change) => Some(BaseVersion {
@@ -77,14 +78,14 @@
         })
     }
 
-    /// Whether a text has the form of a plan's id.
+    /// Returns whether a text has the format of a plan id: 16 lower-case hexadecimal digits.
     pub fn is_id(text: &str) -> bool {
         text.len() == 16 && text.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'))
     }
 }
 
-/// The 64-bit FNV-1a hash (Fowler, Noll, Vo). It only has to tell apart the plans of one
-/// deployment: a plan whose id is taken by another plan is refused when it is stored.
+/// Computes the 64-bit FNV-1a hash (Fowler, Noll, Vo). It only has to distinguish the plans of one
+/// deployment: on a collision, the later plan is rejected when it is stored.
 fn fnv1a(bytes: &[u8]) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -104,38 +105,38 @@
     }
 }
 
-/// What the operator should know before confirming.
+/// A side effect of a plan that the operator should know before the confirmation.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(tag = "warning", rename_all = "snake_case")]
 pub enum Warning {
-    /// Writes of a group stop for a moment.
+    /// Writes of the group are held back while its primary moves.
     WritesPause {
         /// The group.
         group: String,
     },
-    /// No other entry VM of a zone is in service.
+    /// The zone has no other entry VM in service.
     ZoneWithoutVm {
         /// The zone.
         zone: String,
     },
-    /// New work of a group's callers will be refused.
+    /// New requests of the group's callers will be refused.
     CallersRefused {
         /// The group.
         group: String,
     },
-    /// An earlier wish of an operator is replaced.
+    /// The plan replaces an earlier request of an operator to move the primary.
     WishReplaced {
         /// The group.
         group: String,
-        /// The target that was wanted as the primary.
+        /// The previously requested primary.
         wanted: String,
     },
-    /// Another failure of a member leaves the group without a majority.
+    /// The group keeps a bare majority: one more failed member stops writes.
     NoSpareMember {
         /// The group.
         group: String,
     },
-    /// An even number of members tolerates no more failures than one member less.
+    /// The group has an even number of members, which tolerates as many failures as one member less.
     EvenMembers {
         /// The group.
         group: String,
--- a/crates/core/src/version/plan/new_group.rs
+++ b/crates/core/src/version/plan/new_group.rs
@@ -1,4 +1,4 @@
-//! Checks a group that is to be added.
+//! Validation of a group that is to be added.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use crate::version::plan::error::PlanError;
 use crate::version::plan::planner::SnapshotView;
 
-/// Refuses a group that would not work; otherwise gives what the operator should know.
+/// Validates a new group and returns the warnings for the operator.
 pub(super) fn check(
     state: &SnapshotView<'_>,
     group: &str,
@@ -53,7 +53,8 @@
     Ok(())
 }
 
-/// Two groups on one database would each fence the other's primary.
+/// Checks that no other target has the same name or address. Two groups that share a database would
+/// each fence the other's primary.
 fn check_unique(
     state: &SnapshotView<'_>,
     earlier: &[MemberSpec],
--- a/crates/core/src/version/plan/planner.rs
+++ b/crates/core/src/version/plan/planner.rs
@@ -1,8 +1,8 @@
-//! From an intent and a snapshot to a plan: a pure function.
+//! Computes the plan for an intent from a snapshot. The computation is a pure function.
 //!
-//! A plan that drains a primary moves the primary first: drained at once, the target would refuse
-//! writes before another member leads, and the group would be without a primary for as long as the
-//! move takes.
+//! A plan that drains a primary moves the primary first. If the target were drained immediately, it would
+//! refuse writes before another member leads, and the group would have no primary until the move is
+//! complete.
 
 use crate::version::objects::ClassSpec;
 use crate::version::objects::GroupSpec;
@@ -25,7 +25,7 @@
 use crate::version::plan::step::PlannedBody;
 use crate::version::plan::step::Step;
 
-/// The plan that meets an intent, or why there is none.
+/// Returns the plan that fulfils an intent, or the reason why there is none.
 pub fn plan(intent: &Intent, snapshot: &Snapshot) -> Result<Plan, PlanError> {
     let mut builder =
         PlanBuilder { state: SnapshotView { snapshot }, steps: Vec::new(), warnings: Vec::new() };
@@ -47,7 +47,7 @@
     Ok(Plan::new(snapshot.revision, intent.clone(), builder.steps, builder.warnings))
 }
 
-/// A stored object, read.
+/// A stored object with its parsed body.
 pub(super) struct ParsedObject<T> {
     pub(super) name: String,
     pub(super) version: u64,
@@ -58,19 +58,19 @@
 where
     T: PlannedBody,
 {
-    /// The change of the object to another body.
+    /// Creates the change of the object to another body.
     fn edit(self, after: T) -> Edit<T> {
         Edit::new(&self.name, self.version, Some(self.body), Some(after))
     }
 }
 
-/// The snapshot, read by kinds and names.
+/// Access to the objects of a snapshot by kind and name.
 pub(super) struct SnapshotView<'a> {
     snapshot: &'a Snapshot,
 }
 
 impl<'a> SnapshotView<'a> {
-    /// The object of the kind of `T` with this name.
+    /// Returns the object of the kind of `T` with this name.
     pub(super) fn get<T>(&self, name: &str) -> Result<Option<ParsedObject<T>>, PlanError>
     where
         T: PlannedBody,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// As [`State::get`]; an error where there is none.
+    /// Returns the object like [`SnapshotView::get`], or an error if it does not exist.
     pub(super) fn require<T>(
         &self,
         what: NameKind,
@@ -108,7 +108,7 @@
         objects.filter(move |object| object.kind == kind).map(|object| &*object.name)
     }
 
-    /// Every group that can be read. One that can't must not stop plans for the others.
+    /// Iterates over all valid groups. Invalid ones are skipped, so that they don't prevent plans for others.
     pub(super) fn groups(&self) -> impl Iterator<Item = ParsedObject<GroupSpec>> {
         self.names(ObjectKind::Group).filter_map(|name| self.get(name).ok().flatten())
     }
@@ -117,7 +117,7 @@
         &self.snapshot.vms
     }
 
-    /// The group that a target is a member of, and the target's place in it.
+    /// Returns the group that a target is a member of, and the target's index in it.
     fn member(&self, target: &str) -> Result<(ParsedObject<GroupSpec>, usize), PlanError> {
         let index_in = |group: &ParsedObject<GroupSpec>| {
             group.body.members.iter().position(|member| member.target == target)
@@ -130,14 +130,14 @@
         })
     }
 
-    /// The lead record of a group that has a primary.
+    /// Returns the lead record of a group, or an error if the group has no primary.
     fn lead(&self, group: &str) -> Result<ParsedObject<LeadRecord>, PlanError> {
         let lead = self.get::<LeadRecord>(group)?.filter(|lead| !lead.body.primary.is_empty());
         lead.ok_or_else(|| PlanError::PrimaryUnknown { group: group.to_owned() })
     }
 }
 
-/// A plan in the making.
+/// The steps and warnings of a plan under construction.
 struct PlanBuilder<'a> {
     state: SnapshotView<'a>,
     steps: Vec<Step>,
@@ -169,7 +169,7 @@
         Ok(())
     }
 
-    /// Refuses a group whose members in service are no majority.
+    /// Rejects a change after which the members in service form no majority.
     fn check_majority(&mut self, group: &str, after: &GroupSpec) -> Result<(), PlanError> {
         let left = after.members.iter().filter(|member| !member.drain).count();
         let needed = after.members.len() / 2 + 1;
@@ -182,7 +182,7 @@
         Ok(())
     }
 
-    /// Asks for a primary and waits for it.
+    /// Adds the steps that request the member `to` as the primary and wait until the primary has moved.
     fn request_move(&mut self, lead: ParsedObject<LeadRecord>, to: &str) {
         let (group, from) = (lead.name.clone(), lead.body.primary.clone());
         if !lead.body.wanted.is_empty() {
@@ -195,7 +195,7 @@
         self.steps.push(Step::AwaitPrimary { group, from, to: to.to_owned() });
     }
 
-    /// Withdraws the wish for another primary, so that the present one stays.
+    /// Adds the step that cancels a requested move, so that the current primary stays.
     fn cancel_move(&mut self, lead: ParsedObject<LeadRecord>) {
         let (group, wanted) = (lead.name.clone(), lead.body.wanted.clone());
         self.warnings.push(Warning::WishReplaced { group, wanted });
@@ -356,7 +356,7 @@
     }
 }
 
-/// The member that is asked to lead where the operator names none: the first one in service.
+/// Returns the new primary if the operator names none: the first other member in service.
 fn successor<'a>(group: &str, spec: &'a GroupSpec, primary: &str) -> Result<&'a str, PlanError> {
     let mut members = spec.members.iter();
     let found = members.find(|member| !member.drain && member.target != primary);
--- a/crates/core/src/version/plan/step.rs
+++ b/crates/core/src/version/plan/step.rs
@@ -1,4 +1,4 @@
-//! The steps of a plan, and what the present state of its object means for a step.
+//! The steps of a plan, and the decision about a step by the current state of its object.
 
 use std::fmt;
 
@@ -11,12 +11,12 @@
 use crate::version::objects::ObjectKind;
 use crate::version::objects::StoredObject;
 
-/// A body that plans change. It names the plan that last changed it.
+/// A body that plans can change. It contains the id of the plan that last changed it.
 pub trait PlannedBody: Serialize + DeserializeOwned + Clone {
     /// The kind of the objects with this body.
     const KIND: ObjectKind;
 
-    /// The place of the id of the plan that last changed the object.
+    /// Returns the field with the id of the plan that last changed the object.
     fn plan_mut(&mut self) -> &mut String;
 }
 
@@ -39,16 +39,16 @@
     VmSpec = VmSpec;
 }
 
-/// The change of one object. Its bodies leave out the plans' ids.
+/// The change of one object. Its bodies don't contain plan ids.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Edit<T> {
     /// The object's name.
     pub name: String,
-    /// The version that the object must have; zero where it must not exist.
+    /// The version that the object must have; zero if it must not exist.
     pub base_version: u64,
-    /// What it holds now; nothing where it does not exist.
+    /// The current body; `None` if the object does not exist.
     pub before: Option<T>,
-    /// What it will hold; nothing where it is removed.
+    /// The new body; `None` to remove the object.
     pub after: Option<T>,
 }
 
@@ -56,7 +56,7 @@
 where
     T: PlannedBody,
 {
-    /// The change of the object `name`.
+    /// Creates the change of the object `name`.
     pub fn new(name: &str, base_version: u64, before: Option<T>, after: Option<T>) -> Edit<T> {
         let without_plan = |mut body: T| {
             body.plan_mut().clear();
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The new body as the plan writes it.
+    /// Returns the new body with the plan's id, or `None` for a removal.
     fn body(&self, plan_id: &str) -> Option<Value> {
         let mut body = self.after.clone()?;
         body.plan_mut().push_str(plan_id);
@@ -82,13 +82,13 @@
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Change {
-    /// Of a service.
+    /// The change of a service.
     Service(Edit<objects::ServiceSpec>),
-    /// Of a group.
+    /// The change of a group.
     Group(Edit<objects::GroupSpec>),
-    /// Of a group's lead record.
+    /// The change of a group's lead record.
     Lead(Edit<objects::LeadRecord>),
-    /// Of what is asked of a VM.
+    /// The change of the requested state of a VM.
     VmSpec(Edit<objects::VmSpec>),
 }
 
@@ -104,7 +104,7 @@
 }
 
 impl Change {
-    /// The kind of the object.
+    /// Returns the kind of the object.
     pub fn kind(&self) -> ObjectKind {
         match self {
             Change::Service(_) => ObjectKind::Service,
@@ -114,22 +114,22 @@
         }
     }
 
-    /// The name of the object.
+    /// Returns the name of the object.
     pub fn name(&self) -> &str {
         with_edit!(self, edit => &edit.name)
     }
 
-    /// The version that the object must have.
+    /// Returns the version that the object must have; zero if it must not exist.
     pub fn base_version(&self) -> u64 {
         with_edit!(self, edit => edit.base_version)
     }
 
-    /// Whether the object is removed.
+    /// Returns whether the change removes the object.
     pub fn removes(&self) -> bool {
         with_edit!(self, edit => edit.after.is_none())
     }
 
-    /// The fields that differ.
+    /// Returns the fields that the change modifies.
     pub fn differences(&self) -> Vec<Difference> {
         let (before, after) =
             with_edit!(self, edit => (to_json(&edit.before), to_json(&edit.after)));
@@ -155,7 +155,7 @@
     }
 }
 
-/// The id of the plan that last changed an object; empty for none.
+/// Returns the id of the plan that last changed an object; empty for none.
 pub fn last_plan(object: &StoredObject) -> &str {
     object.body.get("plan").and_then(Value::as_str).unwrap_or("")
 }
@@ -166,42 +166,42 @@
 pub enum Step {
     /// Changes an object.
     Change(Change),
-    /// Waits until another member than `from` leads the group.
+    /// Waits until a member other than `from` is the primary of the group.
     AwaitPrimary {
         /// The group.
         group: String,
-        /// The member that is to lead no longer.
+        /// The previous primary.
         from: String,
-        /// The member that is wanted.
+        /// The requested primary.
         to: String,
     },
 }
 
-/// What the present state of a step's object means for the step.
+/// The decision about a step by the current state of its object.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Verdict {
-    /// The step has taken effect.
+    /// The step is applied.
     Done,
-    /// The object is to be changed, or removed where there is no body.
+    /// The object has to be changed, or removed if there is no body.
     Write {
-        /// The version that it must have.
+        /// The version that the object must have.
         expected_version: u64,
         /// The new body.
         body: Option<Value>,
     },
-    /// The step waits for others.
+    /// The step waits for a change by others.
     Wait,
-    /// Another change came between.
+    /// A conflicting change was made.
     Superseded {
-        /// The version that the object has now; zero where it does not exist.
+        /// The current version of the object; zero if it does not exist.
         version: u64,
-        /// The plan that changed it last; empty where none did.
+        /// The id of the plan that last changed the object; empty for none.
         by: String,
     },
 }
 
 impl Step {
-    /// The object that the step changes or watches.
+    /// Returns the object that the step changes or waits for.
     pub fn object(&self) -> (ObjectKind, &str) {
         match self {
             Step::Change(change) => (change.kind(), change.name()),
@@ -209,12 +209,12 @@
         }
     }
 
-    /// Whether the step changes this object.
+    /// Returns whether the step changes this object.
     pub fn changes(&self, kind: ObjectKind, name: &str) -> bool {
         matches!(self, Step::Change(_)) && self.object() == (kind, name)
     }
 
-    /// What the present state of the step's object means for this step of the plan `plan_id`.
+    /// Decides about this step of the plan `plan_id` by the current state of the step's object.
     pub fn judge(&self, plan_id: &str, current: Option<&StoredObject>) -> Verdict {
         match self {
             Step::Change(change) => change.judge(plan_id, current),
@@ -230,19 +230,19 @@
     match lead {
         Some(lead) if !lead.primary.is_empty() && lead.primary != from => Verdict::Done,
         Some(lead) if lead.wanted == to || lead.primary.is_empty() => Verdict::Wait,
-        // The wish was withdrawn, by a driver that gave up or by an operator.
+        // The requested move was cancelled, by a driver that gave up or by an operator.
         _ => Verdict::Superseded { version, by },
     }
 }
 
-/// A field that a change gives another value.
+/// A field that a change modifies.
 #[derive(Clone, PartialEq, Debug, Serialize)]
 pub struct Difference {
-    /// The field, as `members[0].drain`; empty for the whole object.
+    /// The path of the field, such as `members[0].drain`; empty for the whole object.
     pub path: String,
-    /// Its value before; null where it had none.
+    /// The value before the change; null for none.
     pub before: Value,
-    /// Its value afterwards; null where it has none.
+    /// The value after the change; null for none.
     pub after: Value,
 }
 
--- a/crates/core/src/version/route_changes.rs
+++ b/crates/core/src/version/route_changes.rs
@@ -1,8 +1,8 @@
-//! What one who knows an earlier version of a configuration has to be sent.
+//! Incremental updates of a configuration for a receiver that has an earlier version.
 //!
-//! A configuration may have thousands of routes while versions mostly change one, so who knows one of
-//! the last versions is sent what changed since. With 2,800 routes that is 280 bytes instead of
-//! 457 KB for one route more (counted by the bytes that watchers send).
+//! A configuration may have thousands of routes while most versions change a single one, so a receiver that
+//! has one of the last versions gets only the changes since. With 2,800 routes, one added route takes
+//! 280 bytes instead of 457 KB (bytes sent by a watcher).
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -19,32 +19,32 @@
 use crate::version::routes::RouteTable;
 use crate::version::routes::ServiceLimits;
 
-/// How many versions are remembered to tell changes since. Who is told is one or two behind, and who is
-/// further behind is sent the whole. Each may take 1 MB and more.
+/// The number of stored versions that can be the base of changes. Receivers are usually one or two versions
+/// behind; one that is further behind gets the full configuration. Each version may take 1 MB or more.
 const MAX_VERSIONS: usize = 4;
 
-/// What changed from one version to a later one.
+/// The changes from one version to a later one.
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub struct RouteChanges {
-    /// The version that the changes are counted from.
+    /// The version that the changes apply to.
     pub base_version: u64,
-    /// The version that they lead to.
+    /// The version that results from the changes.
     pub version: u64,
     /// The routes that are new or changed.
     pub written: Vec<Arc<Route>>,
-    /// The database names that have no route any more.
+    /// The database names of removed routes.
     pub removed: Vec<Arc<str>>,
-    /// All services: they are few.
+    /// All services of the new version. There are few, so they are sent in full.
     pub services: FastMap<Arc<str>, ServiceLimits>,
-    /// How long a caller may rest inside a transaction, in milliseconds; zero for no bound.
+    /// The maximum idle time of a caller inside a transaction, in milliseconds; zero for no bound.
     pub transaction_idle_ms: u64,
-    /// What changed of the organisations; none where callers need no key.
+    /// The changes of organisations; `None` if callers need no key.
     #[serde(deserialize_with = "organisations::present")]
     pub organisations: Option<OrganisationChanges>,
 }
 
 impl RouteChanges {
-    /// The changes that lead from `base` to `next`.
+    /// Returns the changes that turn `base` into `next`.
     pub fn between(base: &RouteTable, next: &RouteTable) -> RouteChanges {
         RouteChanges {
             base_version: base.version,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The version that they lead to; none if `base` is not the version that they are counted from.
+    /// Returns `base` with the changes applied, or `None` if `base` is not the version they apply to.
     pub fn applied_to(&self, base: &RouteTable) -> Option<RouteTable> {
         if base.version != self.base_version {
             return None;
@@ -79,30 +79,30 @@
     }
 }
 
-/// What has to be sent to one who knows some version.
+/// The update for a receiver, depending on the version that it has.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum RoutesUpdate {
-    /// It knows the newest version, or a later one.
+    /// The receiver has the newest version or a later one.
     UpToDate,
-    /// What changed since.
+    /// The changes since the version of the receiver.
     Changes(RouteChanges),
-    /// All, since its version is not remembered.
+    /// The full configuration, since the version of the receiver is not stored.
     Full(Arc<RouteTable>),
 }
 
-/// The last versions of a configuration.
+/// The last versions of a configuration, at most [`MAX_VERSIONS`].
 #[derive(Clone, Debug, Default)]
 pub struct RecentVersions {
     tables: VecDeque<Arc<RouteTable>>,
 }
 
 impl RecentVersions {
-    /// The number of the newest version; zero if there is none.
+    /// Returns the number of the newest version; zero if there is none.
     pub fn newest_version(&self) -> u64 {
         self.tables.back().map_or(0, |newest| newest.version)
     }
 
-    /// Takes in a version, unless a later one is known. Returns whether it is the newest now.
+    /// Adds a version if it is newer than all stored ones. Returns whether it was added.
     pub fn push(&mut self, table: &Arc<RouteTable>) -> bool {
         if table.version <= self.newest_version() {
             return false;
@@ -114,7 +114,8 @@
         true
     }
 
-    /// The version that changes are told since to one who knows this version; zero if it is sent the whole.
+    /// Returns the base of the changes for a receiver that has `known_version`; zero if it gets the full
+    /// configuration.
     pub fn base_version_for(&self, known_version: u64) -> u64 {
         match self.tables.iter().any(|table| table.version == known_version) {
             true => known_version,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// What has to be sent to one who knows this version; zero for one who knows none.
+    /// Returns the update for a receiver that has `known_version`; zero stands for no version.
     pub fn since(&self, known_version: u64) -> RoutesUpdate {
         let Some(newest) = self.tables.back() else { return RoutesUpdate::UpToDate };
         if newest.version <= known_version {
--- a/crates/core/src/version/routes.rs
+++ b/crates/core/src/version/routes.rs
@@ -1,8 +1,8 @@
-//! A configuration by routes, and the targets that register themselves.
+//! A configuration that consists of routes, and the records of targets that register themselves.
 //!
-//! Here a route names a database for callers and the rules of its reads, and targets announce
-//! themselves, with the role that each believes it has. Nobody writes down the members of a group:
-//! they are the targets of one service that are listed.
+//! A route maps a database name to a service and defines the consistency of its reads. Targets
+//! register themselves with the role that each believes it has. The members of a group are not
+//! configured: they are the registered targets of one service.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,25 +14,25 @@
 use crate::version::organisations;
 use crate::version::organisations::Organisations;
 
-/// The rule for the reads of a route.
+/// The consistency of the reads of a route.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum ReadRule {
-    /// A read sees all that was acknowledged before it.
+    /// A read sees everything that was acknowledged before it.
     Primary,
-    /// A read sees all that was acknowledged longer ago than this.
+    /// A read sees everything that was acknowledged longer ago than the bound.
     BoundedStaleness {
         /// The bound, in milliseconds.
         max_age_ms: u64,
     },
-    /// As with bounded staleness, and all that the same session was told is committed.
+    /// Bounded staleness; a read also sees all commits acknowledged to the same session.
     ReadYourWrites {
-        /// The bound for what others wrote, in milliseconds.
+        /// The bound for commits of other sessions, in milliseconds.
         max_age_ms: u64,
     },
 }
 
 impl ReadRule {
-    /// How old the data of a read may be, in milliseconds; zero where it may not be old at all.
+    /// Returns the maximum age of the data of a read, in milliseconds; zero if no staleness is allowed.
     pub fn max_age_ms(self) -> u64 {
         match self {
             ReadRule::Primary => 0,
@@ -43,78 +43,78 @@
     }
 }
 
-/// What callers of one database name get.
+/// The route of one database name.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Route {
-    /// The name that callers connect to.
+    /// The database name that callers connect to.
     pub database: Arc<str>,
-    /// The service whose targets answer.
+    /// The service whose targets serve the database.
     pub service: Arc<str>,
-    /// The rule for reads.
+    /// The consistency of reads.
     pub reads: ReadRule,
-    /// The time limit of one statement.
+    /// The time limit of one statement, in milliseconds.
     pub timeout_ms: u64,
-    /// The time within which an operation should be answered.
+    /// The objective for the latency of an operation, in milliseconds.
     pub objective_ms: u64,
-    /// Precedence: 0 is the highest.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// Whether callers need no key.
+    /// Whether callers of this route need no key.
     #[serde(default)]
     pub is_public: bool,
 }
 
-/// What holds for all targets of one service.
+/// The limits of all targets of one service.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct ServiceLimits {
-    /// How many connections a target accepts from all callers together.
+    /// The maximum number of connections that a target accepts.
     pub max_connections: u32,
-    /// How many replicas must have received a commit before it is acknowledged.
+    /// The number of replicas that must receive a commit before it is acknowledged.
     pub sync_replicas: u32,
 }
 
 /// One version of the configuration.
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub struct RouteTable {
-    /// Grows with each version.
+    /// The number of the version, which grows with each change.
     pub version: u64,
-    /// Routes by database name.
+    /// The routes by database name.
     pub routes: FastMap<Arc<str>, Arc<Route>>,
-    /// Services by name.
+    /// The services by name.
     pub services: FastMap<Arc<str>, ServiceLimits>,
-    /// How long a caller may rest inside a transaction, in milliseconds; zero for no bound.
+    /// The maximum idle time of a caller inside a transaction, in milliseconds; zero for no bound.
     pub transaction_idle_ms: u64,
-    /// The organisations; none where callers need no key at all.
+    /// The organisations; `None` if callers need no key on any route.
     #[serde(deserialize_with = "organisations::present")]
     pub organisations: Option<Organisations>,
 }
 
-/// What a target believes it is.
+/// The replication role that a target believes it has.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum TargetRole {
-    /// It leads its service.
+    /// It is the primary of its service.
     Primary,
-    /// It follows another target.
+    /// It replicates from another target.
     Replica,
 }
 
-/// One registered target.
+/// The record of a registered target.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct TargetRecord {
-    /// Names this start of the target and no other: one that starts again holds and knows nothing of
-    /// before, so it counts as another member.
+    /// The id of this start of the target. A restarted target has lost its data and its knowledge of
+    /// terms, so it gets another id and counts as another member.
     pub id: Arc<str>,
-    /// The name that it is listed and called by, which a later start may have again.
+    /// The name of the target. A restarted target may have the same name.
     pub name: Arc<str>,
-    /// Its service.
+    /// The service that the target belongs to.
     pub service: Arc<str>,
-    /// Where it listens. Addresses are used again by others after it has gone.
+    /// The address on which it listens. Another target may reuse it after this one is removed.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The availability zone of the target.
     pub zone: Arc<str>,
-    /// How many statements it runs at once.
+    /// The maximum number of statements that it runs concurrently.
     pub slots: u32,
-    /// Whether it announced that it will stop.
+    /// Whether it announced that it is about to stop.
     pub leaving: bool,
-    /// What it believes it is.
+    /// The role that it believes it has.
     pub role: TargetRole,
 }
--- a/crates/core/src/version/spreading.rs
+++ b/crates/core/src/version/spreading.rs
@@ -1,56 +1,55 @@
-//! How versions of the configuration spread between proxies without ever going back.
+//! Propagation of configuration versions between proxies, which never reverts to an older version.
 //!
-//! A version is accepted when the platform's conditional update took it, and the store's revision
-//! orders versions. Each message between proxies carries the sender's revision: the lower side
-//! pulls. The highest revision seen wins everywhere, and a lower one is never put in force, also
-//! not when it comes from the platform itself: a replica of the store that lags, or one that was
-//! restored from a copy, would otherwise take back what operators were told is in force.
+//! A version is accepted once the platform has applied its conditional update, and the store's
+//! revision orders versions. Each message between proxies carries the sender's revision, and the
+//! proxy with the lower revision pulls. The highest revision wins everywhere. A lower one is never put
+//! in force, even if the platform itself returns it: a lagging replica of the store, or a store that was
+//! restored from a backup, would otherwise revert a change that was confirmed to an operator.
 
 use crate::process::jitter;
 
-/// How many peers a VM that starts without the platform asks.
+/// The number of peers that a VM asks if it starts while the platform is unreachable.
 pub const START_PEERS: usize = 3;
 
-/// How long a pull from a peer is waited for before another peer is asked. A snapshot of 1 MB takes a few
-/// seconds over a link of 10 Mbit/s that carries other things as well. A shorter time would have pulls of
-/// the same snapshot run beside each other there, and each slow the others down. One that fails ends at
-/// once.
+/// The time limit of a pull from a peer, after which another peer is asked. A snapshot of 1 MB takes a few
+/// seconds over a shared link of 10 Mbit/s. With a shorter limit, pulls of the same snapshot would run
+/// concurrently there and slow each other down. A pull that fails ends immediately.
 pub const PULL_TIMEOUT_US: u64 = 5_000_000;
 
-/// Where a snapshot came from.
+/// The source of a snapshot.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Source {
-    /// The platform's snapshot or watch.
+    /// The platform, by a snapshot or a watch.
     Platform,
-    /// A watcher of this zone passed it on.
+    /// A watcher in this zone, which relayed it.
     Watcher,
-    /// A peer answered a pull, or the question at the start.
+    /// A peer, as the answer to a pull or to the request at the start.
     Peer,
 }
 
-/// What to do with a snapshot that was offered.
+/// The decision about an offered snapshot.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum OfferVerdict {
-    /// Put it in force: it is newer than what is.
+    /// Put it in force: it is newer than the version in force.
     Take,
-    /// The objects are those in force. Its list of VMs, which carries no revision, may be newer.
+    /// Take only its list of VMs, which has no revision and may be newer. The objects are those in force.
     TakeVmsOnly,
-    /// It is older than what is in force.
+    /// Ignore it: it is older than the version in force, or has the same revision and comes from a peer.
     IgnoreOlder,
 }
 
-/// What to do on seeing another proxy's revision.
+/// The reaction to the revision of another proxy.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum PeerAction {
-    /// Ask that peer for its snapshot.
+    /// Request the snapshot of that peer.
     Pull,
-    /// Tell that peer our revision, so that it pulls.
+    /// Send this proxy's revision to that peer, so that it pulls.
     SendRevision,
     /// Nothing to do.
     Nothing,
 }
 
-/// The revision in force here, and the pull under way.
+/// The revision in force, and the pull in progress.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct Spreading {
     revision: u64,
@@ -58,7 +57,7 @@
     pull: Option<Pull>,
 }
 
-/// A pull under way.
+/// A pull in progress.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct Pull {
     revision: u64,
@@ -66,22 +65,22 @@
 }
 
 impl Spreading {
-    /// Nothing is in force yet.
+    /// Creates the state of a proxy without a version in force.
     pub fn new() -> Spreading {
         Spreading::default()
     }
 
-    /// The revision in force; zero before the first.
+    /// Returns the revision in force; zero before the first one.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Whether a version is in force, so that callers can be served.
+    /// Returns whether a version is in force, so that callers can be served.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Judges a snapshot of `revision`. On [`OfferVerdict::Take`] the revision counts as in force.
+    /// Decides about a snapshot of `revision`. [`OfferVerdict::Take`] makes the revision the one in force.
     pub fn judge_offer(&mut self, revision: u64, source: Source) -> OfferVerdict {
         if !self.ready || revision > self.revision {
             self.revision = revision;
@@ -89,18 +88,18 @@
             self.pull = self.pull.filter(|pull| pull.revision > revision);
             return OfferVerdict::Take;
         }
-        // Lists of VMs have no order among each other. A peer's may be any old; the platform's and
-        // the watchers' are as fresh as can be had.
+        // Lists of VMs have no revision to order them by. A peer's list may be arbitrarily old; those of the
+        // platform and of watchers are the freshest available.
         match revision == self.revision && source != Source::Peer {
             true => OfferVerdict::TakeVmsOnly,
             false => OfferVerdict::IgnoreOlder,
         }
     }
 
-    /// Decides what to do on a peer's message that carried `revision`.
+    /// Decides how to react to a peer's message that carries `revision`.
     ///
-    /// One pull is under way at a time: when a version comes out, hundreds of messages show it
-    /// within a second, and each would cost a snapshot.
+    /// Only one pull runs at a time: after a new version, hundreds of messages with its revision arrive
+    /// within a second, and each would cause the transfer of a snapshot.
     pub fn peer_seen(&mut self, revision: u64, now_us: u64) -> PeerAction {
         if revision < self.revision {
             return PeerAction::SendRevision;
@@ -116,12 +115,12 @@
         PeerAction::Pull
     }
 
-    /// A pull failed: the next message from a newer peer starts another one.
+    /// Records that the pull failed. The next message from a newer peer starts another one.
     pub fn pull_failed(&mut self) {
         self.pull = None;
     }
 
-    /// Every violated invariant.
+    /// Returns a description of every violated invariant.
     pub fn verify(&self) -> Vec<String> {
         let mut problems = Vec::new();
         if !self.ready && self.revision != 0 {
@@ -134,11 +133,11 @@
     }
 }
 
-/// The choice of a first version among peers, for a VM that starts while the platform is down.
+/// The selection of a first version from peers, for a VM that starts while the platform is down.
 ///
-/// A single peer may be one that was cut off and is behind. The highest answer of several is taken;
-/// when fewer answer until the deadline, the highest of those, since a version that was accepted
-/// once is better than none, and the next message from a peer corrects it.
+/// A single peer may have been partitioned away and be outdated, so the highest revision of several answers
+/// is taken. If fewer peers answer by the deadline, the highest of those is taken: any accepted version is
+/// better than none, and the next message from a peer corrects it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct StartChoice {
     asked: usize,
@@ -147,31 +146,31 @@
     best: Option<Best>,
 }
 
-/// The highest answer so far.
+/// The answer with the highest revision so far.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct Best {
     revision: u64,
     peer: usize,
 }
 
-/// What the choice says now.
+/// The state of the selection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StartVerdict {
     /// Wait for more answers, or until the deadline.
     Wait,
-    /// Take the snapshot of this peer, by its place among those asked.
+    /// Take the snapshot of this peer, given by its index among the peers asked.
     Take(usize),
-    /// No peer has a version: ask others, and the platform again.
+    /// No peer has a version: retry with other peers and the platform.
     AskAgain,
 }
 
 impl StartChoice {
-    /// Asks `asked` peers and waits for their answers until `deadline_us`.
+    /// Creates the selection among `asked` peers, which have to answer by `deadline_us`.
     pub fn new(asked: usize, deadline_us: u64) -> StartChoice {
         StartChoice { asked, answered: 0, deadline_us, best: None }
     }
 
-    /// A peer answered with its revision; zero when it has no version itself.
+    /// Records the revision of a peer; zero if the peer has no version.
     pub fn answered(&mut self, peer: usize, revision: u64) {
         self.answered += 1;
         let better = self.best.is_none_or(|best| revision > best.revision);
@@ -180,12 +179,12 @@
         }
     }
 
-    /// A peer can't be asked.
+    /// Records that a peer could not be asked.
     pub fn failed(&mut self) {
         self.answered += 1;
     }
 
-    /// What to do at `now_us`.
+    /// Returns the decision at `now_us`.
     pub fn verdict(&self, now_us: u64) -> StartVerdict {
         let waiting = self.answered < self.asked && now_us < self.deadline_us;
         match self.best {
@@ -196,8 +195,8 @@
     }
 }
 
-/// Chooses up to `count` of `candidates` to ask at the start, spread by the asker's seed so that a
-/// rack of VMs that starts at once does not ask the same three.
+/// Chooses up to `count` of `candidates` peers to ask at the start. The choice depends on `seed`, so that
+/// VMs that start at the same time don't all ask the same peers.
 pub fn choose_start_peers(candidates: usize, count: usize, seed: u64) -> Vec<usize> {
     let mut indices: Vec<usize> = (0..candidates).collect();
     let count = count.min(candidates);
--- a/crates/core/src/version/topology.rs
+++ b/crates/core/src/version/topology.rs
@@ -1,7 +1,7 @@
 //! One immutable version of the configuration, with names resolved to dense indices.
 //!
-//! Built by the control thread from a [`Snapshot`] and shared with the traffic threads. An object
-//! that can't be read is left out and reported, so that one bad object does not stop the others.
+//! The control thread builds it from a [`Snapshot`] and shares it with the traffic threads. Invalid
+//! objects are skipped and reported in [`Topology::problems`], so that they don't affect the others.
 
 use std::fmt;
 
@@ -31,13 +31,13 @@
 }
 
 impl Service {
-    /// The read kind with this name.
+    /// Returns the read kind with this name.
     pub fn read_kind(&self, name: &str) -> Option<ReadKindId> {
         let index = self.read_kinds.iter().position(|kind| kind.name == name)?;
         Some(ReadKindId(index as u32))
     }
 
-    /// The class with this name.
+    /// Returns the class with this name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         let index = self.classes.iter().position(|class| class.name == name)?;
         Some(ClassId(index as u32))
@@ -47,20 +47,20 @@
 /// A group of this version.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Group {
-    /// The group's name, which callers give as their database.
+    /// The group's name, which callers use as the name of their database.
     pub name: String,
-    /// The place of the group's service in [`Topology::services`].
+    /// The index of the group's service in [`Topology::services`].
     pub service: usize,
     /// The members.
     pub members: Vec<TargetId>,
-    /// The store's version of the group's object.
+    /// The version of the group's object in the store.
     pub version: u64,
-    /// The lead record, where one exists, with the store's version of it.
+    /// The lead record, if one exists, with its version in the store.
     pub lead: Option<(u64, objects::LeadRecord)>,
 }
 
 impl Group {
-    /// How many members make a majority.
+    /// Returns the number of members that form a majority.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
@@ -75,13 +75,13 @@
     pub group: GroupId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// IP address and port.
+    /// The IP address and port.
     pub address: String,
-    /// How many statements it runs at once.
+    /// The maximum number of statements that it runs concurrently.
     pub slots: u32,
-    /// How many caller connections it accepts in all.
+    /// The maximum number of caller connections that it accepts.
     pub connections: u32,
-    /// Whether an operator drains it.
+    /// Whether an operator drains the target.
     pub drain: bool,
 }
 
@@ -92,22 +92,22 @@
     pub name: String,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// IP address and port for statements.
+    /// The IP address and port for statements.
     pub address: String,
-    /// IP address and port for control.
+    /// The IP address and port of the control endpoint.
     pub control_address: String,
     /// Whether the platform lists it as leaving or an operator drains it.
     pub leaving: bool,
 }
 
-/// Why an object is left out of a topology.
+/// The reason why an object was skipped in a topology.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct TopologyProblem {
     /// The kind of the object.
     pub kind: ObjectKind,
-    /// Its name.
+    /// The object's name.
     pub name: String,
-    /// What is wrong with it.
+    /// The error in the object.
     pub reason: String,
 }
 
@@ -120,7 +120,7 @@
 /// One version of the configuration.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Topology {
-    /// The store's revision that this version was read at.
+    /// The store's revision at which this version was read.
     pub revision: u64,
     /// The services.
     pub services: Vec<Service>,
@@ -132,7 +132,7 @@
     pub vms: Vec<Vm>,
     /// The names of the availability zones, indexed by [`ZoneId`].
     pub zones: Vec<String>,
-    /// The objects that were left out.
+    /// The invalid objects that were skipped.
     pub problems: Vec<TopologyProblem>,
     group_by_name: FastMap<String, GroupId>,
     target_by_name: FastMap<String, TargetId>,
@@ -140,11 +140,11 @@
 }
 
 impl Topology {
-    /// Resolves a snapshot.
+    /// Builds the topology of a snapshot.
     pub fn build(snapshot: &Snapshot) -> Topology {
         let mut topology = Topology { revision: snapshot.revision, ..Topology::default() };
-        // The order of the snapshot must not show in the indices: two proxies with the same
-        // revision number their entities alike.
+        // Sorted, so that the indices don't depend on the order of the snapshot: two proxies with the same
+        // revision assign the same indices.
         let mut sorted: Vec<&StoredObject> =
             snapshot.objects.iter().filter(|object| !object.deleted).collect();
         sorted.sort_by(|a, b| a.name.cmp(&b.name));
@@ -165,48 +165,48 @@
         topology
     }
 
-    /// The group with this name.
+    /// Returns the group with this name.
     pub fn group_id(&self, name: &str) -> Option<GroupId> {
         self.group_by_name.get(name).copied()
     }
 
-    /// The target with this name.
+    /// Returns the target with this name.
     pub fn target_id(&self, name: &str) -> Option<TargetId> {
         self.target_by_name.get(name).copied()
     }
 
-    /// The VM with this name.
+    /// Returns the VM with this name.
     pub fn vm_id(&self, name: &str) -> Option<VmId> {
         self.vm_by_name.get(name).copied()
     }
 
-    /// The zone with this name.
+    /// Returns the zone with this name.
     pub fn zone_id(&self, name: &str) -> Option<ZoneId> {
         let index = self.zones.iter().position(|zone| zone == name)?;
         Some(ZoneId(index as u32))
     }
 
-    /// The group behind an index of this version.
+    /// Returns the group with an index of this version.
     pub fn group(&self, group: GroupId) -> &Group {
         &self.groups[group.index()]
     }
 
-    /// The target behind an index of this version.
+    /// Returns the target with an index of this version.
     pub fn target(&self, target: TargetId) -> &Target {
         &self.targets[target.index()]
     }
 
-    /// The VM behind an index of this version.
+    /// Returns the VM with an index of this version.
     pub fn vm(&self, vm: VmId) -> &Vm {
         &self.vms[vm.index()]
     }
 
-    /// The service of a group.
+    /// Returns the service of a group.
     pub fn service_of(&self, group: GroupId) -> &Service {
         &self.services[self.group(group).service]
     }
 
-    /// Every group's index.
+    /// Iterates over the indices of all groups.
     pub fn group_ids(&self) -> impl Iterator<Item = GroupId> + use<> {
         (0..self.groups.len() as u32).map(GroupId)
     }
@@ -313,7 +313,7 @@
 
     fn add_vm_spec(&mut self, object: &StoredObject) {
         let Some(spec) = self.parse::<objects::VmSpec>(object) else { return };
-        // A VM that the lagging list has not or no longer is no problem of the operators'.
+        // The list of VMs is eventually consistent, so a missing VM is not reported as a problem.
         if let Some(vm) = self.vm_id(&object.name) {
             self.vms[vm.index()].leaving |= spec.drain;
         }
