--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -27,10 +27,10 @@
 
 const GROUP: &str = "loans-a";
 /// The virtual time of one turn of the loop: one message each way fits in.
-const TURN_US: u64 = 3_000;
-const WRITE_TURNS: u64 = 150;
-const DEATH_TURN: u64 = 120;
-const LAST_TURN: u64 = 400;
+const TICK_US: u64 = 3_000;
+const FIRST_WRITE_TICKS: u64 = 150;
+const CRASH_TICK: u64 = 120;
+const END_TICK: u64 = 400;
 
 /// A database that answers the control calls. A real one sits behind a connection.
 struct Member {
@@ -104,35 +104,35 @@
         floors: Floors::default(),
         pending: Vec::new(),
     };
-    for turn in 0..LAST_TURN {
-        embedder.turn(turn);
+    for tick in 0..END_TICK {
+        embedder.tick(tick);
     }
     embedder.read();
 }
 
 impl Embedder {
-    fn turn(&mut self, turn: u64) {
-        self.now_us += TURN_US;
-        if turn == DEATH_TURN {
+    fn tick(&mut self, tick: u64) {
+        self.now_us += TICK_US;
+        if tick == CRASH_TICK {
             let leader = self.driver.announced().expect("a primary by now");
             self.members[leader.member].alive = false;
-            self.say(&format!("the primary, member {}, dies", leader.member));
+            self.print(&format!("the primary, member {}, dies", leader.member));
         }
         if self.timer_us.is_some_and(|at_us| at_us <= self.now_us) {
             self.timer_us = None;
-            self.tell(Event::Timer);
+            self.handle_event(Event::Timer);
         }
         self.replicate();
         self.probe();
         self.detect();
-        let pause = WRITE_TURNS..LAST_TURN - 50;
-        if turn.is_multiple_of(10) && !pause.contains(&turn) {
+        let write_pause = FIRST_WRITE_TICKS..END_TICK - 50;
+        if tick.is_multiple_of(10) && !write_pause.contains(&tick) {
             self.write();
         }
     }
 
     /// Gives an event to the driver and carries out what it asks for.
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.driver.on_event(self.now_us, &event, &mut actions);
         for action in actions {
@@ -146,25 +146,25 @@
             Action::CallMember { member, call } => {
                 let name = self.driver.name().to_owned();
                 if !self.members[member].alive {
-                    return self.tell(Event::MemberFailed { member, call });
+                    return self.handle_event(Event::MemberFailed { member, call });
                 }
                 self.members[member].call(&name, call);
                 let status = self.members[member].status.clone();
-                self.tell(Event::MemberAnswer { member, call, status });
+                self.handle_event(Event::MemberAnswer { member, call, status });
             }
             // There is no platform in this example, so the members' votes decide alone.
             Action::UpdateLead { call, .. } | Action::ReadLead { call } => {
-                self.tell(Event::Platform { call, answer: PlatformAnswer::NoAnswer });
+                self.handle_event(Event::Platform { call, answer: PlatformAnswer::NoAnswer });
             }
             Action::Announce { leader } => self.announce(leader),
             Action::SetTimer { at_us } => self.timer_us = Some(at_us),
             Action::HoldWrites | Action::ReleaseWrites => {}
-            Action::Trace { step, term } => self.say(&format!("  {step:?}, term {term}")),
+            Action::Trace { step, term } => self.print(&format!("  {step:?}, term {term}")),
         }
     }
 
     fn announce(&mut self, leader: Leader) {
-        self.say(&format!("member {} leads term {}", leader.member, leader.term));
+        self.print(&format!("member {} leads term {}", leader.member, leader.term));
         self.detector = Some(PrimaryDetector::new(
             DetectionSettings::default(),
             self.now_us,
@@ -200,21 +200,21 @@
             if let Some(detector) = &mut self.detector {
                 detector.report(self.now_us, member, &status);
             }
-            self.tell(Event::Report { member, status });
+            self.handle_event(Event::Report { member, status });
         }
     }
 
     fn detect(&mut self) {
         let Some(detector) = &mut self.detector else { return };
         if self.members[detector.primary()].alive {
-            detector.evidence(self.now_us, Evidence::Answered { round_trip_us: TURN_US });
+            detector.evidence(self.now_us, Evidence::Answered { round_trip_us: TICK_US });
         }
         let verdict = detector.verdict(self.now_us, self.driver.members());
         let term = detector.term();
         if let Verdict::Suspected(suspicion) = verdict {
-            self.say(&format!("the primary is suspected: {suspicion:?}"));
+            self.print(&format!("the primary is suspected: {suspicion:?}"));
             self.detector = None;
-            self.tell(Event::Suspected { term });
+            self.handle_event(Event::Suspected { term });
         }
     }
 
@@ -223,7 +223,7 @@
         let stalled =
             self.driver.acknowledgement().stalled(self.now_us, leader.member, leader.term);
         if stalled || !self.members[leader.member].alive {
-            return self.say("a write is refused, not run");
+            return self.print("a write is refused, not run");
         }
         self.members[leader.member].append(leader.term);
         self.pending.push(self.members[leader.member].status.log);
@@ -239,7 +239,7 @@
         self.pending = waiting;
         for position in done {
             self.floors.raise(GROUP, position).expect("one group fits a token");
-            self.say(&format!("write {position} is acknowledged, token {}", self.floors));
+            self.print(&format!("write {position} is acknowledged, token {}", self.floors));
         }
     }
 
@@ -247,12 +247,12 @@
         let floor = self.floors.get(GROUP);
         for (member, state) in self.members.iter().enumerate() {
             let serves = state.alive && state.status.applied.covers(floor);
-            self.say(&format!("member {member} may serve the session's next read: {serves}"));
+            self.print(&format!("member {member} may serve the session's next read: {serves}"));
         }
     }
 
     #[allow(clippy::print_stdout)]
-    fn say(&self, text: &str) {
+    fn print(&self, text: &str) {
         println!("{:>7.1} ms  {text}", self.now_us as f64 / 1_000.0);
     }
 }
--- a/crates/core/tests/organisations.rs
+++ b/crates/core/tests/organisations.rs
@@ -23,7 +23,7 @@
 
 /// A key that moves, one that is withdrawn, and one that stays.
 #[test]
-fn each_version_says_who_holds_a_key() {
+fn each_version_maps_keys_to_holders() {
     let before = organisations(&[("lake", &["a", "b"]), ("hill", &["c"])]);
     let after = organisations(&[("lake", &["a"]), ("hill", &["b"])]);
     assert_eq!(
@@ -39,7 +39,7 @@
 
 /// Sessions are only looked at when a key went: added keys and changed limits end none.
 #[test]
-fn an_added_key_withdraws_none() {
+fn adding_a_key_revokes_none() {
     let before = organisations(&[("lake", &["a"])]);
     assert!(!before.any_key_revoked_in(&organisations(&[("lake", &["a", "b"]), ("hill", &["c"])])));
     assert!(!before.any_key_revoked_in(&before));
@@ -75,20 +75,23 @@
 
 /// Versions travel between VMs as JSON, and keys are in none of it.
 #[test]
-fn what_is_passed_on_holds_no_keys() {
-    let known = organisations(&[("lake", &["iikdrbn4ryrbbkf83fgf"])]);
-    let text = serde_json::to_string(&known).expect("it can be written");
+fn serialized_organisations_contain_no_keys() {
+    let original = organisations(&[("lake", &["iikdrbn4ryrbbkf83fgf"])]);
+    let text = serde_json::to_string(&original).expect("it can be written");
     assert!(!text.contains("iikdrbn4"), "{text}");
-    assert_eq!(serde_json::from_str::<Organisations>(&text).expect("it can be read"), known);
-    assert!(!format!("{known:?}").contains("iikdrbn4"));
+    assert_eq!(
+        serde_json::from_str::<Organisations>(&text).expect("it can be read"),
+        original
+    );
+    assert!(!format!("{original:?}").contains("iikdrbn4"));
 }
 
 /// While VMs are replaced by a newer version one after the other, a VM may be told by one of the older version, which
 /// knows no organisations. What it tells is not taken for a configuration in which nobody needs a key.
 #[test]
-fn a_version_that_leaves_organisations_out_is_not_read() {
-    let told = r#"{"version":7,"routes":{},"services":{},"transaction_idle_ms":0}"#;
-    assert!(serde_json::from_str::<RouteTable>(told).is_err());
+fn a_version_without_the_organisations_field_is_rejected() {
+    let omitted = r#"{"version":7,"routes":{},"services":{},"transaction_idle_ms":0}"#;
+    assert!(serde_json::from_str::<RouteTable>(omitted).is_err());
     let table = RouteTable::default();
     let text = serde_json::to_string(&table).expect("it can be written");
     assert_eq!(serde_json::from_str::<RouteTable>(&text).expect("it can be read"), table);
--- a/crates/core/tests/plan_cases.rs
+++ b/crates/core/tests/plan_cases.rs
@@ -28,8 +28,8 @@
     let mut snapshot: Snapshot = serde_json::from_str(&read("base.json")).expect("base.json");
     let mut intent: Option<Intent> = None;
     for line in input.lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
-        let (word, json) = line.split_once(' ').expect("a word and its JSON");
-        match word {
+        let (keyword, json) = line.split_once(' ').expect("a word and its JSON");
+        match keyword {
             "put" => put(&mut snapshot, serde_json::from_str(json).expect("an object")),
             "vms" => snapshot.vms = serde_json::from_str(json).expect("a list of VMs"),
             "intent" => intent = Some(serde_json::from_str(json).expect("an intent")),
@@ -41,11 +41,11 @@
     // The order of a snapshot's objects is arbitrary; the plan and its id must not depend on it.
     snapshot.objects.reverse();
     assert_eq!(planner::plan(&intent, &snapshot), planned, "plan on the reversed snapshot");
-    let found = match planned {
+    let actual = match planned {
         Ok(plan) => plan.to_string(),
         Err(error) => format!("error: {error}\n"),
     };
-    assert_eq!(found, expected, "outcome of {name}");
+    assert_eq!(actual, expected, "outcome of {name}");
 }
 
 macro_rules! cases {
--- a/crates/core/tests/plan_confirmation.rs
+++ b/crates/core/tests/plan_confirmation.rs
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn overwritten_before_read_back() {
+fn overwritten_before_the_object_is_read() {
     // The first operator's change takes, and its answer is lost. Before the tool reads back, a
     // second operator plans on the new state and confirms. The object now carries the second
     // plan's id only. The first operator must not be told that the plan was superseded: whoever
@@ -340,7 +340,7 @@
 }
 
 #[test]
-fn withdrawn_move_is_superseded() {
+fn cancelled_move_is_superseded() {
     // The driver gives the move up and clears the wish. The drain must not wait for ever, and must
     // not drain a target that still leads.
     let mut store = Store::new();
@@ -364,15 +364,15 @@
     // removal did not take.
     let mut store = Store::new();
     let plan = store.propose(&removal());
-    let rival = store.propose(&drain("g-b"));
+    let conflicting = store.propose(&drain("g-b"));
     let mut confirmation = Confirmation::new(&plan.id);
     store.act_until_change(&mut confirmation);
-    assert_eq!(store.finish(&mut Confirmation::new(&rival.id)), APPLIED);
+    assert_eq!(store.finish(&mut Confirmation::new(&conflicting.id)), APPLIED);
     assert_eq!(superseded_after(&store.finish(&mut confirmation)), Some(0));
 }
 
 #[test]
-fn removal_added_again_before_read_back() {
+fn removed_group_added_again_before_the_object_is_read() {
     // The removal takes and its answer is lost; another operator adds the group again before the
     // tool reads back. Nothing proves whose removal it was, so the answer is "not known", and the
     // new group is left alone.
@@ -491,7 +491,7 @@
 }
 
 #[test]
-fn random_operators_learn_the_truth() {
+fn random_confirmations_report_the_actual_result() {
     // Three operators plan and confirm on the same objects; calls and answers are lost, tools die
     // and are started again, drivers write in between. Afterwards each plan's confirmation is asked
     // again: `applied` if and only if its changes were written, each exactly once.
--- a/crates/core/tests/position_demand.rs
+++ b/crates/core/tests/position_demand.rs
@@ -7,58 +7,60 @@
 use skylark_core::request::position_demand::WINDOW_US;
 
 /// How often it is looked whether a position is to be brought.
-const LOOK_US: u64 = 100_000;
+const CHECK_INTERVAL_US: u64 = 100_000;
 
 /// How many positions are brought within `span_us`, with a read at each of these times.
-fn brought(tells_others: bool, reads_us: &[u64], span_us: u64, arrives: bool) -> usize {
-    let (mut demand, mut newest_us, mut brought) = (PositionDemand::default(), None, 0);
-    for now_us in (0..span_us).step_by(LOOK_US as usize) {
-        let due = reads_us.iter().filter(|read_us| (now_us..now_us + LOOK_US).contains(*read_us));
+fn prefetches(serves_peers: bool, reads_us: &[u64], span_us: u64, arrives: bool) -> usize {
+    let (mut demand, mut newest_us, mut prefetches) = (PositionDemand::default(), None, 0);
+    for now_us in (0..span_us).step_by(CHECK_INTERVAL_US as usize) {
+        let due = reads_us
+            .iter()
+            .filter(|read_us| (now_us..now_us + CHECK_INTERVAL_US).contains(*read_us));
         due.for_each(|read_us| demand.record_need(*read_us));
-        if demand.start_prefetch(tells_others, newest_us, now_us + LOOK_US) {
-            brought += 1;
-            newest_us = arrives.then_some(now_us + LOOK_US);
+        if demand.start_prefetch(serves_peers, newest_us, now_us + CHECK_INTERVAL_US) {
+            prefetches += 1;
+            newest_us = arrives.then_some(now_us + CHECK_INTERVAL_US);
         }
     }
-    brought
+    prefetches
 }
 
 /// 300 services, each read once in 23 s by a process: there were eight questions for each read.
 #[test]
-fn rare_reads_bring_nothing_ahead() {
-    assert_eq!(brought(false, &[1_000_000, 24_000_000, 47_000_000], 60_000_000, true), 0);
+fn rare_reads_cause_no_prefetch() {
+    assert_eq!(prefetches(false, &[1_000_000, 24_000_000, 47_000_000], 60_000_000, true), 0);
 }
 
 #[test]
-fn frequent_reads_bring_one_each_half_second() {
+fn frequent_reads_cause_a_prefetch_each_half_second() {
     let reads_us: Vec<u64> = (0..100).map(|number| number * 100_000).collect();
-    let brought = brought(false, &reads_us, 10_000_000, true);
-    assert!((18..=20).contains(&brought), "{brought} in ten seconds");
+    let prefetches = prefetches(false, &reads_us, 10_000_000, true);
+    assert!((18..=20).contains(&prefetches), "{prefetches} in ten seconds");
 }
 
 #[test]
-fn one_that_tells_others_goes_on_after_one_question() {
-    let brought = brought(true, &[0], 60_000_000, true);
-    assert!((7..=8).contains(&brought), "{brought} in {WINDOW_US} us");
+fn a_process_that_serves_peers_prefetches_after_one_request() {
+    let prefetches = prefetches(true, &[0], 60_000_000, true);
+    assert!((7..=8).contains(&prefetches), "{prefetches} in {WINDOW_US} us");
 }
 
 /// The primary is away. Questions that bring nothing are not asked more often: each VM asked ten times a
 /// second.
 #[test]
-fn what_brings_nothing_is_not_tried_more_often() {
+fn failing_prefetches_are_not_more_frequent() {
     let reads_us: Vec<u64> = (0..100).map(|number| number * 100_000).collect();
-    let brought = brought(false, &reads_us, 10_000_000, false);
-    assert!(brought as u64 <= 10_000_000 / SPACING_US, "{brought} in ten seconds");
+    let prefetches = prefetches(false, &reads_us, 10_000_000, false);
+    assert!(prefetches as u64 <= 10_000_000 / SPACING_US, "{prefetches} in ten seconds");
 }
 
 quickcheck! {
     /// Whatever the reads, no more are brought than one each half second of the windows after reads, so at
     /// most four for each read where each two bring them ahead.
-    fn questions_are_bounded_by_reads(reads: Vec<u16>, tells_others: bool) -> bool {
+    fn prefetches_are_bounded_by_reads(reads: Vec<u16>, serves_peers: bool) -> bool {
         let mut reads_us: Vec<u64> = reads.iter().map(|read| u64::from(*read) * 1_000).collect();
         reads_us.sort_unstable();
-        let brought = brought(tells_others, &reads_us, 70_000_000, true);
-        let needed = if tells_others { reads.len() } else { reads.len().saturating_sub(MIN_READS - 1) };
-        brought <= needed * (WINDOW_US / SPACING_US) as usize
+        let prefetches = prefetches(serves_peers, &reads_us, 70_000_000, true);
+        let needed = if serves_peers { reads.len() } else { reads.len().saturating_sub(MIN_READS - 1) };
+        prefetches <= needed * (WINDOW_US / SPACING_US) as usize
     }
 }
--- a/crates/core/tests/primary_positions.rs
+++ b/crates/core/tests/primary_positions.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_oldest_sample_that_is_young_enough_is_taken() {
+fn the_oldest_recent_enough_sample_is_used() {
     let mut positions = PrimaryPositions::default();
     for (number, time_us) in [(1, 0), (2, SPACING_US), (3, 2 * SPACING_US), (4, 3 * SPACING_US)] {
         positions.record(time_us, at(number));
@@ -25,7 +25,7 @@
 
 /// What another process is told is the same sample, with the time by which its age is reckoned.
 #[test]
-fn a_sample_is_told_with_the_time_at_which_it_was_taken() {
+fn a_sample_carries_the_time_at_which_it_was_taken() {
     let mut positions = PrimaryPositions::default();
     positions.record(SPACING_US, at(1));
     positions.record(3 * SPACING_US, at(2));
@@ -52,7 +52,7 @@
 /// ask it for positions. The primary is cut off; the new VM asks a home, which tells a position of
 /// 3.5 s ago. The VM's clock shows 2 s, has no time for that position, and called it 2 s old.
 #[test]
-fn a_position_from_before_the_clock_began_is_not_taken() {
+fn a_position_from_before_the_clock_started_is_rejected() {
     let mut positions = PrimaryPositions::default();
     let (asked_us, age_us) = (2_000_000, 3_500_000);
     assert_eq!(positions.told(asked_us, age_us, at(1)), Err(PositionError::BeforeClock));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_position_that_another_process_told_is_as_old_as_it_said() {
+fn a_position_of_another_process_has_the_reported_age() {
     let mut positions = PrimaryPositions::default();
     assert_eq!(positions.told(5_000_000, 3_500_000, at(1)), Ok(()));
     assert_eq!(positions.covering(1_500_000), Some(at(1)));
@@ -70,7 +70,7 @@
 
 /// For each time, what is said to cover it covers all that the primary had acknowledged by then.
 #[test]
-fn what_covers_a_time_has_all_that_was_acknowledged_by_then() {
+fn a_covering_position_includes_all_earlier_commits() {
     fn property(steps: Vec<(u16, u8)>, asked: u32) -> bool {
         let mut positions = PrimaryPositions::default();
         let mut log = Vec::new();
--- a/crates/core/tests/read_choice.rs
+++ b/crates/core/tests/read_choice.rs
@@ -16,36 +16,36 @@
 }
 
 macro_rules! choices {
-    ($($(#[$doc:meta])* $name:ident: $candidates:expr => $place:expr;)*) => {
+    ($($(#[$doc:meta])* $name:ident: $candidates:expr => $expected:expr;)*) => {
         $($(#[$doc])*
         #[test]
         fn $name() {
-            assert_eq!(read_choice::choose(&$candidates), $place);
+            assert_eq!(read_choice::choose(&$candidates), $expected);
         })*
     };
 }
 
 choices! {
-    nobody_serves_where_nobody_is: [] => None;
+    no_candidates_give_no_choice: [] => None;
     the_own_zone_is_preferred:
         [ReadCandidate { same_zone: false, ..candidate() }, candidate()] => Some(1);
     /// Two statements under way there triple the wait, which costs more than the other zone does.
-    a_busy_member_in_the_own_zone_is_not:
+    a_busy_member_in_the_own_zone_is_avoided:
         [ReadCandidate { same_zone: false, ..candidate() }, ReadCandidate { outstanding: 2, ..candidate() }]
         => Some(0);
-    the_primary_is_spared: [ReadCandidate { is_primary: true, ..candidate() }, candidate()] => Some(1);
+    a_replica_is_preferred_to_the_primary: [ReadCandidate { is_primary: true, ..candidate() }, candidate()] => Some(1);
     /// An organisation's connections lie at one replica, which is worth another zone's way.
-    an_organisations_own_choice_is_preferred:
+    the_preferred_member_of_the_organisation_wins:
         [ReadCandidate { is_preferred: false, ..candidate() }, ReadCandidate { same_zone: false, ..candidate() }]
         => Some(1);
     /// Its own choice has several statements under way, and a connection elsewhere takes less time than they do.
-    a_busy_choice_is_not:
+    a_busy_preferred_member_is_avoided:
         [ReadCandidate { is_preferred: false, ..candidate() }, ReadCandidate { outstanding: 3, ..candidate() }]
         => Some(0);
-    one_that_lags_comes_after_all_that_don_t:
+    a_lagging_member_ranks_after_all_others:
         [ReadCandidate { is_lagging: true, ..candidate() },
          ReadCandidate { same_zone: false, outstanding: 5, ..candidate() }] => Some(1);
-    one_that_fails_comes_last:
+    a_failing_member_ranks_last:
         [ReadCandidate { is_failing: true, ..candidate() }, ReadCandidate { is_lagging: true, ..candidate() }]
         => Some(1);
 }
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -10,7 +10,7 @@
 use skylark_core::request::retry::RetryVerdict;
 use skylark_core::request::retry::Stage;
 
-const LEFT_US: u64 = 1_000_000;
+const REMAINING_US: u64 = 1_000_000;
 
 const STAGES: [Stage; 6] = [
     Stage::Connecting,
@@ -26,7 +26,7 @@
 const CLAIMS: [Option<Outcome>; 4] =
     [None, Some(Outcome::NotRun), Some(Outcome::Ran), Some(Outcome::Unknown)];
 
-fn said(code: &str) -> Failure {
+fn reported(code: &str) -> Failure {
     let sqlstate = code.as_bytes().try_into().expect("five characters");
     Failure::Said { sqlstate, claimed: None }
 }
@@ -36,7 +36,7 @@
 }
 
 fn decide(attempt: &Attempt) -> RetryVerdict {
-    retry::decide(attempt, &RetryBudget::new(10, 10), LEFT_US)
+    retry::decide(attempt, &RetryBudget::new(10, 10), REMAINING_US)
 }
 
 macro_rules! verdicts {
@@ -63,24 +63,24 @@
     commit_not_sent: Commit, NothingSent, true, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
     read_sent: Read, Sent, false, Failure::Broken => RetryVerdict::Again;
-    read_answer_begun: Read, AnswerStarted, false, Failure::Broken => RetryVerdict::Again;
+    read_answer_started: Read, AnswerStarted, false, Failure::Broken => RetryVerdict::Again;
     // The caller has half of the rows: the other half of another run would cross the answers.
-    read_answer_passed_on: Read, AnswerRelayed, false, Failure::Broken
+    read_answer_relayed: Read, AnswerRelayed, false, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::AnswerLost);
     read_in_transaction: Read, Sent, true, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
     write_in_transaction: Write, Sent, true, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
-    not_primary: Write, Sent, false, said("25006") => RetryVerdict::Again;
-    fenced_at_commit: Commit, Sent, true, said("25006")
+    not_primary: Write, Sent, false, reported("25006") => RetryVerdict::Again;
+    fenced_at_commit: Commit, Sent, true, reported("25006")
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
-    leaving: Write, Sent, false, said("57P01") => RetryVerdict::Again;
-    leaving_at_connect: Write, Connecting, false, said("57P01") => RetryVerdict::Again;
-    cut_off_at_commit: Commit, Sent, true, said("57P01")
+    leaving: Write, Sent, false, reported("57P01") => RetryVerdict::Again;
+    leaving_at_connect: Write, Connecting, false, reported("57P01") => RetryVerdict::Again;
+    cut_off_at_commit: Commit, Sent, true, reported("57P01")
         => RetryVerdict::Answer(ErrorKind::AnswerLost);
-    too_many_connections: Write, Connecting, false, said("53300") => RetryVerdict::Again;
-    duplicate_key: Write, Sent, false, said("23505") => RetryVerdict::PassThrough;
-    serialization_failure: Commit, Sent, true, said("40001") => RetryVerdict::PassThrough;
+    too_many_connections: Write, Connecting, false, reported("53300") => RetryVerdict::Again;
+    duplicate_key: Write, Sent, false, reported("23505") => RetryVerdict::PassThrough;
+    serialization_failure: Commit, Sent, true, reported("40001") => RetryVerdict::PassThrough;
     home_is_overloaded: Read, Sent, false,
         Failure::Said { sqlstate: *b"53000", claimed: Some(Outcome::NotRun) }
         => RetryVerdict::PassThrough;
@@ -113,7 +113,7 @@
 // A booking runs twice. Whatever broke, and whoever said what: a request that may write and that was
 // sent whole is only sent again when its target or home said that it did not run.
 #[test]
-fn what_may_have_run_is_never_sent_again_unless_it_is_a_read() {
+fn only_reads_are_retried_if_they_may_have_run() {
     let mut again = 0;
     for attempt in all_attempts() {
         if decide(&attempt) != RetryVerdict::Again {
@@ -133,7 +133,7 @@
 // A refusal that says "not run" is true: no answer of that kind for what was sent whole and whose end
 // is not known, unless its transaction had no commit.
 #[test]
-fn no_answer_says_not_run_about_what_may_have_run() {
+fn no_answer_claims_not_run_for_requests_that_may_have_run() {
     for attempt in all_attempts() {
         let RetryVerdict::Answer(kind) = decide(&attempt) else { continue };
         let silent = matches!(attempt.failure, Failure::Broken | Failure::TimedOut);
@@ -145,10 +145,10 @@
 }
 
 #[test]
-fn retries_end() {
-    let mut tried = attempt(Effect::Read, Stage::Sent, false, Failure::Broken);
-    tried.retries = retry::MAX_RETRIES;
-    assert_eq!(decide(&tried), RetryVerdict::Answer(ErrorKind::AnswerLost));
+fn retries_are_limited() {
+    let mut exhausted = attempt(Effect::Read, Stage::Sent, false, Failure::Broken);
+    exhausted.retries = retry::MAX_RETRIES;
+    assert_eq!(decide(&exhausted), RetryVerdict::Answer(ErrorKind::AnswerLost));
     let budget = RetryBudget::new(10, 10);
     let unsent = attempt(Effect::Write, Stage::NothingSent, false, Failure::Broken);
     let late = retry::decide(&unsent, &budget, 0);
@@ -164,11 +164,11 @@
     let mut again = 0;
     for _ in 0..1_000 {
         budget.request_started();
-        again += u32::from(retry::decide(&failed, &budget, LEFT_US) == RetryVerdict::Again);
+        again += u32::from(retry::decide(&failed, &budget, REMAINING_US) == RetryVerdict::Again);
     }
     // The burst of 20, and a tenth of a thousand.
     assert_eq!(again, 119);
-    let spent = retry::decide(&failed, &budget, LEFT_US);
+    let spent = retry::decide(&failed, &budget, REMAINING_US);
     assert_eq!(spent, RetryVerdict::Answer(ErrorKind::RetryBudgetSpent));
     for _ in 0..10_000 {
         budget.request_started();
@@ -178,10 +178,10 @@
 }
 
 #[test]
-fn a_refusal_to_retry_costs_no_budget() {
+fn a_denied_retry_costs_no_budget() {
     let budget = RetryBudget::new(10, 3);
     let sent = attempt(Effect::Write, Stage::Sent, false, Failure::Broken);
-    retry::decide(&sent, &budget, LEFT_US);
+    retry::decide(&sent, &budget, REMAINING_US);
     assert_eq!(budget.retries_left(), 3);
 }
 
--- a/crates/core/tests/route_changes.rs
+++ b/crates/core/tests/route_changes.rs
@@ -44,11 +44,11 @@
     }
 
     /// Whatever versions came, and whatever one knows of them, what it is sent leads to the newest.
-    fn whoever_is_told_has_the_newest_version(versions: Vec<Vec<(u8, u8)>>, known: usize) -> bool {
+    fn every_update_leads_to_the_newest_version(versions: Vec<Vec<(u8, u8)>>, known: usize) -> bool {
         let tables: Vec<Arc<RouteTable>> = versions
             .iter()
             .enumerate()
-            .map(|(place, routes)| Arc::new(table(place as u64 + 1, routes)))
+            .map(|(index, routes)| Arc::new(table(index as u64 + 1, routes)))
             .collect();
         let mut recent = RecentVersions::default();
         for table in &tables {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn an_older_version_is_not_taken_in() {
+fn an_older_version_is_not_added() {
     let mut recent = RecentVersions::default();
     assert!(recent.push(&Arc::new(table(9, &[]))));
     assert!(!recent.push(&Arc::new(table(4, &[]))));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn one_who_knows_nothing_is_sent_the_whole() {
+fn a_receiver_without_a_version_gets_the_full_configuration() {
     let mut recent = RecentVersions::default();
     let newest = Arc::new(table(9, &[(1, 1)]));
     recent.push(&newest);
@@ -97,7 +97,7 @@
 
 /// Whoever says that it knows a version that never was is sent what one is sent who knows nothing.
 #[test]
-fn an_unknown_version_is_a_base_of_nothing() {
+fn an_unknown_version_is_no_base() {
     let mut recent = RecentVersions::default();
     recent.push(&Arc::new(table(7, &[(1, 1)])));
     recent.push(&Arc::new(table(9, &[(1, 1)])));
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -32,13 +32,13 @@
     ms.parse::<u64>().expect("a time in milliseconds") * 1_000
 }
 
-fn pairs<'a>(words: &[&'a str]) -> Vec<(&'a str, &'a str)> {
-    words.chunks(2).map(|pair| (pair[0], pair[1])).collect()
+fn pairs<'a>(fields: &[&'a str]) -> Vec<(&'a str, &'a str)> {
+    fields.chunks(2).map(|pair| (pair[0], pair[1])).collect()
 }
 
-fn member(words: &[&str]) -> MemberView {
+fn member(fields: &[&str]) -> MemberView {
     let mut member = MemberView {
-        target: target(words[0]),
+        target: target(fields[0]),
         applied: "3/10".parse().expect("a position"),
         fresh_as_of_us: (NOW_MS - 10) * 1_000,
         lag_us: None,
@@ -48,7 +48,7 @@
         nearness: Nearness::SameZone,
         predicted_wait_us: 0,
     };
-    for (key, value) in pairs(&words[1..]) {
+    for (key, value) in pairs(&fields[1..]) {
         match key {
             "applied" => member.applied = value.parse().expect("a position"),
             "age" if value == "none" => member.fresh_as_of_us = 0,
@@ -66,7 +66,7 @@
     member
 }
 
-fn read(words: &[&str]) -> ReadRequest {
+fn read(fields: &[&str]) -> ReadRequest {
     let mut request = ReadRequest {
         floor: Default::default(),
         max_age_us: 1_000_000,
@@ -74,7 +74,7 @@
         waited_us: 0,
         spread: 0,
     };
-    for (key, value) in pairs(words) {
+    for (key, value) in pairs(fields) {
         match key {
             "floor" => request.floor = value.parse().expect("a position"),
             "max_age" if value == "none" => request.max_age_us = routing::NO_AGE_BOUND,
@@ -108,14 +108,14 @@
     let (input, expected) = text.split_once("----\n").expect("the case has a separator");
     let (mut leader, mut members, mut request) = (None, Vec::new(), None);
     for line in input.lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
-        let words: Vec<&str> = line.split(' ').collect();
-        match words[0] {
+        let fields: Vec<&str> = line.split(' ').collect();
+        match fields[0] {
             "leader" => {
-                let term = Term(words[3].parse().expect("a term"));
-                leader = Some(LeaderView { target: target(words[1]), term });
+                let term = Term(fields[3].parse().expect("a term"));
+                leader = Some(LeaderView { target: target(fields[1]), term });
             }
-            "member" => members.push(member(&words[1..])),
-            "read" => request = Some(read(&words[1..])),
+            "member" => members.push(member(&fields[1..])),
+            "read" => request = Some(read(&fields[1..])),
             other => panic!("unknown line {other}"),
         }
     }
--- a/crates/core/tests/spreading.rs
+++ b/crates/core/tests/spreading.rs
@@ -19,7 +19,7 @@
 // An operator's confirmed change is in force and vanishes again. The platform's answer comes from a
 // copy of the store that lags, or that was restored, with a lower revision than the one in force.
 #[test]
-fn a_lower_revision_is_never_taken_whoever_offers_it() {
+fn a_lower_revision_is_rejected_from_every_source() {
     for source in [Source::Platform, Source::Watcher, Source::Peer] {
         let mut spreading = at(9);
         assert_eq!(spreading.judge_offer(8, source), OfferVerdict::IgnoreOlder);
@@ -51,14 +51,14 @@
 }
 
 #[test]
-fn a_store_without_changes_makes_ready() {
+fn an_empty_store_makes_the_proxy_ready() {
     let mut spreading = Spreading::new();
     assert!(!spreading.is_ready());
     assert_eq!(spreading.judge_offer(0, Source::Platform), OfferVerdict::Take);
     assert!(spreading.is_ready());
 }
 
-fn never_back(offers: Vec<(u64, bool)>) -> bool {
+fn never_reverts(offers: Vec<(u64, bool)>) -> bool {
     let mut spreading = Spreading::new();
     let mut in_force = 0;
     for (index, (revision, is_offer)) in offers.into_iter().enumerate() {
@@ -76,11 +76,11 @@
 }
 
 #[test]
-fn no_order_of_offers_goes_back() {
+fn no_order_of_offers_reverts_a_version() {
     QuickCheck::new()
         .tests(500)
         .rng(Gen::from_size_and_seed(30, 1))
-        .quickcheck(never_back as fn(Vec<(u64, bool)>) -> bool);
+        .quickcheck(never_reverts as fn(Vec<(u64, bool)>) -> bool);
 }
 
 // A VM that starts while the platform is down asks one peer that was cut off for hours, and puts an
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_start_takes_what_it_has_at_the_deadline() {
+fn a_start_takes_the_best_answer_at_the_deadline() {
     let mut choice = StartChoice::new(3, 1_000);
     assert_eq!(choice.verdict(1_000), StartVerdict::AskAgain);
     choice.failed();
