--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -1,10 +1,10 @@
-//! Embedding the coordination decisions in a loop of one's own.
+//! Embeds the coordination decisions in an event loop.
 //!
-//! Run with `cargo run -p skylark-core --example embed`. The loop below owns the clock and all I/O; here the
-//! I/O is three toy members in memory, one of which dies. It shows how the parts fit together: a
-//! write is acknowledged when the confirmation tracker says so, a failure detector tells the driver,
-//! the driver's actions are carried out and their results go back in, and a session's floor decides
-//! which members may serve its next read.
+//! Run with `cargo run -p skylark-core --example embed`. The loop below owns the clock and all I/O, which
+//! is simulated by three members in memory, one of which crashes. It shows how the parts interact: a
+//! write is acknowledged once the confirmation tracker has a majority, a failure detector notifies the
+//! failover driver, the driver's actions are executed and their results passed back to it, and a session's
+//! floor decides which members may serve its next read.
 
 use skylark_core::connection::floor::Floors;
 use skylark_core::log_position::LogPosition;
@@ -26,13 +26,13 @@
 use skylark_core::process::member_set::MemberSet;
 
 const GROUP: &str = "loans-a";
-/// The virtual time of one turn of the loop: one message each way fits in.
+/// The virtual time of one iteration of the loop, long enough for one message in each direction.
 const TICK_US: u64 = 3_000;
 const FIRST_WRITE_TICKS: u64 = 150;
 const CRASH_TICK: u64 = 120;
 const END_TICK: u64 = 400;
 
-/// A database that answers the control calls. A real one sits behind a connection.
+/// A database that answers control calls. A real one is reached over a connection.
 struct Member {
     status: MemberStatus,
     alive: bool,
@@ -78,7 +78,7 @@
     }
 }
 
-/// One process of the embedder's, with the parts that it keeps for one group.
+/// An embedding process with its state for one group.
 struct Embedder {
     now_us: u64,
     members: Vec<Member>,
@@ -97,7 +97,7 @@
     let mut embedder = Embedder {
         now_us: 0,
         members: vec![Member::new(), Member::new(), Member::new()],
-        // The name must be new at each start of the process; see the failover module.
+        // The name must be unique for each start of the process; see the failover module.
         driver: FailoverDriver::new(settings, "vm-1/start-1", members, &profiles, 0, 1),
         detector: None,
         timer_us: None,
@@ -116,7 +116,7 @@
         if tick == CRASH_TICK {
             let leader = self.driver.announced().expect("a primary by now");
             self.members[leader.member].alive = false;
-            self.print(&format!("the primary, member {}, dies", leader.member));
+            self.print(&format!("the primary, member {}, crashes", leader.member));
         }
         if self.timer_us.is_some_and(|at_us| at_us <= self.now_us) {
             self.timer_us = None;
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Gives an event to the driver and carries out what it asks for.
+    /// Passes an event to the driver and executes the actions that it returns.
     fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.driver.on_event(self.now_us, &event, &mut actions);
@@ -152,7 +152,7 @@
                 let status = self.members[member].status.clone();
                 self.handle_event(Event::MemberAnswer { member, call, status });
             }
-            // There is no platform in this example, so the members' votes decide alone.
+            // This example has no platform, so only the members' votes decide.
             Action::UpdateLead { call, .. } | Action::ReadLead { call } => {
                 self.handle_event(Event::Platform { call, answer: PlatformAnswer::NoAnswer });
             }
@@ -174,7 +174,7 @@
         ));
     }
 
-    /// Replicas take one record a turn from the primary that they follow.
+    /// Each replica receives one record per tick from its primary.
     fn replicate(&mut self) {
         let Some(leader) = self.driver.leader() else { return };
         let end = self.members[leader.member].status.log;
@@ -229,7 +229,8 @@
         self.pending.push(self.members[leader.member].status.log);
     }
 
-    /// Acknowledges what a majority confirmed in its own term, and raises the session's floor first.
+    /// Acknowledges the writes that a majority confirmed in their own term. The session's floor is raised
+    /// before the acknowledgement.
     fn acknowledge(&mut self) {
         let confirmed = self.driver.acknowledgement().confirmed();
         let (done, waiting): (Vec<LogPosition>, Vec<LogPosition>) = self
--- a/crates/core/tests/floors.rs
+++ b/crates/core/tests/floors.rs
@@ -37,8 +37,8 @@
     assert_eq!(refused(&many.join(",")), FloorError::TooManyGroups);
 }
 
-/// A caller presents an old token after it has written more: no floor may go down, or its next read
-/// would miss its own write.
+/// A caller presents a stale token after it has written more. If a floor were lowered, its next read could
+/// miss its own write.
 #[test]
 fn merging_never_lowers_a_floor() {
     fn holds(own: Vec<(u8, u64)>, other: Vec<(u8, u64)>) -> bool {
@@ -64,7 +64,7 @@
         .quickcheck(holds as fn(Vec<(u8, u64)>, Vec<(u8, u64)>) -> bool);
 }
 
-/// The longest floors that can be held still print a token that is accepted again.
+/// The token of the largest possible floors is within the size limit and parses again.
 #[test]
 fn fullest_token_is_accepted() {
     let mut floors = Floors::default();
--- a/crates/core/tests/lead_proof.rs
+++ b/crates/core/tests/lead_proof.rs
@@ -1,4 +1,5 @@
-//! What proves that a primary was not replaced by a moment, and what must not count.
+//! Tests of the reports that prove that a primary was not replaced by a given moment, and of those that must
+//! not count.
 
 use std::sync::Arc;
 
@@ -14,7 +15,7 @@
     };
 }
 
-/// The moment that a proof is asked for, in microseconds.
+/// The moment up to which leadership is to be proved, in microseconds.
 const MOMENT_US: u64 = 1_000;
 
 fn id(name: &str) -> Arc<str> {
@@ -29,7 +30,7 @@
     LeadReport { asked_us, leads: false, term, received: at(5) }
 }
 
-/// Words of a group whose target `old` said early that it leads term 1.
+/// Reports of a group whose target `old` reported early that it leads term 1.
 fn reports() -> LeadWords {
     let mut reports = LeadWords::default();
     reports.record(&id("old"), LeadReport { leads: true, ..report(0, 1) });
@@ -48,8 +49,8 @@
         assert_eq!(reports.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
     }
 
-    /// A replica says that it knows of no later term, and then receives a commit of one. A read that comes
-    /// after that must not rest on what it said before.
+    /// A replica reports that it knows no later term, and then receives a commit of a later term. A read that
+    /// arrives afterwards must not rely on the earlier report.
     a_report_requested_before_the_moment_does_not_count {
         let mut reports = reports();
         reports.record(&id("b"), report(MOMENT_US - 1, 1));
@@ -57,7 +58,7 @@
         assert_eq!(reports.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Missing(1));
     }
 
-    /// A member acknowledged with the successor, started again and knows nothing of it.
+    /// A member acknowledged a commit of the successor and restarted, which lost its log and the term.
     a_member_that_lost_its_log_does_not_count {
         let mut reports = reports();
         reports.record(&id("b"), LeadReport { received: at(0), ..report(MOMENT_US, 1) });
@@ -65,8 +66,8 @@
         assert_eq!(reports.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Missing(1));
     }
 
-    /// A fourth member stands in during a replacement: it and the successor can acknowledge without the one
-    /// that was asked.
+    /// While a member is being replaced, a fourth member exists. It and the successor can acknowledge a
+    /// commit without the member that was asked.
     a_fourth_member_requires_another_report {
         let mut reports = reports();
         reports.record(&id("b"), report(MOMENT_US, 1));
@@ -76,7 +77,7 @@
         assert_eq!(reports.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
     }
 
-    /// A member that left may have acknowledged with the successor before.
+    /// A departed member may have acknowledged a commit of the successor before it left.
     a_departed_member_requires_another_report {
         let mut reports = reports();
         reports.record(&id("b"), report(MOMENT_US, 1));
@@ -85,8 +86,8 @@
         assert_eq!(reports.verdict(&id("old"), MOMENT_US, &view), LeadVerdict::Missing(1));
     }
 
-    /// Where a member may have come that is not listed, all that are listed have to say so: the successor is
-    /// one of them.
+    /// If a member may exist that is not listed, the reports of all listed members are required: the
+    /// successor is one of them.
     an_incomplete_list_requires_all_reports {
         let mut reports = reports();
         reports.record(&id("b"), report(MOMENT_US, 1));
@@ -107,7 +108,7 @@
         assert_eq!(verdict, LeadVerdict::Superseded { term: 2 });
     }
 
-    /// A target that was promoted again since it was asked leads a term that it has not told.
+    /// A target that was promoted again since its last report leads a term that it has not reported.
     a_target_is_asked_again_after_a_later_term_is_reported {
         let mut reports = reports();
         reports.record(&id("c"), report(500, 3));
@@ -119,7 +120,7 @@
         assert_eq!(reports.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
     }
 
-    /// What counts is when a word was asked for: it may have been under way for long.
+    /// A report counts from the time of its request, since it may have been in transit for long.
     a_late_report_counts_from_its_request {
         let mut reports = reports();
         reports.record(&id("b"), report(MOMENT_US, 1));
--- a/crates/core/tests/organisations.rs
+++ b/crates/core/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Who holds which key in which version.
+//! Tests of the mapping from keys to organisations in versions of the configuration.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
     organisations.holder(KeyDigest::of(key)).map(|holder| &*holder.name)
 }
 
-/// A key that moves, one that is withdrawn, and one that stays.
+/// One key moves to another organisation, one is revoked, and one stays.
 #[test]
 fn each_version_maps_keys_to_holders() {
     let before = organisations(&[("lake", &["a", "b"]), ("hill", &["c"])]);
@@ -37,7 +37,7 @@
     assert!(before.any_key_revoked_in(&after));
 }
 
-/// Sessions are only looked at when a key went: added keys and changed limits end none.
+/// Sessions are only checked if a key was revoked: added keys and changed limits end no session.
 #[test]
 fn adding_a_key_revokes_none() {
     let before = organisations(&[("lake", &["a"])]);
@@ -45,7 +45,7 @@
     assert!(!before.any_key_revoked_in(&before));
 }
 
-/// A key that two organisations list is the same one's on all VMs, in whatever order they are listed.
+/// A key that two organisations list has the same holder on all VMs, independent of their order in the list.
 #[test]
 fn a_key_listed_twice_has_one_holder() {
     let one = organisations(&[("lake", &["a"]), ("hill", &["a"])]);
@@ -54,7 +54,7 @@
     assert_eq!(holder(&other, "a"), Some("hill"));
 }
 
-/// A VM that is told what changed knows what one knows that is told all.
+/// Applying the changes gives the same version as receiving it in full.
 #[test]
 fn changes_lead_to_the_later_version() {
     fn property(before: Vec<(u8, Vec<u8>)>, after: Vec<(u8, Vec<u8>)>) -> bool {
@@ -73,21 +73,19 @@
         .quickcheck(property as fn(Vec<(u8, Vec<u8>)>, Vec<(u8, Vec<u8>)>) -> bool);
 }
 
-/// Versions travel between VMs as JSON, and keys are in none of it.
+/// Versions are sent between VMs as JSON, which must not contain keys.
 #[test]
 fn serialized_organisations_contain_no_keys() {
     let original = organisations(&[("lake", &["iikdrbn4ryrbbkf83fgf"])]);
     let text = serde_json::to_string(&original).expect("it can be written");
     assert!(!text.contains("iikdrbn4"), "{text}");
-    assert_eq!(
-        serde_json::from_str::<Organisations>(&text).expect("it can be read"),
-        original
-    );
+    assert_eq!(serde_json::from_str::<Organisations>(&text).expect("it can be read"), original);
     assert!(!format!("{original:?}").contains("iikdrbn4"));
 }
 
-/// While VMs are replaced by a newer version one after the other, a VM may be told by one of the older version, which
-/// knows no organisations. What it tells is not taken for a configuration in which nobody needs a key.
+/// During a rolling update, a VM may receive a configuration from a VM with an older version of the
+/// software, which omits the organisations. It must not count as a configuration in which callers need no
+/// key.
 #[test]
 fn a_version_without_the_organisations_field_is_rejected() {
     let omitted = r#"{"version":7,"routes":{},"services":{},"transaction_idle_ms":0}"#;
--- a/crates/core/tests/plan_cases.rs
+++ b/crates/core/tests/plan_cases.rs
@@ -1,7 +1,7 @@
-//! Runs the text cases under `tests/cases/plan`: an intent in, the plan or the error out.
+//! Runs the text cases under `tests/cases/plan`, which map an intent to the expected plan or error.
 //!
 //! A case is applied to `base.json`. Its lines are `put OBJECT` (replaces or adds an object),
-//! `vms LIST` (replaces the list of VMs), `intent INTENT`, a line `----`, and the expected text.
+//! `vms LIST` (replaces the list of VMs), `intent INTENT`, a line `----`, and the expected output.
 
 use std::fs;
 use std::path::Path;
@@ -28,17 +28,17 @@
     let mut snapshot: Snapshot = serde_json::from_str(&read("base.json")).expect("base.json");
     let mut intent: Option<Intent> = None;
     for line in input.lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
-        let (keyword, json) = line.split_once(' ').expect("a word and its JSON");
+        let (keyword, json) = line.split_once(' ').expect("a keyword and its JSON");
         match keyword {
             "put" => put(&mut snapshot, serde_json::from_str(json).expect("an object")),
             "vms" => snapshot.vms = serde_json::from_str(json).expect("a list of VMs"),
             "intent" => intent = Some(serde_json::from_str(json).expect("an intent")),
-            other => panic!("{name}: unknown word {other}"),
+            other => panic!("{name}: unknown keyword {other}"),
         }
     }
     let intent = intent.expect("the case has an intent");
     let planned = planner::plan(&intent, &snapshot);
-    // The order of a snapshot's objects is arbitrary; the plan and its id must not depend on it.
+    // The order of objects in a snapshot is arbitrary, so the plan and its id must not depend on it.
     snapshot.objects.reverse();
     assert_eq!(planner::plan(&intent, &snapshot), planned, "plan on the reversed snapshot");
     let actual = match planned {
--- a/crates/core/tests/plan_confirmation.rs
+++ b/crates/core/tests/plan_confirmation.rs
@@ -1,4 +1,4 @@
-//! Confirmations against a small store in memory that loses answers and runs several operators.
+//! Tests of confirmations against a store in memory, with lost answers and concurrent operators.
 
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -21,10 +21,10 @@
 use skylark_core::version::plan::step::Step;
 
 const BASE: &str = include_str!("cases/plan/base.json");
-/// More calls than any confirmation of these tests needs.
+/// An upper bound on the actions of any confirmation in these tests.
 const MAX_ACTIONS: usize = 100;
 
-/// What becomes of an answer.
+/// A fault of a call to the store.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Fault {
     None,
@@ -34,7 +34,7 @@
     LostAfter,
 }
 
-/// The platform's objects, with every change that took effect.
+/// The platform's objects, and a log of every change that was applied.
 struct Store {
     snapshot: Snapshot,
     writes: Vec<(ObjectKind, String, String)>,
@@ -77,7 +77,7 @@
         answer
     }
 
-    /// A change by whoever else writes.
+    /// Changes an object without a version check, like another writer.
     fn change(&mut self, kind: ObjectKind, name: &str, body: Option<serde_json::Value>) -> Answer {
         self.snapshot.revision += 1;
         let version = self.snapshot.revision;
@@ -101,12 +101,12 @@
         plan
     }
 
-    /// How often a plan changed an object of the configuration.
+    /// Returns how often a plan changed an object of the configuration.
     fn writes_of(&self, plan: &Plan) -> usize {
         self.writes.iter().filter(|(_, _, by)| *by == plan.id).count()
     }
 
-    /// One action of a confirmation; its end, once it has come to one.
+    /// Executes one action of a confirmation. Returns its result once it has ended.
     fn act(&mut self, confirmation: &mut Confirmation, fault: Fault) -> Option<End> {
         match confirmation.next_action() {
             Next::Call(call) => {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Acts until the next call is a change of the configuration.
+    /// Executes actions until the next call changes an object of the configuration.
     fn act_until_change(&mut self, confirmation: &mut Confirmation) {
         for _ in 0..MAX_ACTIONS {
             let mut ahead = confirmation.clone();
@@ -138,7 +138,7 @@
 
     fn finish(&mut self, confirmation: &mut Confirmation) -> End {
         let mut ends = (0..MAX_ACTIONS).map(|_| self.act(confirmation, Fault::None));
-        ends.find_map(|end| end).expect("the confirmation comes to an end")
+        ends.find_map(|end| end).expect("the confirmation ends")
     }
 }
 
@@ -161,9 +161,9 @@
 
 #[test]
 fn lost_answer_after_effect() {
-    // The operator's confirmation gets no answer, and the change is in force.
-    // Order: the update takes, its answer is lost, the operator's tool reads the object.
-    // The object carries the plan's id, so the change is found and not made twice.
+    // Failure: the confirmation gets no answer and makes a change twice.
+    // 1. The update is applied. 2. Its answer is lost. 3. The operator's tool reads the object, which
+    // contains the plan's id, so the change is recognised and not repeated.
     let mut store = Store::new();
     let plan = store.propose(&weight(2));
     let mut confirmation = Confirmation::new(&plan.id);
@@ -176,9 +176,9 @@
 
 #[test]
 fn platform_goes_down_after_a_step() {
-    // The operator is told that nothing was touched, and the change is in force. The update takes
-    // and is answered; then the platform goes down, so the record can't be given the step. Whoever
-    // stops there, or starts again and reads the record once, must not claim that nothing happened.
+    // Failure: the operator's tool reports that nothing was changed, but the change is in force.
+    // 1. The update is applied and answered. 2. The platform goes down, so the step is not recorded.
+    // A tool that stops there, or restarts and reads the record once, must not report "untouched".
     let mut store = Store::new();
     let plan = store.propose(&weight(2));
     let mut confirmation = Confirmation::new(&plan.id);
@@ -197,8 +197,8 @@
 
 #[test]
 fn lost_call_before_effect() {
-    // As above, but the update never reached the store: the object still has the base version, so
-    // the update is safe to send again, and is sent once.
+    // The update never reaches the store. The object still has the base version, so it is safe to send
+    // the update again, and it is applied once.
     let mut store = Store::new();
     let plan = store.propose(&weight(2));
     let mut confirmation = Confirmation::new(&plan.id);
@@ -215,9 +215,9 @@
 
 #[test]
 fn racing_operators() {
-    // Two operators plan on the same state and both confirm; both have compared the base versions
-    // before either writes. One update takes; the other operator is told that the plan is
-    // superseded, and nothing of it is in force.
+    // Two operators plan on the same state and confirm. Both compare the base versions before either
+    // of them writes. One update is applied; the other plan is reported as superseded, and none of its
+    // changes is in force.
     let mut store = Store::new();
     let first = store.propose(&weight(2));
     let second = store.propose(&weight(3));
@@ -232,10 +232,10 @@
 
 #[test]
 fn overwritten_before_the_object_is_read() {
-    // The first operator's change takes, and its answer is lost. Before the tool reads back, a
-    // second operator plans on the new state and confirms. The object now carries the second
-    // plan's id only. The first operator must not be told that the plan was superseded: whoever
-    // overwrites a plan's change notes first that it took.
+    // Failure: an applied plan is reported as superseded. 1. The first operator's change is applied, and
+    // its answer is lost. 2. Before the first tool reads the object, a second operator plans on the new
+    // state and confirms, so that the object contains only the second plan's id. A confirmation that
+    // overwrites the change of another plan therefore marks it as done in that plan's record first.
     let mut store = Store::new();
     let first = store.propose(&weight(2));
     let mut of_first = Confirmation::new(&first.id);
@@ -249,8 +249,8 @@
 
 #[test]
 fn same_plan_confirmed_twice_at_once() {
-    // Two operators confirm one plan at the same time. Both are told that it is in force; the
-    // object changes once.
+    // Two operators confirm the same plan concurrently. Both get the result that it is applied, and the
+    // object is changed once.
     let mut store = Store::new();
     let plan = store.propose(&weight(2));
     let mut one = Confirmation::new(&plan.id);
@@ -264,9 +264,9 @@
 
 #[test]
 fn stale_plan_changes_nothing() {
-    // Between plan and confirmation another operator drains another member of the group. Only the
-    // plan's last step no longer fits, but if its first one were taken the primary would move for
-    // nothing. The comparison of all versions refuses the plan before its first step.
+    // Between plan and confirmation another operator drains another member of the group. Only the base
+    // version of the plan's last step is outdated, but applying the first step would move the primary in
+    // vain. The comparison of all base versions rejects the plan before its first step.
     let mut store = Store::new();
     let plan = store.propose(&drain("g-a"));
     let other = store.propose(&drain("g-b"));
@@ -279,8 +279,8 @@
 
 #[test]
 fn failover_between_plan_and_confirmation() {
-    // A failover comes between plan and confirmation, so that the plan's move starts from a member
-    // that leads no longer. Nothing of the plan is taken.
+    // A failover between plan and confirmation replaces the primary that the plan moves. No step of the
+    // plan is applied.
     let mut store = Store::new();
     let plan = store.propose(&drain("g-a"));
     let lead = LeadRecord { primary: "g-c".to_owned(), ..store.lead("g") };
@@ -290,7 +290,7 @@
     assert_eq!(store.writes_of(&plan), 0);
 }
 
-/// What a driver writes that has moved the primary to the wanted member, where one is wanted.
+/// Writes the lead record like a driver that has moved the primary to the requested member, if there is one.
 fn drive(store: &mut Store) {
     let lead = store.lead("g");
     if lead.wanted.is_empty() {
@@ -302,9 +302,9 @@
 
 #[test]
 fn interrupted_drain_of_a_primary_is_resumed() {
-    // The operator drains a primary and the tool dies while the primary moves: the target leads no
-    // longer but still gets reads. A second operator confirms the same id; the move is not asked
-    // for again, and the drain takes effect.
+    // An operator drains a primary, and the tool dies while the primary moves: the target is no longer
+    // the primary, but still gets reads. A second operator confirms the same plan. The move is not
+    // requested again, and the drain is applied.
     let mut store = Store::new();
     let plan = store.propose(&drain("g-a"));
     let mut first = Confirmation::new(&plan.id);
@@ -323,9 +323,9 @@
 
 #[test]
 fn superseded_while_the_primary_moves() {
-    // While the primary moves, another operator drains another member. Draining the first target
-    // too would leave no majority; its step does not take, because the group's version is not the
-    // one that the plan was made for. The operator is told that the move alone is in force.
+    // While the primary moves, another operator drains another member. Draining the first target too
+    // would leave no majority. Its step is not applied, because the group no longer has the base version
+    // of the plan. The result is that only the move is in force.
     let mut store = Store::new();
     let plan = store.propose(&drain("g-a"));
     let other = store.propose(&drain("g-b"));
@@ -341,8 +341,8 @@
 
 #[test]
 fn cancelled_move_is_superseded() {
-    // The driver gives the move up and clears the wish. The drain must not wait for ever, and must
-    // not drain a target that still leads.
+    // The driver aborts the move and clears the requested primary. The confirmation must not wait
+    // forever, and must not drain a target that is still the primary.
     let mut store = Store::new();
     let plan = store.propose(&drain("g-a"));
     let mut confirmation = Confirmation::new(&plan.id);
@@ -359,9 +359,9 @@
 
 #[test]
 fn removal_against_a_change_of_the_same_version() {
-    // One operator removes a group, another drains a member of it. The drain takes first. A removed
-    // object carries no id, but the rival changed the very version that was to be removed: the
-    // removal did not take.
+    // One operator removes a group, another drains a member of it. The drain is applied first. A removed
+    // object contains no plan id, but the conflicting plan changed the version that was to be removed, so the
+    // removal was not applied.
     let mut store = Store::new();
     let plan = store.propose(&removal());
     let conflicting = store.propose(&drain("g-b"));
@@ -373,9 +373,9 @@
 
 #[test]
 fn removed_group_added_again_before_the_object_is_read() {
-    // The removal takes and its answer is lost; another operator adds the group again before the
-    // tool reads back. Nothing proves whose removal it was, so the answer is "not known", and the
-    // new group is left alone.
+    // The removal is applied and its answer is lost. Another operator adds the group again before the tool
+    // reads the object. Which plan removed the group can't be proved, so the result is `Unknown`, and
+    // the new group is not touched.
     let mut store = Store::new();
     let plan = store.propose(&removal());
     let mut confirmation = Confirmation::new(&plan.id);
@@ -392,11 +392,11 @@
 /// One event of a random run.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// An operator's tool acts.
+    /// An operator's tool executes one action.
     Act(usize, Fault),
-    /// An operator's tool dies and is started again with the same id.
+    /// An operator's tool restarts with the newest plan.
     Restart(usize),
-    /// An operator plans anew, on the present state.
+    /// An operator creates and confirms a plan on the current state.
     Plan(usize, u32),
     /// A driver writes the lead record.
     Drive,
@@ -429,7 +429,7 @@
     }
 }
 
-/// Plans what can be planned in the present state.
+/// Proposes a plan if the intent can be planned in the current state.
 fn try_propose(store: &mut Store, choice: u32) -> Option<Plan> {
     let intent = random_intent(choice);
     planner::plan(&intent, &store.snapshot).ok().map(|_| store.propose(&intent))
@@ -464,7 +464,8 @@
     plans.len()
 }
 
-/// Once faults stop, every plan's confirmation tells the truth about what was written.
+/// Checks, without further faults, that the result of every plan's confirmation matches the changes that were
+/// written.
 fn verify(store: &mut Store, plans: &[Plan]) {
     for plan in plans {
         let end = finish_with_driver(store, &plan.id);
@@ -487,14 +488,14 @@
         }
         drive(store);
     }
-    panic!("the confirmation of {id} comes to no end");
+    panic!("the confirmation of {id} does not end");
 }
 
 #[test]
 fn random_confirmations_report_the_actual_result() {
-    // Three operators plan and confirm on the same objects; calls and answers are lost, tools die
-    // and are started again, drivers write in between. Afterwards each plan's confirmation is asked
-    // again: `applied` if and only if its changes were written, each exactly once.
+    // Three operators plan and confirm changes of the same objects. Calls and answers are lost, tools
+    // restart, and drivers write in between. Afterwards each plan is confirmed again: the result is
+    // `Applied` if and only if its changes were written, each exactly once.
     let mut plans = 0;
     for seed in 0..RUNS {
         let mut g = Gen::from_size_and_seed(EVENTS, seed);
--- a/crates/core/tests/position_demand.rs
+++ b/crates/core/tests/position_demand.rs
@@ -1,4 +1,4 @@
-//! Positions are brought ahead where a service is read often, and never more often than they are of use.
+//! Tests that positions are prefetched for services that are read often, and not more often than useful.
 
 use quickcheck::quickcheck;
 use skylark_core::request::position_demand::MIN_READS;
@@ -6,10 +6,11 @@
 use skylark_core::request::position_demand::SPACING_US;
 use skylark_core::request::position_demand::WINDOW_US;
 
-/// How often it is looked whether a position is to be brought.
+/// The interval at which the test checks whether to prefetch.
 const CHECK_INTERVAL_US: u64 = 100_000;
 
-/// How many positions are brought within `span_us`, with a read at each of these times.
+/// Returns the number of prefetches within `span_us`, with a read at each of these times. `arrives` is
+/// whether prefetches succeed.
 fn prefetches(serves_peers: bool, reads_us: &[u64], span_us: u64, arrives: bool) -> usize {
     let (mut demand, mut newest_us, mut prefetches) = (PositionDemand::default(), None, 0);
     for now_us in (0..span_us).step_by(CHECK_INTERVAL_US as usize) {
@@ -25,7 +26,7 @@
     prefetches
 }
 
-/// 300 services, each read once in 23 s by a process: there were eight questions for each read.
+/// A process that reads each of 300 services once in 23 s would otherwise send eight requests per read.
 #[test]
 fn rare_reads_cause_no_prefetch() {
     assert_eq!(prefetches(false, &[1_000_000, 24_000_000, 47_000_000], 60_000_000, true), 0);
@@ -44,8 +45,8 @@
     assert!((7..=8).contains(&prefetches), "{prefetches} in {WINDOW_US} us");
 }
 
-/// The primary is away. Questions that bring nothing are not asked more often: each VM asked ten times a
-/// second.
+/// The primary is unreachable. Failing prefetches must not be repeated faster than successful ones;
+/// otherwise each VM sends ten requests per second.
 #[test]
 fn failing_prefetches_are_not_more_frequent() {
     let reads_us: Vec<u64> = (0..100).map(|number| number * 100_000).collect();
@@ -54,8 +55,8 @@
 }
 
 quickcheck! {
-    /// Whatever the reads, no more are brought than one each half second of the windows after reads, so at
-    /// most four for each read where each two bring them ahead.
+    /// At most one prefetch starts in each half second of the windows after reads: at most four per read,
+    /// where two reads are needed to start prefetching.
     fn prefetches_are_bounded_by_reads(reads: Vec<u16>, serves_peers: bool) -> bool {
         let mut reads_us: Vec<u64> = reads.iter().map(|read| u64::from(*read) * 1_000).collect();
         reads_us.sort_unstable();
--- a/crates/core/tests/primary_positions.rs
+++ b/crates/core/tests/primary_positions.rs
@@ -1,4 +1,4 @@
-//! Positions that reads have to see, and that they cover what was acknowledged in time.
+//! Tests of the positions that reads must cover: they include every commit acknowledged by the given time.
 
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
@@ -23,7 +23,7 @@
     assert_eq!(positions.covering(3 * SPACING_US + 1), None);
 }
 
-/// What another process is told is the same sample, with the time by which its age is reckoned.
+/// Peers get the same sample, and its age is computed from this time.
 #[test]
 fn a_sample_carries_the_time_at_which_it_was_taken() {
     let mut positions = PrimaryPositions::default();
@@ -35,8 +35,8 @@
     assert_eq!(taken_us(3 * SPACING_US + 1), None);
 }
 
-/// The VM stood still for 4 s. Its clock counted them, so the sample from before is 4 s old and can't
-/// serve a read with a bound of 1 s; a clock that stands still would call it fresh.
+/// The VM is suspended for 4 s. Its clock includes the suspension, so an earlier sample is 4 s old and can't
+/// serve a read with a bound of 1 s. By a clock that stops during the suspension it would be fresh.
 #[test]
 fn a_sample_from_before_a_suspension_is_old() {
     let mut positions = PrimaryPositions::default();
@@ -48,9 +48,10 @@
     assert_eq!(positions.covering(arrived_without_suspension_us - bound_us), Some(at(1)));
 }
 
-/// Callers of a VM that just started read what was overwritten 3 s ago, and so do callers of VMs that
-/// ask it for positions. The primary is cut off; the new VM asks a home, which tells a position of
-/// 3.5 s ago. The VM's clock shows 2 s, has no time for that position, and called it 2 s old.
+/// Failure: callers of a VM that just started, and of VMs that get positions from it, read data that was
+/// overwritten 3 s ago. 1. The primary is partitioned away. 2. The new VM asks a home, which reports a
+/// position that is 3.5 s old. 3. The VM's clock shows 2 s and can't represent the time of that position,
+/// so the position counted as 2 s old.
 #[test]
 fn a_position_from_before_the_clock_started_is_rejected() {
     let mut positions = PrimaryPositions::default();
@@ -68,7 +69,7 @@
     assert_eq!(positions.covering(1_500_001), None);
 }
 
-/// For each time, what is said to cover it covers all that the primary had acknowledged by then.
+/// The covering position of each time includes everything that the primary had acknowledged by then.
 #[test]
 fn a_covering_position_includes_all_earlier_commits() {
     fn property(steps: Vec<(u16, u8)>, asked: u32) -> bool {
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! What is sent again: never what may have run, unless it is a read.
+//! Tests of retries: a request that may have run is only retried if it is a read.
 
 use skylark_core::request::error_kind::ErrorKind;
 use skylark_core::request::error_kind::Outcome;
@@ -54,7 +54,7 @@
     write_not_sent: Write, NothingSent, false, Failure::Broken => RetryVerdict::Again;
     write_partly_sent: Write, PartlySent, false, Failure::Broken => RetryVerdict::Again;
     write_connect_refused: Write, Connecting, false, Failure::Broken => RetryVerdict::Again;
-    // The caller would book twice: the first one ran and its answer is lost.
+    // A retry would book twice: the first attempt ran and its answer was lost.
     write_sent: Write, Sent, false, Failure::Broken => RetryVerdict::Answer(ErrorKind::AnswerLost);
     write_sent_and_late: Write, Sent, false, Failure::TimedOut
         => RetryVerdict::Answer(ErrorKind::AnswerTimedOut);
@@ -64,7 +64,7 @@
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
     read_sent: Read, Sent, false, Failure::Broken => RetryVerdict::Again;
     read_answer_started: Read, AnswerStarted, false, Failure::Broken => RetryVerdict::Again;
-    // The caller has half of the rows: the other half of another run would cross the answers.
+    // The caller has some of the rows: a retry would mix the rows of two runs.
     read_answer_relayed: Read, AnswerRelayed, false, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::AnswerLost);
     read_in_transaction: Read, Sent, true, Failure::Broken
@@ -92,7 +92,7 @@
         => RetryVerdict::PassThrough;
 }
 
-/// Every combination of the table.
+/// Returns all combinations of effects, stages, transaction states and failures.
 fn all_attempts() -> Vec<Attempt> {
     let mut failures = vec![Failure::Broken, Failure::TimedOut];
     for sqlstate in CODES {
@@ -110,8 +110,8 @@
     attempts
 }
 
-// A booking runs twice. Whatever broke, and whoever said what: a request that may write and that was
-// sent whole is only sent again when its target or home said that it did not run.
+// Failure: a booking runs twice. A request that may write and that was sent completely may only be retried
+// if its target or home reported that it did not run.
 #[test]
 fn only_reads_are_retried_if_they_may_have_run() {
     let mut again = 0;
@@ -130,8 +130,8 @@
     assert!(again > 0);
 }
 
-// A refusal that says "not run" is true: no answer of that kind for what was sent whole and whose end
-// is not known, unless its transaction had no commit.
+// The outcome "not run" must be true: a request that was sent completely and got no answer never has that
+// outcome, unless it belongs to a transaction without a commit.
 #[test]
 fn no_answer_claims_not_run_for_requests_that_may_have_run() {
     for attempt in all_attempts() {
@@ -155,8 +155,8 @@
     assert_eq!(late, RetryVerdict::Answer(ErrorKind::WaitTimedOut));
 }
 
-// Everything fails at once. Each request would be sent four times, and the group that comes back meets
-// four times its load. The budget allows a tenth.
+// All requests fail at once. Without a budget each would be sent four times, and a recovering group would get
+// four times its load. The budget allows retries for a tenth of the requests.
 #[test]
 fn the_budget_bounds_retries_to_a_share_of_the_requests() {
     let budget = RetryBudget::new(10, 20);
@@ -166,7 +166,7 @@
         budget.request_started();
         again += u32::from(retry::decide(&failed, &budget, REMAINING_US) == RetryVerdict::Again);
     }
-    // The burst of 20, and a tenth of a thousand.
+    // The burst of 20, and a tenth of the thousand requests. The budget is full at the first request.
     assert_eq!(again, 119);
     let spent = retry::decide(&failed, &budget, REMAINING_US);
     assert_eq!(spent, RetryVerdict::Answer(ErrorKind::RetryBudgetSpent));
--- a/crates/core/tests/route_changes.rs
+++ b/crates/core/tests/route_changes.rs
@@ -1,4 +1,4 @@
-//! Changes between versions of a configuration lead to the later one, whatever they are.
+//! Tests that the changes between two versions of a configuration turn the earlier one into the later one.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use skylark_core::version::routes::RouteTable;
 use skylark_core::version::routes::ServiceLimits;
 
-/// A version whose routes have these names and timeouts.
+/// Returns a version whose routes have these names and timeouts.
 fn table(version: u64, routes: &[(u8, u8)]) -> RouteTable {
     let route = |(name, timeout): &(u8, u8)| {
         let database: Arc<str> = format!("db-{name}").into();
@@ -43,7 +43,7 @@
         RouteChanges::between(&base, &next).applied_to(&base) == Some(next)
     }
 
-    /// Whatever versions came, and whatever one knows of them, what it is sent leads to the newest.
+    /// For any sequence of versions, the update for a receiver of any of them leads to the newest version.
     fn every_update_leads_to_the_newest_version(versions: Vec<Vec<(u8, u8)>>, known: usize) -> bool {
         let tables: Vec<Arc<RouteTable>> = versions
             .iter()
@@ -95,7 +95,7 @@
     assert_eq!(recent.since(0), RoutesUpdate::Full(newest));
 }
 
-/// Whoever says that it knows a version that never was is sent what one is sent who knows nothing.
+/// A receiver that claims a version which never existed is treated like one without a version.
 #[test]
 fn an_unknown_version_is_no_base() {
     let mut recent = RecentVersions::default();
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,7 +1,7 @@
-//! Runs the text cases under `tests/cases/routing`: members and a read in, the verdict out.
+//! Runs the text cases under `tests/cases/routing`, which map members and a read to the expected verdict.
 //!
 //! Lines before `----` are `leader NAME term N`, `member NAME KEY VALUE...` and `read KEY VALUE...`;
-//! times are in milliseconds and the read comes at 10000. What follows is the verdict.
+//! times are in milliseconds, and the read arrives at 10000. The lines after it are the verdict.
 
 use std::fs;
 use std::path::Path;
@@ -19,7 +19,7 @@
 
 const NOW_MS: u64 = 10_000;
 
-/// The members' names stand for their indices: `a` is target 0.
+/// Returns the target for a name. Names are letters that stand for indices: `a` is target 0.
 fn target(name: &str) -> TargetId {
     TargetId(u32::from(name.as_bytes()[0] - b'a'))
 }
@@ -60,7 +60,7 @@
             "zone" if value == "other" => member.nearness = Nearness::OtherZone,
             "region" if value == "other" => member.nearness = Nearness::OtherRegion,
             "wait" => member.predicted_wait_us = us(value),
-            other => panic!("unknown word {other}"),
+            other => panic!("unknown key {other}"),
         }
     }
     member
@@ -82,7 +82,7 @@
             "left" => request.deadline_us = NOW_MS * 1_000 + us(value),
             "waited" => request.waited_us = us(value),
             "spread" => request.spread = value.parse().expect("a number"),
-            other => panic!("unknown word {other}"),
+            other => panic!("unknown key {other}"),
         }
     }
     request
@@ -140,13 +140,13 @@
     tie_is_spread = "tie-is-spread.case";
     floor_excludes_replica = "floor-excludes-replica.case";
     age_excludes_replica = "age-excludes-replica.case";
-    unshown_age = "unshown-age.case";
+    unproved_age = "unshown-age.case";
     no_bound_needs_no_age = "no-bound-needs-no-age.case";
     waits_for_replica = "waits-for-replica.case";
     follows_fast = "follows-fast.case";
     waited_and_served = "waited-and-served.case";
     waited_long_enough = "waited-long-enough.case";
-    hopeless_lag = "hopeless-lag.case";
+    lag_above_bound = "hopeless-lag.case";
     busy_primary = "busy-primary.case";
     old_primary_and_floor = "old-primary-and-floor.case";
     isolated_old_primary = "isolated-old-primary.case";
@@ -157,7 +157,7 @@
     only_primary = "only-primary.case";
     replicas_busy = "replicas-busy.case";
     deadline_unreachable = "deadline-unreachable.case";
-    island_too_old = "island-too-old.case";
+    partitioned_zone_too_old = "island-too-old.case";
     no_leader_waits = "no-leader-waits.case";
 }
 
--- a/crates/core/tests/spreading.rs
+++ b/crates/core/tests/spreading.rs
@@ -1,4 +1,4 @@
-//! Versions spread upwards only.
+//! Tests that the configuration version of a proxy never decreases.
 
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
@@ -16,8 +16,8 @@
     spreading
 }
 
-// An operator's confirmed change is in force and vanishes again. The platform's answer comes from a
-// copy of the store that lags, or that was restored, with a lower revision than the one in force.
+// Failure: an operator's confirmed change is reverted. The platform answers from a lagging replica of the
+// store, or from a restored backup, with a lower revision than the one in force.
 #[test]
 fn a_lower_revision_is_rejected_from_every_source() {
     for source in [Source::Platform, Source::Watcher, Source::Peer] {
@@ -83,8 +83,8 @@
         .quickcheck(never_reverts as fn(Vec<(u64, bool)>) -> bool);
 }
 
-// A VM that starts while the platform is down asks one peer that was cut off for hours, and puts an
-// old version in force. The highest of several answers is taken.
+// Failure: a VM that starts while the platform is down asks a single peer, which was partitioned away for
+// hours, and puts an outdated version in force. So the highest of several answers is taken.
 #[test]
 fn a_start_takes_the_highest_of_several_peers() {
     let mut choice = StartChoice::new(3, 1_000);
