--- a/crates/core/src/version/route_changes.rs
+++ b/crates/core/src/version/route_changes.rs
@@ -90,7 +90,7 @@
     Full(Arc<RouteTable>),
 }
 
-/// The last versions of a configuration, at most [`MAX_VERSIONS`].
+/// The last versions of a configuration, which can be the base of changes.
 #[derive(Clone, Debug, Default)]
 pub struct RecentVersions {
     tables: VecDeque<Arc<RouteTable>>,
