--- a/crates/core/src/version/plan/confirmation.rs
+++ b/crates/core/src/version/plan/confirmation.rs
@@ -1,20 +1,21 @@
-//! Confirming a plan, as a state machine over the platform's answers.
+//! The confirmation of a plan, as a state machine over the platform's answers.
 //!
-//! A plan is kept as the object `plan/ID`, a [`PlanRecord`]. Confirming it
+//! A plan is stored as the object `plan/ID`, a [`PlanRecord`]. Its confirmation
 //! 1. compares the version of every object that the plan changes with the plan's base versions,
 //! 2. marks the record as confirmed,
-//! 3. takes the steps in order: each is one conditional update of one object at the plan's base
-//!    version, whose new body carries the plan's id, and each is followed by one update of the
-//!    record's progress.
+//! 3. applies the steps in order: each step is one conditional update of one object at the plan's base
+//!    version, whose new body contains the plan's id, followed by one update of the progress in the
+//!    record.
 //!
-//! **Lost answers.** No update is repeated blindly. The object is read first: it carries the
-//! plan's id (the update took), has the base version still (it did not), or something else came
-//! between. In the last case the plan may have taken effect and been overwritten. So whoever is
-//! about to overwrite an object first notes in the record of the plan that it names that this
-//! step was done. A record without the note proves that the plan was superseded before the step.
+//! **Lost answers.** An update without an answer is not repeated before the object is read. If the object
+//! contains the plan's id, the update was applied. If it still has the base version, the update was not
+//! applied. Otherwise another change was made in between, and this plan's change may have been applied and
+//! overwritten. To make this decidable, a confirmation that is about to overwrite another plan's change first
+//! marks the step as done in the record of that plan. A record without the mark proves that the plan was
+//! superseded before the step.
 //!
-//! **Resuming.** Everything needed stands in the record, so any operator may run the confirmation
-//! again, also two at once: the steps are idempotent.
+//! **Resuming.** The record contains the whole state, and the steps are idempotent. So any operator can run
+//! the confirmation again, and several can run it concurrently.
 
 use std::mem;
 
@@ -26,7 +27,7 @@
 use crate::version::plan::call::Call;
 use crate::version::plan::call::End;
 use crate::version::plan::call::Next;
-use crate::version::plan::call::Standing;
+use crate::version::plan::call::Progress;
 use crate::version::plan::call::Verb;
 use crate::version::plan::record::PlanRecord;
 use crate::version::plan::record::PlanState;
@@ -34,7 +35,7 @@
 use crate::version::plan::step::Verdict;
 use crate::version::plan::step::last_plan;
 
-/// Where the confirmation stands. A stage with a call waits for that call's answer.
+/// The state of the confirmation. Each stage except `Ended` makes a call and waits for its answer.
 #[derive(Clone, PartialEq, Debug)]
 enum Stage {
     ReadRecord,
@@ -45,26 +46,26 @@
         next: PlanRecord,
     },
     ReadObject,
-    /// Reads the record of the plan whose change `write` is about to overwrite.
-    ReadOverwritten {
+    /// Reads the record of the plan `other`, whose change `write` is about to overwrite.
+    ReadOverwrittenPlan {
         other: String,
         write: Call,
     },
-    /// Notes there that its step was done.
-    NoteOverwritten {
-        note: Call,
+    /// Marks the overwritten step as done in the record of its plan, then does `write`.
+    MarkOverwrittenPlan {
+        mark: Call,
         write: Call,
     },
     WriteObject {
         write: Call,
     },
-    /// Reads the own record for a note that another plan's confirmation left there.
-    ReadNote {
+    /// Reads this plan's record again for a mark that the confirmation of another plan may have made.
+    RecheckRecord {
         cause: String,
     },
-    /// Reads the record of the plan that changed an object which this plan was to remove.
-    ReadRival {
-        rival: String,
+    /// Reads the record of the plan that changed an object which this plan removes.
+    ReadConflictingPlan {
+        conflicting: String,
         cause: String,
     },
     Ended(End),
@@ -75,20 +76,20 @@
 pub struct Confirmation {
     id: String,
     stage: Stage,
-    /// The record with its version, as last read or written.
+    /// The record and its version, as last read or written.
     record: Option<(u64, PlanRecord)>,
     pause: bool,
-    /// Whether an update of an object was sent whose answer is still to come.
+    /// Whether an update of an object was sent and its answer is outstanding.
     in_flight: bool,
-    /// Whether an update of an object got no answer and has not been accounted for since.
+    /// Whether an update of an object got no answer, and it is still unknown whether it was applied.
     unanswered: bool,
-    /// Whether a step is known to have taken effect. The record says so only once its own update
-    /// took, and the platform may go down in between.
-    step_took: bool,
+    /// Whether a step is known to be applied. The record contains this only after its own update, and
+    /// the platform may become unreachable in between.
+    step_applied: bool,
 }
 
 impl Confirmation {
-    /// The confirmation of the plan with this id.
+    /// Creates the confirmation of the plan with this id.
     pub fn new(id: &str) -> Confirmation {
         Confirmation {
             id: id.to_owned(),
@@ -97,47 +98,47 @@
             pause: false,
             in_flight: false,
             unanswered: false,
-            step_took: false,
+            step_applied: false,
         }
     }
 
-    /// The record as last read or written.
+    /// Returns the record as last read or written.
     pub fn record(&self) -> Option<&PlanRecord> {
         self.record.as_ref().map(|(_, record)| record)
     }
 
-    /// What it means to stop here.
-    pub fn standing(&self) -> Standing {
+    /// Returns the progress, for a caller that stops the confirmation here.
+    pub fn progress(&self) -> Progress {
         let steps_done = self.record().map_or(0, |record| record.steps_done);
-        match (self.in_flight || self.unanswered, self.step_took || steps_done > 0) {
-            (true, _) => Standing::Unanswered,
-            (false, false) => Standing::Untouched,
-            (false, true) => Standing::Unfinished,
+        match (self.in_flight || self.unanswered, self.step_applied || steps_done > 0) {
+            (true, _) => Progress::Unanswered,
+            (false, false) => Progress::Untouched,
+            (false, true) => Progress::Unfinished,
         }
     }
 
-    /// What to do next.
+    /// Returns the next action.
     pub fn next_action(&mut self) -> Next {
         if mem::take(&mut self.pause) {
             return Next::Pause;
         }
         self.in_flight = matches!(self.stage, Stage::WriteObject { .. });
         match &self.stage {
-            Stage::ReadRecord | Stage::ReadNote { .. } => Next::Call(get_plan(&self.id)),
+            Stage::ReadRecord | Stage::RecheckRecord { .. } => Next::Call(get_plan(&self.id)),
             Stage::CheckBase { index } => Next::Call(self.get_object(*index)),
             Stage::WriteRecord { next } => {
                 Next::Call(put_record(&self.id, self.record_version(), next))
             }
             Stage::ReadObject => Next::Call(self.get_object(self.own().steps_done)),
-            Stage::ReadOverwritten { other, .. } => Next::Call(get_plan(other)),
-            Stage::ReadRival { rival, .. } => Next::Call(get_plan(rival)),
-            Stage::NoteOverwritten { note, .. } => Next::Call(note.clone()),
+            Stage::ReadOverwrittenPlan { other, .. } => Next::Call(get_plan(other)),
+            Stage::ReadConflictingPlan { conflicting, .. } => Next::Call(get_plan(conflicting)),
+            Stage::MarkOverwrittenPlan { mark, .. } => Next::Call(mark.clone()),
             Stage::WriteObject { write } => Next::Call(write.clone()),
             Stage::Ended(end) => Next::End(end.clone()),
         }
     }
 
-    /// Takes the answer to the call that [`Confirmation::next_action`] asked for.
+    /// Handles the answer to the call that [`Confirmation::next_action`] returned.
     pub fn answer(&mut self, answer: Answer) {
         self.in_flight = false;
         let stage = mem::replace(&mut self.stage, Stage::ReadRecord);
@@ -147,17 +148,17 @@
         };
     }
 
-    /// What was read is read again; what was to be written is looked for first.
+    /// A lost read is repeated; after a lost write the object is read first.
     fn on_lost(&mut self, stage: Stage) -> Stage {
         self.pause = true;
         match stage {
             Stage::WriteRecord { .. } => Stage::ReadRecord,
-            Stage::NoteOverwritten { .. } => Stage::ReadObject,
+            Stage::MarkOverwrittenPlan { .. } => Stage::ReadObject,
             Stage::WriteObject { .. } => {
                 self.unanswered = true;
                 Stage::ReadObject
             }
-            reading => reading,
+            unchanged => unchanged,
         }
     }
 
@@ -170,17 +171,19 @@
             }
             (Stage::WriteRecord { .. }, _) => Stage::ReadRecord,
             (Stage::ReadObject, answer) => self.on_object(answer),
-            (Stage::ReadOverwritten { other, write }, answer) => {
-                on_overwritten(other, write, answer)
+            (Stage::ReadOverwrittenPlan { other, write }, answer) => {
+                on_overwritten_plan(other, write, answer)
             }
-            (Stage::NoteOverwritten { write, .. }, Answer::Took { .. }) => {
+            (Stage::MarkOverwrittenPlan { write, .. }, Answer::Took { .. }) => {
                 Stage::WriteObject { write }
             }
-            (Stage::NoteOverwritten { .. }, _) => Stage::ReadObject,
+            (Stage::MarkOverwrittenPlan { .. }, _) => Stage::ReadObject,
             (Stage::WriteObject { .. }, Answer::Took { .. }) => self.step_done(),
             (Stage::WriteObject { .. }, _) => Stage::ReadObject,
-            (Stage::ReadNote { cause }, answer) => self.on_note(cause, answer),
-            (Stage::ReadRival { cause, .. }, answer) => self.on_rival(cause, answer),
+            (Stage::RecheckRecord { cause }, answer) => self.on_rechecked_record(cause, answer),
+            (Stage::ReadConflictingPlan { cause, .. }, answer) => {
+                self.on_conflicting_plan(cause, answer)
+            }
             (Stage::Ended(end), _) => Stage::Ended(end),
         }
     }
@@ -196,7 +199,7 @@
         let steps_done = record.steps_done;
         let cause = record.cause.clone();
         self.record = Some((version, record));
-        // An earlier run may have sent an update that the record does not know of.
+        // An earlier run may have sent an update that is not in the record.
         self.unanswered |= first_reading && state == PlanState::Confirmed && steps_done == 0;
         match state {
             PlanState::Proposed => self.check_base(0),
@@ -206,7 +209,7 @@
         }
     }
 
-    /// Goes on with the first step from `index` that changes an object.
+    /// Continues with the first step from `index` on that changes an object.
     fn check_base(&self, index: usize) -> Stage {
         let steps = self.own().plan.steps.iter().enumerate().skip(index);
         let mut changes = steps.filter(|(_, step)| matches!(step, Step::Change(_)));
@@ -221,8 +224,8 @@
         let step = &self.own().plan.steps[index];
         match step.judge(&self.id, current.as_ref()) {
             Verdict::Superseded { version, by } => {
-                // The record is still `Proposed` in the version that this update expects, so no
-                // run of this plan has changed anything.
+                // This update expects the version of the record in which it is still `Proposed`, so
+                // no run of this plan has changed an object.
                 let next = self.own().superseded(cause(step, version, &by));
                 Stage::WriteRecord { next }
             }
@@ -261,16 +264,16 @@
                 let write = Call { kind, name: name.to_owned(), verb };
                 match current.as_ref().map_or("", last_plan) {
                     "" => Stage::WriteObject { write },
-                    other => Stage::ReadOverwritten { other: other.to_owned(), write },
+                    other => Stage::ReadOverwrittenPlan { other: other.to_owned(), write },
                 }
             }
             Verdict::Superseded { version, by } => {
                 let cause = cause(step, version, &by);
                 let removes = matches!(step, Step::Change(change) if change.removes());
                 if removes {
-                    Stage::ReadRival { rival: by, cause }
+                    Stage::ReadConflictingPlan { conflicting: by, cause }
                 } else {
-                    Stage::ReadNote { cause }
+                    Stage::RecheckRecord { cause }
                 }
             }
         }
@@ -278,13 +281,14 @@
 
     fn step_done(&mut self) -> Stage {
         self.unanswered = false;
-        self.step_took = true;
+        self.step_applied = true;
         let own = self.own();
         Stage::WriteRecord { next: own.advanced(own.steps_done + 1) }
     }
 
-    /// Another change came between: before this plan's step or after it?
-    fn on_note(&mut self, cause: String, answer: Answer) -> Stage {
+    /// Decides whether the conflicting change was made before this plan's step or after it: a mark in the
+    /// record means after it.
+    fn on_rechecked_record(&mut self, cause: String, answer: Answer) -> Stage {
         let steps_done = self.own().steps_done;
         let (version, record) = match read_record(answer) {
             Ok(Some(read)) => read,
@@ -299,21 +303,21 @@
         Stage::WriteRecord { next }
     }
 
-    /// A removed object carries no id, so it can't tell who removed it. A rival that changed the
-    /// very version that this plan was to remove proves that this plan did not remove it.
-    fn on_rival(&mut self, cause: String, answer: Answer) -> Stage {
+    /// A removed object contains no plan id, so it is unknown which plan removed it. If a conflicting plan
+    /// changed the version that this plan removes, this plan did not remove it.
+    fn on_conflicting_plan(&mut self, cause: String, answer: Answer) -> Stage {
         let own = &self.own().plan.steps[self.own().steps_done];
-        let Step::Change(change) = own else { return Stage::ReadNote { cause } };
-        let rival = read_record(answer).ok().flatten();
-        let changed_the_same = rival.is_some_and(|(_, rival)| {
-            let mut bases = rival.plan.base_versions();
+        let Step::Change(change) = own else { return Stage::RecheckRecord { cause } };
+        let conflicting = read_record(answer).ok().flatten();
+        let changed_same_version = conflicting.is_some_and(|(_, conflicting)| {
+            let mut bases = conflicting.plan.base_versions();
             bases.any(|base| {
                 (base.kind, base.name) == (change.kind(), change.name())
                     && base.version == change.base_version()
             })
         });
-        if changed_the_same {
-            Stage::ReadNote { cause }
+        if changed_same_version {
+            Stage::RecheckRecord { cause }
         } else {
             Stage::Ended(End::Unknown { cause })
         }
@@ -357,16 +361,16 @@
     }
 }
 
-/// Before another plan's change is overwritten, its record gets the note that it took effect.
-fn on_overwritten(other: String, write: Call, answer: Answer) -> Stage {
+/// Marks the change of another plan as done in its record before `write` overwrites that change.
+fn on_overwritten_plan(other: String, write: Call, answer: Answer) -> Stage {
     let Ok(Some((version, record))) = read_record(answer) else {
-        // The record was removed, long after the plan ended: nobody asks for it any more.
+        // Records are removed long after their plan ended, so no confirmation depends on this one.
         return Stage::WriteObject { write };
     };
-    match record.noted(write.kind, &write.name) {
-        Some(noted) => {
-            let note = put_record(&other, version, &noted);
-            Stage::NoteOverwritten { note, write }
+    match record.marked_done(write.kind, &write.name) {
+        Some(marked_done) => {
+            let mark = put_record(&other, version, &marked_done);
+            Stage::MarkOverwrittenPlan { mark, write }
         }
         None => Stage::WriteObject { write },
     }
--- a/crates/core/tests/lead_proof.rs
+++ b/crates/core/tests/lead_proof.rs
@@ -1,12 +1,13 @@
-//! What proves that a primary was not replaced by a moment, and what must not count.
+//! Tests of the reports that prove that a primary was not replaced by a given moment, and of those that must
+//! not count.
 
 use std::sync::Arc;
 
 use skylark_core::log_position::LogPosition;
 use skylark_core::request::lead_proof::GroupView;
+use skylark_core::request::lead_proof::LeadReport;
 use skylark_core::request::lead_proof::LeadVerdict;
 use skylark_core::request::lead_proof::LeadWords;
-use skylark_core::request::lead_proof::Word;
 
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident $body:block)*) => {
@@ -14,7 +15,7 @@
     };
 }
 
-/// The moment that a proof is asked for, in microseconds.
+/// The moment up to which leadership is to be proved, in microseconds.
 const MOMENT_US: u64 = 1_000;
 
 fn id(name: &str) -> Arc<str> {
@@ -25,15 +26,15 @@
     LogPosition::new(1, index)
 }
 
-fn word(asked_us: u64, term: u64) -> Word {
-    Word { asked_us, leads: false, term, received: at(5) }
+fn report(asked_us: u64, term: u64) -> LeadReport {
+    LeadReport { asked_us, leads: false, term, received: at(5) }
 }
 
-/// Words of a group whose target `old` said early that it leads term 1.
-fn words() -> LeadWords {
-    let mut words = LeadWords::default();
-    words.heard(&id("old"), Word { leads: true, ..word(0, 1) });
-    words
+/// Reports of a group whose target `old` reported early that it leads term 1.
+fn reports() -> LeadWords {
+    let mut reports = LeadWords::default();
+    reports.record(&id("old"), LeadReport { leads: true, ..report(0, 1) });
+    reports
 }
 
 fn group<'a>(others: &'a [&'a str]) -> GroupView<'a> {
@@ -41,111 +42,111 @@
 }
 
 cases! {
-    one_word_of_three_members_is_enough {
-        let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US, 1));
+    one_report_of_three_members_suffices {
+        let mut reports = reports();
+        reports.record(&id("b"), report(MOMENT_US, 1));
         let others = ["b", "c"];
-        assert_eq!(words.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
+        assert_eq!(reports.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
     }
 
-    /// A replica says that it knows of no later term, and then receives a commit of one. A read that comes
-    /// after that must not rest on what it said before.
-    a_word_from_before_the_moment_does_not_count {
-        let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US - 1, 1));
+    /// A replica reports that it knows no later term, and then receives a commit of a later term. A read that
+    /// arrives afterwards must not rely on the earlier report.
+    a_report_requested_before_the_moment_does_not_count {
+        let mut reports = reports();
+        reports.record(&id("b"), report(MOMENT_US - 1, 1));
         let others = ["b", "c"];
-        assert_eq!(words.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Missing(1));
+        assert_eq!(reports.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Missing(1));
     }
 
-    /// A member acknowledged with the successor, started again and knows nothing of it.
+    /// A member acknowledged a commit of the successor and restarted, which lost its log and the term.
     a_member_that_lost_its_log_does_not_count {
-        let mut words = words();
-        words.heard(&id("b"), Word { received: at(0), ..word(MOMENT_US, 1) });
+        let mut reports = reports();
+        reports.record(&id("b"), LeadReport { received: at(0), ..report(MOMENT_US, 1) });
         let others = ["b", "c"];
-        assert_eq!(words.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Missing(1));
+        assert_eq!(reports.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Missing(1));
     }
 
-    /// A fourth member stands in during a replacement: it and the successor can acknowledge without the one
-    /// that was asked.
-    a_fourth_member_takes_another_word {
-        let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US, 1));
+    /// While a member is being replaced, a fourth member exists. It and the successor can acknowledge a
+    /// commit without the member that was asked.
+    a_fourth_member_requires_another_report {
+        let mut reports = reports();
+        reports.record(&id("b"), report(MOMENT_US, 1));
         let others = ["b", "c", "d"];
-        assert_eq!(words.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Missing(1));
-        words.heard(&id("d"), word(MOMENT_US, 1));
-        assert_eq!(words.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
+        assert_eq!(reports.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Missing(1));
+        reports.record(&id("d"), report(MOMENT_US, 1));
+        assert_eq!(reports.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
     }
 
-    /// A member that left may have acknowledged with the successor before.
-    a_member_that_left_takes_another_word {
-        let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US, 1));
+    /// A departed member may have acknowledged a commit of the successor before it left.
+    a_departed_member_requires_another_report {
+        let mut reports = reports();
+        reports.record(&id("b"), report(MOMENT_US, 1));
         let others = ["b", "c"];
         let view = GroupView { departed: 1, ..group(&others) };
-        assert_eq!(words.verdict(&id("old"), MOMENT_US, &view), LeadVerdict::Missing(1));
+        assert_eq!(reports.verdict(&id("old"), MOMENT_US, &view), LeadVerdict::Missing(1));
     }
 
-    /// Where a member may have come that is not listed, all that are listed have to say so: the successor is
-    /// one of them.
-    a_list_that_may_lack_a_member_takes_all_words {
-        let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US, 1));
+    /// If a member may exist that is not listed, the reports of all listed members are required: the
+    /// successor is one of them.
+    an_incomplete_list_requires_all_reports {
+        let mut reports = reports();
+        reports.record(&id("b"), report(MOMENT_US, 1));
         let others = ["b", "c"];
         let view = GroupView { is_complete: false, ..group(&others) };
-        assert_eq!(words.verdict(&id("old"), MOMENT_US, &view), LeadVerdict::Missing(1));
-        words.heard(&id("c"), word(MOMENT_US, 1));
-        assert_eq!(words.verdict(&id("old"), MOMENT_US, &view), LeadVerdict::Proved);
+        assert_eq!(reports.verdict(&id("old"), MOMENT_US, &view), LeadVerdict::Missing(1));
+        reports.record(&id("c"), report(MOMENT_US, 1));
+        assert_eq!(reports.verdict(&id("old"), MOMENT_US, &view), LeadVerdict::Proved);
     }
 
-    a_later_term_supersedes_whenever_it_was_heard {
-        let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US, 1));
-        words.heard(&id("c"), word(500, 2));
-        words.heard(&id("old"), Word { leads: true, ..word(600, 1) });
+    a_later_term_supersedes_whenever_it_was_reported {
+        let mut reports = reports();
+        reports.record(&id("b"), report(MOMENT_US, 1));
+        reports.record(&id("c"), report(500, 2));
+        reports.record(&id("old"), LeadReport { leads: true, ..report(600, 1) });
         let others = ["b", "c"];
-        let verdict = words.verdict(&id("old"), MOMENT_US, &group(&others));
+        let verdict = reports.verdict(&id("old"), MOMENT_US, &group(&others));
         assert_eq!(verdict, LeadVerdict::Superseded { term: 2 });
     }
 
-    /// A target that was promoted again since it was asked leads a term that it has not told.
-    a_target_is_asked_again_once_a_later_term_is_heard {
-        let mut words = words();
-        words.heard(&id("c"), word(500, 3));
+    /// A target that was promoted again since its last report leads a term that it has not reported.
+    a_target_is_asked_again_after_a_later_term_is_reported {
+        let mut reports = reports();
+        reports.record(&id("c"), report(500, 3));
         let others = ["b", "c"];
-        let verdict = words.verdict(&id("old"), MOMENT_US, &group(&others));
+        let verdict = reports.verdict(&id("old"), MOMENT_US, &group(&others));
         assert_eq!(verdict, LeadVerdict::TermUnknown);
-        words.heard(&id("old"), Word { leads: true, ..word(600, 3) });
-        words.heard(&id("b"), word(MOMENT_US, 3));
-        assert_eq!(words.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
+        reports.record(&id("old"), LeadReport { leads: true, ..report(600, 3) });
+        reports.record(&id("b"), report(MOMENT_US, 3));
+        assert_eq!(reports.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
     }
 
-    /// What counts is when a word was asked for: it may have been under way for long.
-    a_word_that_comes_late_dates_from_its_question {
-        let mut words = words();
-        words.heard(&id("b"), word(MOMENT_US, 1));
-        words.heard(&id("b"), word(MOMENT_US - 500, 1));
+    /// A report counts from the time of its request, since it may have been in transit for long.
+    a_late_report_counts_from_its_request {
+        let mut reports = reports();
+        reports.record(&id("b"), report(MOMENT_US, 1));
+        reports.record(&id("b"), report(MOMENT_US - 500, 1));
         let others = ["b", "c"];
         let moment_us = MOMENT_US - 400;
-        assert_eq!(words.verdict(&id("old"), moment_us, &group(&others)), LeadVerdict::Proved);
-        let verdict = words.verdict(&id("old"), MOMENT_US + 1, &group(&others));
+        assert_eq!(reports.verdict(&id("old"), moment_us, &group(&others)), LeadVerdict::Proved);
+        let verdict = reports.verdict(&id("old"), MOMENT_US + 1, &group(&others));
         assert_eq!(verdict, LeadVerdict::Missing(1));
     }
 
-    an_acknowledged_commit_proves_the_lead_until_it_was_sent {
-        let mut words = words();
-        words.acknowledged(&id("old"), MOMENT_US);
+    an_acknowledged_commit_proves_leadership_up_to_its_sending {
+        let mut reports = reports();
+        reports.acknowledged(&id("old"), MOMENT_US);
         let others = ["b", "c"];
-        assert_eq!(words.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
-        let verdict = words.verdict(&id("old"), MOMENT_US + 1, &group(&others));
+        assert_eq!(reports.verdict(&id("old"), MOMENT_US, &group(&others)), LeadVerdict::Proved);
+        let verdict = reports.verdict(&id("old"), MOMENT_US + 1, &group(&others));
         assert_eq!(verdict, LeadVerdict::Missing(1));
     }
 
-    a_proof_is_of_one_target_only {
-        let mut words = words();
-        words.acknowledged(&id("old"), MOMENT_US);
-        words.heard(&id("b"), Word { leads: true, ..word(0, 1) });
+    a_proof_holds_for_one_target_only {
+        let mut reports = reports();
+        reports.acknowledged(&id("old"), MOMENT_US);
+        reports.record(&id("b"), LeadReport { leads: true, ..report(0, 1) });
         let others = ["old", "c"];
-        let verdict = words.verdict(&id("b"), MOMENT_US, &group(&others));
+        let verdict = reports.verdict(&id("b"), MOMENT_US, &group(&others));
         assert_eq!(verdict, LeadVerdict::Missing(1));
     }
 }
--- a/crates/core/tests/read_choice.rs
+++ b/crates/core/tests/read_choice.rs
@@ -1,4 +1,4 @@
-//! Which member serves a read.
+//! Tests of the selection of the member that serves a read.
 
 use skylark_core::request::read_choice;
 use skylark_core::request::read_choice::ReadCandidate;
@@ -8,44 +8,50 @@
         same_zone: true,
         is_primary: false,
         usual_us: 10_000,
-        under_way: 0,
+        outstanding: 0,
         is_preferred: true,
-        lags: false,
-        fails: false,
+        is_lagging: false,
+        is_failing: false,
     }
 }
 
 macro_rules! choices {
-    ($($(#[$doc:meta])* $name:ident: $candidates:expr => $place:expr;)*) => {
+    ($($(#[$doc:meta])* $name:ident: $candidates:expr => $expected:expr;)*) => {
         $($(#[$doc])*
         #[test]
         fn $name() {
-            assert_eq!(read_choice::choose(&$candidates), $place);
+            assert_eq!(read_choice::choose(&$candidates), $expected);
         })*
     };
 }
 
 choices! {
-    nobody_serves_where_nobody_is: [] => None;
+    no_candidates_give_no_choice: [] => None;
     the_own_zone_is_preferred:
         [ReadCandidate { same_zone: false, ..candidate() }, candidate()] => Some(1);
-    /// Two statements under way there triple the wait, which costs more than the other zone does.
-    a_busy_member_in_the_own_zone_is_not:
-        [ReadCandidate { same_zone: false, ..candidate() }, ReadCandidate { under_way: 2, ..candidate() }]
+    /// Two outstanding statements triple the expected latency, which exceeds the penalty of the other zone.
+    a_busy_member_in_the_own_zone_is_avoided:
+        [ReadCandidate { same_zone: false, ..candidate() },
+         ReadCandidate { outstanding: 2, ..candidate() }]
         => Some(0);
-    the_primary_is_spared: [ReadCandidate { is_primary: true, ..candidate() }, candidate()] => Some(1);
-    /// An organisation's connections lie at one replica, which is worth another zone's way.
-    an_organisations_own_choice_is_preferred:
-        [ReadCandidate { is_preferred: false, ..candidate() }, ReadCandidate { same_zone: false, ..candidate() }]
+    a_replica_is_preferred_to_the_primary:
+        [ReadCandidate { is_primary: true, ..candidate() }, candidate()] => Some(1);
+    /// The organisation's connections are to one replica, which outweighs the penalty of another zone.
+    the_preferred_member_of_the_organisation_wins:
+        [ReadCandidate { is_preferred: false, ..candidate() },
+         ReadCandidate { same_zone: false, ..candidate() }]
         => Some(1);
-    /// Its own choice has several statements under way, and a connection elsewhere takes less time than they do.
-    a_busy_choice_is_not:
-        [ReadCandidate { is_preferred: false, ..candidate() }, ReadCandidate { under_way: 3, ..candidate() }]
+    /// The preferred member has several outstanding statements, which take longer than a connection
+    /// elsewhere.
+    a_busy_preferred_member_is_avoided:
+        [ReadCandidate { is_preferred: false, ..candidate() },
+         ReadCandidate { outstanding: 3, ..candidate() }]
         => Some(0);
-    one_that_lags_comes_after_all_that_don_t:
-        [ReadCandidate { lags: true, ..candidate() },
-         ReadCandidate { same_zone: false, under_way: 5, ..candidate() }] => Some(1);
-    one_that_fails_comes_last:
-        [ReadCandidate { fails: true, ..candidate() }, ReadCandidate { lags: true, ..candidate() }]
+    a_lagging_member_ranks_after_all_others:
+        [ReadCandidate { is_lagging: true, ..candidate() },
+         ReadCandidate { same_zone: false, outstanding: 5, ..candidate() }] => Some(1);
+    a_failing_member_ranks_last:
+        [ReadCandidate { is_failing: true, ..candidate() },
+         ReadCandidate { is_lagging: true, ..candidate() }]
         => Some(1);
 }
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -1,4 +1,4 @@
-//! What is sent again: never what may have run, unless it is a read.
+//! Tests of retries: a request that may have run is only retried if it is a read.
 
 use skylark_core::request::error_kind::ErrorKind;
 use skylark_core::request::error_kind::Outcome;
@@ -10,15 +10,15 @@
 use skylark_core::request::retry::RetryVerdict;
 use skylark_core::request::retry::Stage;
 
-const LEFT_US: u64 = 1_000_000;
+const REMAINING_US: u64 = 1_000_000;
 
 const STAGES: [Stage; 6] = [
     Stage::Connecting,
     Stage::NothingSent,
     Stage::PartlySent,
     Stage::Sent,
-    Stage::AnswerBegun,
-    Stage::AnswerPassedOn,
+    Stage::AnswerStarted,
+    Stage::AnswerRelayed,
 ];
 
 const CODES: [&[u8; 5]; 7] = [b"53300", b"25006", b"57P01", b"57P03", b"40001", b"23505", b"53000"];
@@ -26,7 +26,7 @@
 const CLAIMS: [Option<Outcome>; 4] =
     [None, Some(Outcome::NotRun), Some(Outcome::Ran), Some(Outcome::Unknown)];
 
-fn said(code: &str) -> Failure {
+fn reported(code: &str) -> Failure {
     let sqlstate = code.as_bytes().try_into().expect("five characters");
     Failure::Said { sqlstate, claimed: None }
 }
@@ -36,7 +36,7 @@
 }
 
 fn decide(attempt: &Attempt) -> RetryVerdict {
-    retry::decide(attempt, &RetryBudget::new(10, 10), LEFT_US)
+    retry::decide(attempt, &RetryBudget::new(10, 10), REMAINING_US)
 }
 
 macro_rules! verdicts {
@@ -54,7 +54,7 @@
     write_not_sent: Write, NothingSent, false, Failure::Broken => RetryVerdict::Again;
     write_partly_sent: Write, PartlySent, false, Failure::Broken => RetryVerdict::Again;
     write_connect_refused: Write, Connecting, false, Failure::Broken => RetryVerdict::Again;
-    // The caller would book twice: the first one ran and its answer is lost.
+    // A retry would book twice: the first attempt ran and its answer was lost.
     write_sent: Write, Sent, false, Failure::Broken => RetryVerdict::Answer(ErrorKind::AnswerLost);
     write_sent_and_late: Write, Sent, false, Failure::TimedOut
         => RetryVerdict::Answer(ErrorKind::AnswerTimedOut);
@@ -63,36 +63,36 @@
     commit_not_sent: Commit, NothingSent, true, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
     read_sent: Read, Sent, false, Failure::Broken => RetryVerdict::Again;
-    read_answer_begun: Read, AnswerBegun, false, Failure::Broken => RetryVerdict::Again;
-    // The caller has half of the rows: the other half of another run would cross the answers.
-    read_answer_passed_on: Read, AnswerPassedOn, false, Failure::Broken
+    read_answer_started: Read, AnswerStarted, false, Failure::Broken => RetryVerdict::Again;
+    // The caller has some of the rows: a retry would mix the rows of two runs.
+    read_answer_relayed: Read, AnswerRelayed, false, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::AnswerLost);
     read_in_transaction: Read, Sent, true, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
     write_in_transaction: Write, Sent, true, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
-    not_primary: Write, Sent, false, said("25006") => RetryVerdict::Again;
-    fenced_at_commit: Commit, Sent, true, said("25006")
+    not_primary: Write, Sent, false, reported("25006") => RetryVerdict::Again;
+    fenced_at_commit: Commit, Sent, true, reported("25006")
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
-    leaving: Write, Sent, false, said("57P01") => RetryVerdict::Again;
-    leaving_at_connect: Write, Connecting, false, said("57P01") => RetryVerdict::Again;
-    cut_off_at_commit: Commit, Sent, true, said("57P01")
+    leaving: Write, Sent, false, reported("57P01") => RetryVerdict::Again;
+    leaving_at_connect: Write, Connecting, false, reported("57P01") => RetryVerdict::Again;
+    cut_off_at_commit: Commit, Sent, true, reported("57P01")
         => RetryVerdict::Answer(ErrorKind::AnswerLost);
-    too_many_connections: Write, Connecting, false, said("53300") => RetryVerdict::Again;
-    duplicate_key: Write, Sent, false, said("23505") => RetryVerdict::PassOn;
-    serialization_failure: Commit, Sent, true, said("40001") => RetryVerdict::PassOn;
+    too_many_connections: Write, Connecting, false, reported("53300") => RetryVerdict::Again;
+    duplicate_key: Write, Sent, false, reported("23505") => RetryVerdict::PassThrough;
+    serialization_failure: Commit, Sent, true, reported("40001") => RetryVerdict::PassThrough;
     home_is_overloaded: Read, Sent, false,
         Failure::Said { sqlstate: *b"53000", claimed: Some(Outcome::NotRun) }
-        => RetryVerdict::PassOn;
+        => RetryVerdict::PassThrough;
     home_did_not_run_it: Write, Sent, false,
         Failure::Said { sqlstate: *b"57P03", claimed: Some(Outcome::NotRun) }
         => RetryVerdict::Again;
     home_does_not_know: Write, Sent, false,
         Failure::Said { sqlstate: *b"08007", claimed: Some(Outcome::Unknown) }
-        => RetryVerdict::PassOn;
+        => RetryVerdict::PassThrough;
 }
 
-/// Every combination of the table.
+/// Returns all combinations of effects, stages, transaction states and failures.
 fn all_attempts() -> Vec<Attempt> {
     let mut failures = vec![Failure::Broken, Failure::TimedOut];
     for sqlstate in CODES {
@@ -110,10 +110,10 @@
     attempts
 }
 
-// A booking runs twice. Whatever broke, and whoever said what: a request that may write and that was
-// sent whole is only sent again when its target or home said that it did not run.
+// Failure: a booking runs twice. A request that may write and that was sent completely may only be retried
+// if its target or home reported that it did not run.
 #[test]
-fn what_may_have_run_is_never_sent_again_unless_it_is_a_read() {
+fn only_reads_are_retried_if_they_may_have_run() {
     let mut again = 0;
     for attempt in all_attempts() {
         if decide(&attempt) != RetryVerdict::Again {
@@ -121,7 +121,7 @@
         }
         again += 1;
         assert!(!attempt.in_transaction, "{attempt:?}");
-        assert_ne!(attempt.stage, Stage::AnswerPassedOn, "{attempt:?}");
+        assert_ne!(attempt.stage, Stage::AnswerRelayed, "{attempt:?}");
         let silent = matches!(attempt.failure, Failure::Broken | Failure::TimedOut);
         if silent && attempt.effect != Effect::Read {
             assert!(attempt.stage < Stage::Sent, "{attempt:?}");
@@ -130,10 +130,10 @@
     assert!(again > 0);
 }
 
-// A refusal that says "not run" is true: no answer of that kind for what was sent whole and whose end
-// is not known, unless its transaction had no commit.
+// The outcome "not run" must be true: a request that was sent completely and got no answer never has that
+// outcome, unless it belongs to a transaction without a commit.
 #[test]
-fn no_answer_says_not_run_about_what_may_have_run() {
+fn no_answer_claims_not_run_for_requests_that_may_have_run() {
     for attempt in all_attempts() {
         let RetryVerdict::Answer(kind) = decide(&attempt) else { continue };
         let silent = matches!(attempt.failure, Failure::Broken | Failure::TimedOut);
@@ -145,18 +145,18 @@
 }
 
 #[test]
-fn retries_end() {
-    let mut tried = attempt(Effect::Read, Stage::Sent, false, Failure::Broken);
-    tried.retries = retry::MAX_RETRIES;
-    assert_eq!(decide(&tried), RetryVerdict::Answer(ErrorKind::AnswerLost));
+fn retries_are_limited() {
+    let mut exhausted = attempt(Effect::Read, Stage::Sent, false, Failure::Broken);
+    exhausted.retries = retry::MAX_RETRIES;
+    assert_eq!(decide(&exhausted), RetryVerdict::Answer(ErrorKind::AnswerLost));
     let budget = RetryBudget::new(10, 10);
     let unsent = attempt(Effect::Write, Stage::NothingSent, false, Failure::Broken);
     let late = retry::decide(&unsent, &budget, 0);
     assert_eq!(late, RetryVerdict::Answer(ErrorKind::WaitTimedOut));
 }
 
-// Everything fails at once. Each request would be sent four times, and the group that comes back meets
-// four times its load. The budget allows a tenth.
+// All requests fail at once. Without a budget each would be sent four times, and a recovering group would get
+// four times its load. The budget allows retries for a tenth of the requests.
 #[test]
 fn the_budget_bounds_retries_to_a_share_of_the_requests() {
     let budget = RetryBudget::new(10, 20);
@@ -164,11 +164,11 @@
     let mut again = 0;
     for _ in 0..1_000 {
         budget.request_started();
-        again += u32::from(retry::decide(&failed, &budget, LEFT_US) == RetryVerdict::Again);
+        again += u32::from(retry::decide(&failed, &budget, REMAINING_US) == RetryVerdict::Again);
     }
-    // The burst of 20, and a tenth of a thousand.
+    // The burst of 20, and a tenth of the thousand requests. The budget is full at the first request.
     assert_eq!(again, 119);
-    let spent = retry::decide(&failed, &budget, LEFT_US);
+    let spent = retry::decide(&failed, &budget, REMAINING_US);
     assert_eq!(spent, RetryVerdict::Answer(ErrorKind::RetryBudgetSpent));
     for _ in 0..10_000 {
         budget.request_started();
@@ -178,10 +178,10 @@
 }
 
 #[test]
-fn a_refusal_to_retry_costs_no_budget() {
+fn a_denied_retry_costs_no_budget() {
     let budget = RetryBudget::new(10, 3);
     let sent = attempt(Effect::Write, Stage::Sent, false, Failure::Broken);
-    retry::decide(&sent, &budget, LEFT_US);
+    retry::decide(&sent, &budget, REMAINING_US);
     assert_eq!(budget.retries_left(), 3);
 }
 
--- a/crates/core/tests/route_changes.rs
+++ b/crates/core/tests/route_changes.rs
@@ -1,4 +1,4 @@
-//! Changes between versions of a configuration lead to the later one, whatever they are.
+//! Tests that the changes between two versions of a configuration turn the earlier one into the later one.
 
 use std::sync::Arc;
 
@@ -6,13 +6,13 @@
 use skylark_core::FastMap;
 use skylark_core::version::route_changes::RecentVersions;
 use skylark_core::version::route_changes::RouteChanges;
-use skylark_core::version::route_changes::RoutesSince;
+use skylark_core::version::route_changes::RoutesUpdate;
 use skylark_core::version::routes::ReadRule;
 use skylark_core::version::routes::Route;
 use skylark_core::version::routes::RouteTable;
 use skylark_core::version::routes::ServiceLimits;
 
-/// A version whose routes have these names and timeouts.
+/// Returns a version whose routes have these names and timeouts.
 fn table(version: u64, routes: &[(u8, u8)]) -> RouteTable {
     let route = |(name, timeout): &(u8, u8)| {
         let database: Arc<str> = format!("db-{name}").into();
@@ -43,23 +43,23 @@
         RouteChanges::between(&base, &next).applied_to(&base) == Some(next)
     }
 
-    /// Whatever versions came, and whatever one knows of them, what it is sent leads to the newest.
-    fn whoever_is_told_has_the_newest_version(versions: Vec<Vec<(u8, u8)>>, known: usize) -> bool {
+    /// For any sequence of versions, the update for a receiver of any of them leads to the newest version.
+    fn every_update_leads_to_the_newest_version(versions: Vec<Vec<(u8, u8)>>, known: usize) -> bool {
         let tables: Vec<Arc<RouteTable>> = versions
             .iter()
             .enumerate()
-            .map(|(place, routes)| Arc::new(table(place as u64 + 1, routes)))
+            .map(|(index, routes)| Arc::new(table(index as u64 + 1, routes)))
             .collect();
         let mut recent = RecentVersions::default();
         for table in &tables {
             recent.push(table);
         }
-        let Some(newest) = tables.last() else { return recent.since(0) == RoutesSince::Nothing };
+        let Some(newest) = tables.last() else { return recent.since(0) == RoutesUpdate::UpToDate };
         let known = &tables[known % tables.len()];
         match recent.since(known.version) {
-            RoutesSince::Nothing => known.version == newest.version,
-            RoutesSince::Changes(changes) => changes.applied_to(known).as_ref() == Some(&**newest),
-            RoutesSince::Whole(whole) => whole == *newest,
+            RoutesUpdate::UpToDate => known.version == newest.version,
+            RoutesUpdate::Changes(changes) => changes.applied_to(known).as_ref() == Some(&**newest),
+            RoutesUpdate::Full(whole) => whole == *newest,
         }
     }
 }
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn an_older_version_is_not_taken_in() {
+fn an_older_version_is_not_added() {
     let mut recent = RecentVersions::default();
     assert!(recent.push(&Arc::new(table(9, &[]))));
     assert!(!recent.push(&Arc::new(table(4, &[]))));
@@ -88,18 +88,21 @@
 }
 
 #[test]
-fn one_who_knows_nothing_is_sent_the_whole() {
+fn a_receiver_without_a_version_gets_the_full_configuration() {
     let mut recent = RecentVersions::default();
     let newest = Arc::new(table(9, &[(1, 1)]));
     recent.push(&newest);
-    assert_eq!(recent.since(0), RoutesSince::Whole(newest));
+    assert_eq!(recent.since(0), RoutesUpdate::Full(newest));
 }
 
-/// Whoever says that it knows a version that never was is sent what one is sent who knows nothing.
+/// A receiver that claims a version which never existed is treated like one without a version.
 #[test]
-fn an_unknown_version_is_a_base_of_nothing() {
+fn an_unknown_version_is_no_base() {
     let mut recent = RecentVersions::default();
     recent.push(&Arc::new(table(7, &[(1, 1)])));
     recent.push(&Arc::new(table(9, &[(1, 1)])));
-    assert_eq!([recent.base_of(7), recent.base_of(8), recent.base_of(0)], [7, 0, 0]);
+    assert_eq!(
+        [recent.base_version_for(7), recent.base_version_for(8), recent.base_version_for(0)],
+        [7, 0, 0]
+    );
 }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -1,7 +1,7 @@
-//! Runs the text cases under `tests/cases/routing`: members and a read in, the verdict out.
+//! Runs the text cases under `tests/cases/routing`, which map members and a read to the expected verdict.
 //!
 //! Lines before `----` are `leader NAME term N`, `member NAME KEY VALUE...` and `read KEY VALUE...`;
-//! times are in milliseconds and the read comes at 10000. What follows is the verdict.
+//! times are in milliseconds, and the read arrives at 10000. The lines after it are the verdict.
 
 use std::fs;
 use std::path::Path;
@@ -19,7 +19,7 @@
 
 const NOW_MS: u64 = 10_000;
 
-/// The members' names stand for their indices: `a` is target 0.
+/// Returns the target for a name. Names are letters that stand for indices: `a` is target 0.
 fn target(name: &str) -> TargetId {
     TargetId(u32::from(name.as_bytes()[0] - b'a'))
 }
@@ -32,13 +32,13 @@
     ms.parse::<u64>().expect("a time in milliseconds") * 1_000
 }
 
-fn pairs<'a>(words: &[&'a str]) -> Vec<(&'a str, &'a str)> {
-    words.chunks(2).map(|pair| (pair[0], pair[1])).collect()
+fn pairs<'a>(fields: &[&'a str]) -> Vec<(&'a str, &'a str)> {
+    fields.chunks(2).map(|pair| (pair[0], pair[1])).collect()
 }
 
-fn member(words: &[&str]) -> MemberView {
+fn member(fields: &[&str]) -> MemberView {
     let mut member = MemberView {
-        target: target(words[0]),
+        target: target(fields[0]),
         applied: "3/10".parse().expect("a position"),
         fresh_as_of_us: (NOW_MS - 10) * 1_000,
         lag_us: None,
@@ -48,7 +48,7 @@
         nearness: Nearness::SameZone,
         predicted_wait_us: 0,
     };
-    for (key, value) in pairs(&words[1..]) {
+    for (key, value) in pairs(&fields[1..]) {
         match key {
             "applied" => member.applied = value.parse().expect("a position"),
             "age" if value == "none" => member.fresh_as_of_us = 0,
@@ -60,13 +60,13 @@
             "zone" if value == "other" => member.nearness = Nearness::OtherZone,
             "region" if value == "other" => member.nearness = Nearness::OtherRegion,
             "wait" => member.predicted_wait_us = us(value),
-            other => panic!("unknown word {other}"),
+            other => panic!("unknown key {other}"),
         }
     }
     member
 }
 
-fn read(words: &[&str]) -> ReadRequest {
+fn read(fields: &[&str]) -> ReadRequest {
     let mut request = ReadRequest {
         floor: Default::default(),
         max_age_us: 1_000_000,
@@ -74,7 +74,7 @@
         waited_us: 0,
         spread: 0,
     };
-    for (key, value) in pairs(words) {
+    for (key, value) in pairs(fields) {
         match key {
             "floor" => request.floor = value.parse().expect("a position"),
             "max_age" if value == "none" => request.max_age_us = routing::NO_AGE_BOUND,
@@ -82,7 +82,7 @@
             "left" => request.deadline_us = NOW_MS * 1_000 + us(value),
             "waited" => request.waited_us = us(value),
             "spread" => request.spread = value.parse().expect("a number"),
-            other => panic!("unknown word {other}"),
+            other => panic!("unknown key {other}"),
         }
     }
     request
@@ -108,14 +108,14 @@
     let (input, expected) = text.split_once("----\n").expect("the case has a separator");
     let (mut leader, mut members, mut request) = (None, Vec::new(), None);
     for line in input.lines().filter(|line| !line.is_empty() && !line.starts_with('#')) {
-        let words: Vec<&str> = line.split(' ').collect();
-        match words[0] {
+        let fields: Vec<&str> = line.split(' ').collect();
+        match fields[0] {
             "leader" => {
-                let term = Term(words[3].parse().expect("a term"));
-                leader = Some(LeaderView { target: target(words[1]), term });
+                let term = Term(fields[3].parse().expect("a term"));
+                leader = Some(LeaderView { target: target(fields[1]), term });
             }
-            "member" => members.push(member(&words[1..])),
-            "read" => request = Some(read(&words[1..])),
+            "member" => members.push(member(&fields[1..])),
+            "read" => request = Some(read(&fields[1..])),
             other => panic!("unknown line {other}"),
         }
     }
@@ -140,13 +140,13 @@
     tie_is_spread = "tie-is-spread.case";
     floor_excludes_replica = "floor-excludes-replica.case";
     age_excludes_replica = "age-excludes-replica.case";
-    unshown_age = "unshown-age.case";
+    unproved_age = "unshown-age.case";
     no_bound_needs_no_age = "no-bound-needs-no-age.case";
     waits_for_replica = "waits-for-replica.case";
     follows_fast = "follows-fast.case";
     waited_and_served = "waited-and-served.case";
     waited_long_enough = "waited-long-enough.case";
-    hopeless_lag = "hopeless-lag.case";
+    lag_above_bound = "hopeless-lag.case";
     busy_primary = "busy-primary.case";
     old_primary_and_floor = "old-primary-and-floor.case";
     isolated_old_primary = "isolated-old-primary.case";
@@ -157,7 +157,7 @@
     only_primary = "only-primary.case";
     replicas_busy = "replicas-busy.case";
     deadline_unreachable = "deadline-unreachable.case";
-    island_too_old = "island-too-old.case";
+    partitioned_zone_too_old = "island-too-old.case";
     no_leader_waits = "no-leader-waits.case";
 }
 
