--- a/crates/bench/src/connection_cache/pool.rs
+++ b/crates/bench/src/connection_cache/pool.rs
@@ -77,7 +77,7 @@
 
     /// A statement ended.
     pub fn gave_back(&mut self, organisation: OrganisationId, now_us: u64, actions: &mut Actions) {
-        self.budget.gave_back();
+        self.budget.returned();
         self.hand_over(organisation, now_us, actions);
     }
 
--- a/crates/core/src/process/acknowledgement.rs
+++ b/crates/core/src/process/acknowledgement.rs
@@ -85,7 +85,7 @@
         if member >= self.tracks.len() {
             return None;
         }
-        self.note_latest(now_us, member, status);
+        self.update_latest(now_us, member, status);
         if !status.confirms(status.log) {
             return None;
         }
@@ -113,21 +113,21 @@
     /// Whether writes at `primary` in `term` would now wait for confirmations that can't come, so
     /// that they are better refused before they run.
     pub fn stalled(&self, now_us: u64, primary: usize, term: Term) -> bool {
-        let primary_leads = self.answers(now_us, primary, term)
+        let primary_leads = self.is_responsive(now_us, primary, term)
             && self.latest(primary).is_some_and(|(_, status)| status.role == Role::Primary);
-        let able = (0..self.tracks.len())
-            .filter(|&member| self.answers(now_us, member, term))
-            .filter(|&member| !self.stands_behind(now_us, member))
+        let responsive = (0..self.tracks.len())
+            .filter(|&member| self.is_responsive(now_us, member, term))
+            .filter(|&member| !self.makes_no_progress(now_us, member))
             .collect();
-        !primary_leads || !self.members.is_quorum(able)
+        !primary_leads || !self.members.is_quorum(responsive)
     }
 
     /// Replaces the member set; what is known of members in both is kept.
     pub fn change_members(&mut self, members: MemberSet) -> Option<LogPosition> {
         let mut tracks = vec![MemberTrack::default(); members.count()];
-        for (place, name) in self.members.names().iter().enumerate() {
-            if let Some(new_place) = members.place(name) {
-                tracks[new_place] = self.tracks[place].clone();
+        for (old_index, name) in self.members.names().iter().enumerate() {
+            if let Some(new_index) = members.index_of(name) {
+                tracks[new_index] = self.tracks[old_index].clone();
             }
         }
         self.members = members;
@@ -170,7 +170,7 @@
         violations
     }
 
-    fn note_latest(&mut self, now_us: u64, member: usize, status: &MemberStatus) {
+    fn update_latest(&mut self, now_us: u64, member: usize, status: &MemberStatus) {
         let track = &mut self.tracks[member];
         // A report of an older term than one seen is late: it still counts as a confirmation of the
         // past, but says nothing about what the member can do now.
@@ -183,13 +183,13 @@
         }
         track.reported_us = now_us;
         track.latest = Some(status.clone());
-        self.note_behind(now_us, status.raised_term);
+        self.update_lag_start(now_us, status.raised_term);
     }
 
     /// Starts the time of members that the primary has left behind. An idle group's members are
     /// level, so the time starts with the first record that a member lacks.
-    fn note_behind(&mut self, now_us: u64, term: Term) {
-        let Some(end) = self.reported_end(term) else { return };
+    fn update_lag_start(&mut self, now_us: u64, term: Term) {
+        let Some(end) = self.primary_log_end(term) else { return };
         for track in &mut self.tracks {
             let behind = track.latest.as_ref().is_some_and(|status| status.log < end);
             track.behind_since_us = match behind {
@@ -200,7 +200,7 @@
     }
 
     /// The end of the log of the primary of `term`, as last reported.
-    fn reported_end(&self, term: Term) -> Option<LogPosition> {
+    fn primary_log_end(&self, term: Term) -> Option<LogPosition> {
         self.tracks
             .iter()
             .filter_map(|track| track.latest.as_ref())
@@ -209,7 +209,7 @@
             .max()
     }
 
-    fn answers(&self, now_us: u64, member: usize, term: Term) -> bool {
+    fn is_responsive(&self, now_us: u64, member: usize, term: Term) -> bool {
         self.latest(member).is_some_and(|(reported_us, status)| {
             now_us.saturating_sub(reported_us) <= self.settings.silence_us
                 && status.raised_term == term
@@ -217,7 +217,7 @@
         })
     }
 
-    fn stands_behind(&self, now_us: u64, member: usize) -> bool {
+    fn makes_no_progress(&self, now_us: u64, member: usize) -> bool {
         self.tracks[member]
             .behind_since_us
             .is_some_and(|since_us| now_us.saturating_sub(since_us) > self.settings.no_progress_us)
--- a/crates/core/src/process/connection_budget.rs
+++ b/crates/core/src/process/connection_budget.rs
@@ -16,7 +16,7 @@
 const MAX_DOUBLINGS: u32 = 16;
 
 /// What one connection try costs in the token bucket.
-const TRY_COST_MILLI: u64 = 1_000;
+const ATTEMPT_COST_MILLI: u64 = 1_000;
 
 /// Microseconds in a second.
 const SECOND_US: u64 = 1_000_000;
@@ -27,29 +27,29 @@
     /// Connections kept open beyond the recent need.
     pub spare: u32,
     /// For how long a need is remembered.
-    pub need_window_us: u64,
+    pub demand_window_us: u64,
     /// The delay after the first failed try.
     pub backoff_us: u64,
     /// The longest delay between failed tries.
     pub max_backoff_us: u64,
     /// How many tries a second are allowed in the long run.
-    pub tries_per_second: u32,
+    pub attempts_per_second: u32,
     /// How many tries are allowed at once.
     pub burst: u32,
     /// How long the target's "too many connections" keeps the pool from growing.
-    pub overshoot_us: u64,
+    pub pool_cap_us: u64,
 }
 
 impl Default for BudgetPolicy {
     fn default() -> BudgetPolicy {
         BudgetPolicy {
             spare: 2,
-            need_window_us: 10_000_000,
+            demand_window_us: 10_000_000,
             backoff_us: 50_000,
             max_backoff_us: 5_000_000,
-            tries_per_second: 20,
+            attempts_per_second: 20,
             burst: 16,
-            overshoot_us: 500_000,
+            pool_cap_us: 500_000,
         }
     }
 }
@@ -73,7 +73,7 @@
     /// How many of these give way to connections of other users.
     pub replaced: u32,
     /// When to ask again even if nothing happens.
-    pub ask_again_us: Option<u64>,
+    pub next_plan_us: Option<u64>,
 }
 
 /// The users who wait without a connection being opened for them, in the order of their arrival.
@@ -86,8 +86,8 @@
     let mut missing = Vec::new();
     for user in waiting {
         match opening.iter().position(|opened| *opened == user) {
-            Some(place) => {
-                opening.swap_remove(place);
+            Some(index) => {
+                opening.swap_remove(index);
             }
             None => missing.push(user.clone()),
         }
@@ -105,14 +105,14 @@
     used: u32,
     opening: u32,
     waiting: u32,
-    need: RecentNeed,
+    demand: RecentDemand,
     failures: u32,
-    tries: u64,
-    not_before_us: u64,
+    attempts: u64,
+    retry_at_us: u64,
     /// While set, the pool is kept at or below the first until the second.
-    overshoot: Option<(u32, u64)>,
+    pool_cap: Option<(u32, u64)>,
     tokens_milli: u64,
-    tokens_us: u64,
+    refilled_us: u64,
 }
 
 impl ConnectionBudget {
@@ -128,13 +128,13 @@
             used: 0,
             opening: 0,
             waiting: 0,
-            need: RecentNeed::new(now_us),
+            demand: RecentDemand::new(now_us),
             failures: 0,
-            tries: 0,
-            not_before_us: 0,
-            overshoot: None,
-            tokens_milli: u64::from(policy.burst) * TRY_COST_MILLI,
-            tokens_us: now_us,
+            attempts: 0,
+            retry_at_us: 0,
+            pool_cap: None,
+            tokens_milli: u64::from(policy.burst) * ATTEMPT_COST_MILLI,
+            refilled_us: now_us,
         }
     }
 
@@ -155,12 +155,12 @@
         }
         self.idle -= 1;
         self.used += 1;
-        self.need.saw(self.used, self.policy.need_window_us, now_us);
+        self.demand.observe(self.used, self.policy.demand_window_us, now_us);
         true
     }
 
     /// A used connection is idle again.
-    pub fn gave_back(&mut self) {
+    pub fn returned(&mut self) {
         assert!(self.used > 0, "a connection came back that was not in use");
         self.used -= 1;
         self.idle += 1;
@@ -183,7 +183,7 @@
         self.opening -= 1;
         self.idle += 1;
         self.failures = 0;
-        self.not_before_us = 0;
+        self.retry_at_us = 0;
     }
 
     /// A try failed.
@@ -191,7 +191,7 @@
         assert!(self.opening > 0, "a try failed that was not under way");
         self.opening -= 1;
         match failure {
-            ConnectFailure::TooMany => self.cap(now_us),
+            ConnectFailure::TooMany => self.cap_pool(now_us),
             ConnectFailure::Failed => self.back_off(now_us),
         }
     }
@@ -205,9 +205,9 @@
         self.idle -= close;
         let missing = wanted.saturating_sub(total);
         let open = self.allowed_now(missing, now_us);
-        self.began_tries(open);
-        let ask_again_us = self.ask_again_us(missing - open, now_us);
-        BudgetPlan { open, close, replaced: 0, ask_again_us }
+        self.record_attempts(open);
+        let next_plan_us = self.next_plan_us(missing - open, now_us);
+        BudgetPlan { open, close, replaced: 0, next_plan_us }
     }
 
     /// Decides what to open and close at `now_us` where idle connections are kept for their users, and
@@ -215,23 +215,23 @@
     pub fn plan_for_users(&mut self, missing: u32, now_us: u64) -> BudgetPlan {
         self.refill(now_us);
         let desired = self.total().saturating_add(missing).min(self.share);
-        let limit = self.within_overshoot(desired, now_us);
-        let beyond = self.total().saturating_sub(limit).min(self.idle);
-        self.idle -= beyond;
+        let limit = self.within_cap(desired, now_us);
+        let excess = self.total().saturating_sub(limit).min(self.idle);
+        self.idle -= excess;
         let allowed = self.allowed_now(missing, now_us);
         let added = allowed.min(limit.saturating_sub(self.total()));
         let replaced = (allowed - added).min(self.idle);
         self.idle -= replaced;
         let open = added + replaced;
-        self.began_tries(open);
-        let ask_again_us = self.ask_again_us(missing - open, now_us);
-        BudgetPlan { open, close: beyond + replaced, replaced, ask_again_us }
+        self.record_attempts(open);
+        let next_plan_us = self.next_plan_us(missing - open, now_us);
+        BudgetPlan { open, close: excess + replaced, replaced, next_plan_us }
     }
 
     /// Changes how connections are kept and tries are spaced.
     pub fn set_policy(&mut self, policy: BudgetPolicy) {
         self.policy = policy;
-        self.tokens_milli = self.tokens_milli.min(u64::from(policy.burst) * TRY_COST_MILLI);
+        self.tokens_milli = self.tokens_milli.min(u64::from(policy.burst) * ATTEMPT_COST_MILLI);
     }
 
     /// Connections that are idle, in use or being opened.
@@ -252,13 +252,13 @@
     /// Every violated invariant.
     pub fn verify(&self) -> Vec<String> {
         let mut problems = Vec::new();
-        if self.overshoot.is_some_and(|(_, until_us)| until_us == 0) {
+        if self.pool_cap.is_some_and(|(_, until_us)| until_us == 0) {
             problems.push("an overshoot is held that never began".to_owned());
         }
-        if self.tokens_milli > u64::from(self.policy.burst) * TRY_COST_MILLI {
+        if self.tokens_milli > u64::from(self.policy.burst) * ATTEMPT_COST_MILLI {
             problems.push(format!("{} thousandths pass the burst", self.tokens_milli));
         }
-        if self.not_before_us > 0 && self.failures == 0 {
+        if self.retry_at_us > 0 && self.failures == 0 {
             problems.push("tries wait without a failure".to_owned());
         }
         problems
@@ -266,63 +266,64 @@
 
     /// How many connections there should be.
     fn wanted(&mut self, now_us: u64) -> u32 {
-        let now_needed = self.used + self.waiting;
-        self.need.saw(now_needed, self.policy.need_window_us, now_us);
-        let wanted = self.need.highest().saturating_add(self.policy.spare).min(self.share);
-        self.within_overshoot(wanted, now_us)
+        let current_demand = self.used + self.waiting;
+        self.demand.observe(current_demand, self.policy.demand_window_us, now_us);
+        let wanted = self.demand.highest().saturating_add(self.policy.spare).min(self.share);
+        self.within_cap(wanted, now_us)
     }
 
     /// What may be had of as many as are wanted after the target refused some.
-    fn within_overshoot(&mut self, wanted: u32, now_us: u64) -> u32 {
-        match self.overshoot {
+    fn within_cap(&mut self, wanted: u32, now_us: u64) -> u32 {
+        match self.pool_cap {
             Some((limit, until_us)) if now_us < until_us => wanted.min(limit),
             // One more is tried; if the target refuses it again, the limit holds again.
             Some((limit, _)) if wanted > limit => {
                 let limit = limit + 1;
-                self.overshoot = Some((limit, now_us + self.overshoot_delay_us()));
+                self.pool_cap = Some((limit, now_us + self.cap_duration_us()));
                 wanted.min(limit)
             }
             _ => {
-                self.overshoot = None;
+                self.pool_cap = None;
                 wanted
             }
         }
     }
 
-    fn cap(&mut self, now_us: u64) {
-        let until_us = now_us + self.overshoot_delay_us();
-        self.overshoot = Some((self.total(), until_us));
+    fn cap_pool(&mut self, now_us: u64) {
+        let until_us = now_us + self.cap_duration_us();
+        self.pool_cap = Some((self.total(), until_us));
     }
 
-    fn overshoot_delay_us(&self) -> u64 {
-        jitter::upper_half_us(self.seed, self.tries, self.policy.overshoot_us)
+    fn cap_duration_us(&self) -> u64 {
+        jitter::upper_half_us(self.seed, self.attempts, self.policy.pool_cap_us)
     }
 
     fn back_off(&mut self, now_us: u64) {
         // Several tries that were under way together are one failure of the target.
-        if now_us < self.not_before_us {
+        if now_us < self.retry_at_us {
             return;
         }
         let doublings = self.failures.min(MAX_DOUBLINGS);
         let delay_us = (self.policy.backoff_us << doublings).min(self.policy.max_backoff_us);
         self.failures += 1;
-        self.not_before_us = now_us + jitter::upper_half_us(self.seed, self.tries, delay_us).max(1);
+        self.retry_at_us =
+            now_us + jitter::upper_half_us(self.seed, self.attempts, delay_us).max(1);
     }
 
     /// How many of the tries that are wanted may begin now.
     fn allowed_now(&self, wanted: u32, now_us: u64) -> u32 {
-        if now_us < self.not_before_us { 0 } else { wanted.min(self.allowed_tries()) }
+        if now_us < self.retry_at_us { 0 } else { wanted.min(self.allowed_attempts()) }
     }
 
-    fn began_tries(&mut self, tries: u32) {
-        self.opening += tries;
-        self.tries += u64::from(tries);
-        self.tokens_milli -= u64::from(tries) * TRY_COST_MILLI;
+    fn record_attempts(&mut self, attempts: u32) {
+        self.opening += attempts;
+        self.attempts += u64::from(attempts);
+        self.tokens_milli -= u64::from(attempts) * ATTEMPT_COST_MILLI;
     }
 
     /// After a failure one try at a time finds out whether the target is back.
-    fn allowed_tries(&self) -> u32 {
-        let tokens = (self.tokens_milli / TRY_COST_MILLI) as u32;
+    fn allowed_attempts(&self) -> u32 {
+        let tokens = (self.tokens_milli / ATTEMPT_COST_MILLI) as u32;
         match (self.failures, self.opening) {
             (0, _) => tokens,
             (_, 0) => tokens.min(1),
@@ -331,27 +332,28 @@
     }
 
     fn refill(&mut self, now_us: u64) {
-        let passed_us = now_us.saturating_sub(self.tokens_us);
-        let rate_milli = u64::from(self.policy.tries_per_second) * TRY_COST_MILLI;
+        let passed_us = now_us.saturating_sub(self.refilled_us);
+        let rate_milli = u64::from(self.policy.attempts_per_second) * ATTEMPT_COST_MILLI;
         let earned = passed_us.saturating_mul(rate_milli) / SECOND_US;
         if earned == 0 {
             return;
         }
-        let burst = u64::from(self.policy.burst) * TRY_COST_MILLI;
+        let burst = u64::from(self.policy.burst) * ATTEMPT_COST_MILLI;
         self.tokens_milli = self.tokens_milli.saturating_add(earned).min(burst);
-        self.tokens_us = now_us;
+        self.refilled_us = now_us;
     }
 
-    fn ask_again_us(&self, missing: u32, now_us: u64) -> Option<u64> {
-        let for_need = self.need.expires_us(self.policy.need_window_us);
-        let capped_until = self.overshoot.map(|(_, until_us)| until_us);
-        let for_tokens = (missing > 0 && self.opening == 0).then(|| {
-            let rate = u64::from(self.policy.tries_per_second.max(1));
-            let refill_us = if self.tokens_milli < TRY_COST_MILLI { SECOND_US / rate } else { 0 };
-            self.not_before_us.max(now_us + refill_us)
+    fn next_plan_us(&self, missing: u32, now_us: u64) -> Option<u64> {
+        let demand_expires_us = self.demand.expires_us(self.policy.demand_window_us);
+        let capped_until = self.pool_cap.map(|(_, until_us)| until_us);
+        let attempt_due_us = (missing > 0 && self.opening == 0).then(|| {
+            let rate = u64::from(self.policy.attempts_per_second.max(1));
+            let refill_us =
+                if self.tokens_milli < ATTEMPT_COST_MILLI { SECOND_US / rate } else { 0 };
+            self.retry_at_us.max(now_us + refill_us)
         });
-        let for_idle = (self.idle > 0).then_some(for_need);
-        [capped_until, for_tokens, for_idle]
+        let idle_due_us = (self.idle > 0).then_some(demand_expires_us);
+        [capped_until, attempt_due_us, idle_due_us]
             .into_iter()
             .flatten()
             .min()
@@ -361,30 +363,30 @@
 
 /// The highest need within a sliding window, in two halves: the present half and the one before.
 #[derive(Clone, Copy, Debug)]
-struct RecentNeed {
+struct RecentDemand {
     since_us: u64,
-    now: u32,
-    before: u32,
+    current: u32,
+    previous: u32,
 }
 
-impl RecentNeed {
-    fn new(now_us: u64) -> RecentNeed {
-        RecentNeed { since_us: now_us, now: 0, before: 0 }
+impl RecentDemand {
+    fn new(now_us: u64) -> RecentDemand {
+        RecentDemand { since_us: now_us, current: 0, previous: 0 }
     }
 
-    fn saw(&mut self, need: u32, window_us: u64, now_us: u64) {
+    fn observe(&mut self, demand: u32, window_us: u64, now_us: u64) {
         let half_us = (window_us / 2).max(1);
         let halves = now_us.saturating_sub(self.since_us) / half_us;
         if halves > 0 {
-            self.before = if halves == 1 { self.now } else { 0 };
-            self.now = 0;
+            self.previous = if halves == 1 { self.current } else { 0 };
+            self.current = 0;
             self.since_us += halves * half_us;
         }
-        self.now = self.now.max(need);
+        self.current = self.current.max(demand);
     }
 
     fn highest(&self) -> u32 {
-        self.now.max(self.before)
+        self.current.max(self.previous)
     }
 
     fn expires_us(&self, window_us: u64) -> u64 {
--- a/crates/core/src/process/connection_plan.rs
+++ b/crates/core/src/process/connection_plan.rs
@@ -16,13 +16,13 @@
 
 /// How many fallbacks the homes of a target have, at least and at most. With ten VMs that may connect
 /// one is left where any two thirds are lost.
-const FEWEST_FALLBACKS: u32 = 2;
-const MOST_FALLBACKS: u32 = 12;
+const MIN_FALLBACKS: u32 = 2;
+const MAX_FALLBACKS: u32 = 12;
 
 /// After which time without any way to a target twice as many VMs may connect by themselves, in
 /// microseconds. A cut that ends soon has few of them do so; where nearly all VMs are gone, those that are left
 /// serve their callers in the end.
-const DOUBLES_AFTER_US: u64 = 3_000_000;
+const FALLBACK_DOUBLING_US: u64 = 3_000_000;
 
 /// How often that number is doubled at most.
 const MAX_DOUBLINGS: u64 = 10;
@@ -33,15 +33,15 @@
 
 /// The part of a target's connections that homes keep open, in hundredths. The rest is for the
 /// questions of takeovers, and for homes that see the list of VMs differently for a moment.
-const USABLE_PERCENT: u32 = 75;
+const HOME_PERCENT: u32 = 75;
 
 /// The connections that each VM needs at a primary of its own accord: one for a transaction that
 /// rests, and one beside it.
-const NEEDED: u32 = 2;
+const CONNECTIONS_PER_VM: u32 = 2;
 
 /// How many organisations' connections a VM needs room for to connect by itself. With less it would open one for
 /// most statements, and close another organisation's.
-const KEPT_ORGANISATIONS: usize = 12;
+const MIN_CONNECTIONS_BY_ORGANISATION: usize = 12;
 
 /// By how much the needs of all VMs together may pass a target's limit, in hundredths: not all of
 /// them need theirs at once.
@@ -82,31 +82,31 @@
     let Demand { max_connections, vms, organisations } = demand;
     let vms = vms.max(1) as u32;
     if organisations > 0 {
-        let each = max_connections / vms;
-        if each as usize >= organisations.min(KEPT_ORGANISATIONS) {
-            return ConnectionPlan::Direct { primary: each, replica: each };
+        let per_vm = max_connections / vms;
+        if per_vm as usize >= organisations.min(MIN_CONNECTIONS_BY_ORGANISATION) {
+            return ConnectionPlan::Direct { primary: per_vm, replica: per_vm };
         }
         return homes(max_connections);
     }
-    let needed = vms.saturating_mul(NEEDED);
+    let needed = vms.saturating_mul(CONNECTIONS_PER_VM);
     if needed.saturating_mul(100) <= max_connections.saturating_mul(OVERSUBSCRIBED_PERCENT) {
-        let primary = (max_connections / 8).max(NEEDED);
+        let primary = (max_connections / 8).max(CONNECTIONS_PER_VM);
         return ConnectionPlan::Direct { primary, replica: (primary / 2).max(1) };
     }
     homes(max_connections)
 }
 
 fn homes(max_connections: u32) -> ConnectionPlan {
-    let usable = max_connections * USABLE_PERCENT / 100;
+    let usable = max_connections * HOME_PERCENT / 100;
     let share = (usable / HOMES as u32).max(1);
-    let left = max_connections.saturating_sub((share + 1) * HOMES as u32);
-    let fallbacks = (left / FALLBACK_CONNECTIONS).clamp(FEWEST_FALLBACKS, MOST_FALLBACKS);
+    let remaining = max_connections.saturating_sub((share + 1) * HOMES as u32);
+    let fallbacks = (remaining / FALLBACK_CONNECTIONS).clamp(MIN_FALLBACKS, MAX_FALLBACKS);
     ConnectionPlan::Homes { share, fallbacks: fallbacks as usize }
 }
 
 /// How many VMs, the highest ranked ones, may connect by themselves after so long without any way to a target.
-pub fn may_connect(fallbacks: usize, without_way_us: u64) -> usize {
-    match (without_way_us / DOUBLES_AFTER_US).min(MAX_DOUBLINGS) {
+pub fn fallback_count(fallbacks: usize, unreachable_us: u64) -> usize {
+    match (unreachable_us / FALLBACK_DOUBLING_US).min(MAX_DOUBLINGS) {
         0 => 0,
         doublings => fallbacks << doublings,
     }
--- a/crates/core/src/process/departures.rs
+++ b/crates/core/src/process/departures.rs
@@ -22,12 +22,12 @@
 
 /// For how long a departed member that can be done without is remembered, in microseconds. A member
 /// that lapsed from the list by mistake is back within seconds.
-const REMEMBERED_US: u64 = 30_000_000;
+const RETENTION_US: u64 = 30_000_000;
 
 /// For how long a process that knows no position of the primary since it first heard of the group leaves
 /// promotions to those that may, in microseconds. A primary that was only cut off is back by then; without
 /// any bound a group whose primary died with all processes would stay without one.
-pub const UNKNOWN_START_US: u64 = 8_000_000;
+pub const UNKNOWN_PRIMARY_WAIT_US: u64 = 8_000_000;
 
 /// A member that left.
 #[derive(Clone, Debug)]
@@ -44,18 +44,18 @@
         Departed { record, left_us, floor: None }
     }
 
-    fn settle<F>(&mut self, covering: F)
+    fn update_floor<F>(&mut self, position_after: F)
     where
         F: Fn(u64) -> Option<LogPosition>,
     {
         if self.floor.is_none() {
-            self.floor = covering(self.left_us);
+            self.floor = position_after(self.left_us);
         }
     }
 
     /// Whether it can be done without and left so long ago that it need not be remembered.
-    fn is_history(&self, now_us: u64) -> bool {
-        self.floor.is_some() && now_us >= self.left_us + REMEMBERED_US
+    fn is_expired(&self, now_us: u64) -> bool {
+        self.floor.is_some() && now_us >= self.left_us + RETENTION_US
     }
 }
 
@@ -69,39 +69,39 @@
 
 impl<R> Departures<R> {
     /// This process hears of the group at `now_us` for the first time.
-    pub fn known_since(now_us: u64) -> Departures<R> {
+    pub fn started_at(now_us: u64) -> Departures<R> {
         let before_start = Some(Departed::new((), now_us));
         Departures { before_start, members: FastMap::default() }
     }
 
     /// A member left the list.
-    pub fn left(&mut self, id: &Arc<str>, record: R, now_us: u64) {
+    pub fn member_left(&mut self, id: &Arc<str>, record: R, now_us: u64) {
         self.members.insert(Arc::clone(id), Departed::new(record, now_us));
     }
 
     /// A member is listed again.
-    pub fn returned(&mut self, id: &str) {
+    pub fn member_returned(&mut self, id: &str) {
         self.members.remove(id);
     }
 
     /// Takes in what is known of the primary: `covering` tells a position that the primary had when
     /// it led at the given time or later.
-    pub fn settle<F>(&mut self, covering: F, now_us: u64)
+    pub fn update_floors<F>(&mut self, position_after: F, now_us: u64)
     where
         F: Fn(u64) -> Option<LogPosition>,
     {
         if let Some(before_start) = &mut self.before_start {
-            before_start.settle(&covering);
+            before_start.update_floor(&position_after);
         }
         for departed in self.members.values_mut() {
-            departed.settle(&covering);
+            departed.update_floor(&position_after);
         }
-        self.members.retain(|_, departed| !departed.is_history(now_us));
-        self.before_start.take_if(|before_start| before_start.is_history(now_us));
+        self.members.retain(|_, departed| !departed.is_expired(now_us));
+        self.before_start.take_if(|before_start| before_start.is_expired(now_us));
     }
 
     /// Whether there is nothing left to settle.
-    pub fn is_at_rest(&self) -> bool {
+    pub fn is_settled(&self) -> bool {
         self.before_start.is_none() && self.members.is_empty()
     }
 
@@ -114,13 +114,13 @@
 
     /// Whether enough is known to promote anything.
     pub fn may_promote(&self, now_us: u64) -> bool {
-        let waited_long =
-            |before_start: &Departed<()>| now_us >= before_start.left_us + UNKNOWN_START_US;
-        self.past_is_known() || self.before_start.as_ref().is_some_and(waited_long)
+        let has_waited =
+            |before_start: &Departed<()>| now_us >= before_start.left_us + UNKNOWN_PRIMARY_WAIT_US;
+        self.start_floor_known() || self.before_start.as_ref().is_some_and(has_waited)
     }
 
     /// Whether it is known what a successor needs to do without those that left before the start.
-    pub fn past_is_known(&self) -> bool {
+    pub fn start_floor_known(&self) -> bool {
         self.before_start.as_ref().is_none_or(|before_start| before_start.floor.is_some())
     }
 
@@ -132,8 +132,8 @@
     }
 
     /// Those that can't be done without.
-    pub fn needed(&self) -> impl Iterator<Item = (&Arc<str>, &R)> {
-        let needed = self.members.iter().filter(|(_, departed)| departed.floor.is_none());
-        needed.map(|(id, departed)| (id, &departed.record))
+    pub fn required(&self) -> impl Iterator<Item = (&Arc<str>, &R)> {
+        let required = self.members.iter().filter(|(_, departed)| departed.floor.is_none());
+        required.map(|(id, departed)| (id, &departed.record))
     }
 }
--- a/crates/core/src/process/detection.rs
+++ b/crates/core/src/process/detection.rs
@@ -95,7 +95,7 @@
     settings: DetectionSettings,
     primary: usize,
     term: Term,
-    heard_us: u64,
+    last_heard_us: u64,
     /// When the timer last fired.
     checked_us: u64,
     failures: u32,
@@ -119,7 +119,7 @@
             settings,
             primary,
             term,
-            heard_us: now_us,
+            last_heard_us: now_us,
             checked_us: now_us,
             failures: 0,
             connect_failed: false,
@@ -143,10 +143,10 @@
     pub fn evidence(&mut self, now_us: u64, evidence: Evidence) {
         match evidence {
             Evidence::Answered { round_trip_us } => {
-                self.note_round_trip(round_trip_us);
-                self.note_heard(now_us);
+                self.record_round_trip(round_trip_us);
+                self.record_contact(now_us);
             }
-            Evidence::Heard => self.note_heard(now_us),
+            Evidence::Heard => self.record_contact(now_us),
             Evidence::TimedOut => {}
             Evidence::Broken => self.failures = self.failures.saturating_add(1),
             Evidence::Refused => {
@@ -159,7 +159,7 @@
     /// Takes in a report of any member. One of the primary itself counts as an answer.
     pub fn report(&mut self, now_us: u64, member: usize, status: &MemberStatus) {
         if member == self.primary {
-            self.note_heard(now_us);
+            self.record_contact(now_us);
             return;
         }
         let Some(slot) = self.progress.get_mut(member) else { return };
@@ -176,14 +176,14 @@
         self.checked_us = now_us;
         let late_us = now_us.saturating_sub(due_us);
         if late_us > self.settings.late_timer_us {
-            self.heard_us = self.heard_us.saturating_add(late_us).min(now_us);
+            self.last_heard_us = self.last_heard_us.saturating_add(late_us).min(now_us);
         }
     }
 
     /// The judgement now.
     pub fn verdict(&self, now_us: u64, members: &MemberSet) -> Verdict {
         let Some(suspicion) = self.suspicion(now_us) else { return Verdict::Trusted };
-        if members.is_quorum(self.still_replicating(now_us)) {
+        if members.is_quorum(self.replicating_members(now_us)) {
             return Verdict::Withheld(suspicion);
         }
         Verdict::Suspected(suspicion)
@@ -200,7 +200,7 @@
     /// the timer has told so, the view of the members is looked at again from time to time: a due
     /// time that stays in the past would have the embedder's timer fire without a pause.
     pub fn due_us(&self) -> u64 {
-        let silent_us = self.heard_us.saturating_add(self.timeout_us()).saturating_add(1);
+        let silent_us = self.last_heard_us.saturating_add(self.timeout_us()).saturating_add(1);
         if silent_us > self.checked_us {
             return silent_us;
         }
@@ -210,8 +210,8 @@
     /// Every broken invariant.
     pub fn verify(&self, now_us: u64) -> Vec<DetectorViolation> {
         let mut violations = Vec::new();
-        if self.heard_us > now_us {
-            violations.push(DetectorViolation::HeardInTheFuture);
+        if self.last_heard_us > now_us {
+            violations.push(DetectorViolation::LastHeardInFuture);
         }
         if self.timeout_us() < self.settings.silence_us {
             violations.push(DetectorViolation::TimeoutBelowSilence);
@@ -226,16 +226,16 @@
         if self.connect_failed && self.failures >= self.settings.connection_failures {
             return Some(Suspicion::ConnectionsFail);
         }
-        let silent_us = now_us.saturating_sub(self.heard_us);
+        let silent_us = now_us.saturating_sub(self.last_heard_us);
         (silent_us > self.timeout_us()).then_some(Suspicion::Silent)
     }
 
     /// The members that took records of the primary's term lately, after this process last heard
     /// the primary. The primary itself counts with them.
-    fn still_replicating(&self, now_us: u64) -> MemberMask {
-        let lost_us = self.heard_us.saturating_add(self.settings.replication_us);
+    fn replicating_members(&self, now_us: u64) -> MemberMask {
+        let lost_us = self.last_heard_us.saturating_add(self.settings.replication_us);
         let recent_us = now_us.saturating_sub(self.settings.silence_us);
-        let takes_records = |member: usize| {
+        let is_replicating = |member: usize| {
             self.progress[member].as_ref().is_some_and(|(status, since_us)| {
                 status.log.term == self.term
                     && status.raised_term == self.term
@@ -244,7 +244,7 @@
             })
         };
         let replicas: MemberMask =
-            (0..self.progress.len()).filter(|&member| takes_records(member)).collect();
+            (0..self.progress.len()).filter(|&member| is_replicating(member)).collect();
         if replicas == MemberMask::EMPTY {
             return replicas;
         }
@@ -253,13 +253,13 @@
         all
     }
 
-    fn note_heard(&mut self, now_us: u64) {
-        self.heard_us = self.heard_us.max(now_us);
+    fn record_contact(&mut self, now_us: u64) {
+        self.last_heard_us = self.last_heard_us.max(now_us);
         self.failures = 0;
         self.connect_failed = false;
     }
 
-    fn note_round_trip(&mut self, round_trip_us: u64) {
+    fn record_round_trip(&mut self, round_trip_us: u64) {
         if self.mean_round_trip_us == 0 {
             self.mean_round_trip_us = round_trip_us;
             self.deviation_us = round_trip_us / 2;
@@ -275,7 +275,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum DetectorViolation {
     /// The primary was heard later than now.
-    HeardInTheFuture,
+    LastHeardInFuture,
     /// Measured round trips shortened the configured silence.
     TimeoutBelowSilence,
     /// A refused connection is not among the failures.
--- a/crates/core/src/process/failover/campaign.rs
+++ b/crates/core/src/process/failover/campaign.rs
@@ -11,14 +11,14 @@
 use crate::process::member_set::MemberMask;
 
 /// How many rounds of calls a canvass waits for members beyond the quorum.
-const CANVASS_ROUNDS: u64 = 2;
+const QUORUM_CHECK_ROUNDS: u64 = 2;
 
 /// The most doublings of the back-off.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 impl FailoverDriver {
     pub(super) fn advance_idle(&mut self, now_us: u64, actions: &mut Vec<Action>) -> Option<Phase> {
-        let cause = self.present_cause();
+        let cause = self.current_cause();
         if self.cause.map(|(known, _)| known) != cause {
             self.cause = cause.map(|cause| (cause, now_us));
         }
@@ -29,41 +29,43 @@
             return None;
         }
         Self::trace(Step::Started(cause), Term::default(), actions);
-        Some(Phase::Canvassing { cause, since_us: now_us })
+        Some(Phase::CheckingQuorum { cause, since_us: now_us })
     }
 
     /// The most urgent reason for a change, if there is one.
-    pub(super) fn present_cause(&self) -> Option<Cause> {
-        let Some(leader) = self.leader else { return Some(Cause::Unled) };
+    pub(super) fn current_cause(&self) -> Option<Cause> {
+        let Some(leader) = self.leader else { return Some(Cause::NoLeader) };
         if self.suspected == Some(leader.term) {
             return Some(Cause::Suspected);
         }
-        if self.raised_beyond() {
-            return Some(Cause::RaisedBeyond);
+        if self.has_higher_term_member() {
+            return Some(Cause::HigherTerm);
         }
-        self.wanted_member().filter(|&wanted| self.comes_near(wanted)).map(|_| Cause::Wanted)
+        self.wanted_member()
+            .filter(|&wanted| self.is_close_to_primary(wanted))
+            .map(|_| Cause::Wanted)
     }
 
     /// When this candidate's turn comes.
     fn start_us(&self, cause: Cause, since_us: u64) -> u64 {
         let delay_us = match cause {
             Cause::Suspected | Cause::Wanted => 0,
-            Cause::Unled => self.settings.unled_us,
-            Cause::RaisedBeyond => self.settings.driver_us,
+            Cause::NoLeader => self.settings.no_leader_delay_us,
+            Cause::HigherTerm => self.settings.driver_timeout_us,
         };
         let turn_us = since_us.saturating_add(delay_us).saturating_add(self.stagger_us());
-        turn_us.max(self.not_before_us).max(self.after_rivals_us(cause))
+        turn_us.max(self.not_before_us).max(self.rival_deadline_us(cause))
     }
 
     /// When a rival that was seen at work has had its time. One that moves the primary as an
     /// operator asked also has the time of the hold, unless the primary is gone meanwhile.
-    fn after_rivals_us(&self, cause: Cause) -> u64 {
-        let claim_us = self.lead.rival_claim_us(&self.name, self.led_term());
-        let Some(seen_us) = self.rival_us.max(claim_us) else { return 0 };
-        let hold_us = if cause == Cause::Wanted { self.settings.hold_us } else { 0 };
+    fn rival_deadline_us(&self, cause: Cause) -> u64 {
+        let claim_timeout_us = self.lead.rival_claim_us(&self.name, self.leader_term());
+        let Some(seen_us) = self.rival_seen_us.max(claim_timeout_us) else { return 0 };
+        let max_hold_us = if cause == Cause::Wanted { self.settings.max_hold_us } else { 0 };
         seen_us
-            .saturating_add(hold_us)
-            .saturating_add(self.settings.driver_us)
+            .saturating_add(max_hold_us)
+            .saturating_add(self.settings.driver_timeout_us)
             .saturating_add(self.stagger_us())
     }
 
@@ -74,24 +76,24 @@
     /// Waits for a quorum that answers. A process that reaches no quorum raises nothing: a member
     /// raised in vain would leave its primary and have to be won back in a higher term, at the cost
     /// of a change of primary each time that a cut heals.
-    pub(super) fn advance_canvass(
+    pub(super) fn advance_quorum_check(
         &mut self,
         now_us: u64,
         cause: Cause,
         since_us: u64,
         actions: &mut Vec<Action>,
     ) -> Option<Phase> {
-        if self.present_cause() != Some(cause) || self.after_rivals_us(cause) > now_us {
+        if self.current_cause() != Some(cause) || self.rival_deadline_us(cause) > now_us {
             return Some(Phase::Idle);
         }
-        if self.members().is_quorum(self.answering(since_us))
-            && !self.awaits_answers(now_us, cause, since_us)
+        if self.members().is_quorum(self.responding_members(since_us))
+            && !self.awaits_more_answers(now_us, cause, since_us)
         {
-            Self::trace(Step::Canvassed, Term::default(), actions);
+            Self::trace(Step::QuorumReached, Term::default(), actions);
             return Some(self.start_claim(now_us, cause, actions));
         }
         for member in 0..self.members().count() {
-            let every_us = self.settings.resend_us;
+            let every_us = self.settings.resend_interval_us;
             self.call_member(now_us, member, MemberCall::ReadStatus, every_us, actions);
         }
         None
@@ -100,12 +102,13 @@
     /// Whether the canvass waits a moment for members beyond the quorum. A process that starts, or
     /// that sees a stray member, may hear the replicas before the primary that leads them; a
     /// suspected primary has had its time already.
-    fn awaits_answers(&mut self, now_us: u64, cause: Cause, since_us: u64) -> bool {
+    fn awaits_more_answers(&mut self, now_us: u64, cause: Cause, since_us: u64) -> bool {
         if cause == Cause::Wanted && !self.wanted_answered(since_us) {
             return true;
         }
-        let all = self.answering(since_us).count() == self.members().count();
-        let until_us = since_us.saturating_add(CANVASS_ROUNDS * self.settings.resend_us);
+        let all = self.responding_members(since_us).count() == self.members().count();
+        let until_us =
+            since_us.saturating_add(QUORUM_CHECK_ROUNDS * self.settings.resend_interval_us);
         let waits = cause != Cause::Suspected && !all && now_us < until_us;
         if waits {
             self.wake_at(until_us);
@@ -121,8 +124,8 @@
     }
 
     /// The members that reported since shortly before the canvass.
-    fn answering(&self, since_us: u64) -> MemberMask {
-        let earliest_us = since_us.saturating_sub(self.settings.fresh_us);
+    fn responding_members(&self, since_us: u64) -> MemberMask {
+        let earliest_us = since_us.saturating_sub(self.settings.report_max_age_us);
         let answers = |member: &usize| {
             self.reports.latest(*member).is_some_and(|(at_us, _)| at_us >= earliest_us)
         };
--- a/crates/core/src/process/failover/claim.rs
+++ b/crates/core/src/process/failover/claim.rs
@@ -21,11 +21,11 @@
         actions: &mut Vec<Action>,
     ) -> Phase {
         let term = self.highest_term().next();
-        self.driven = Some(term);
+        self.driven_term = Some(term);
         // An answer to an earlier call must not be taken for one about this claim.
         self.lead.open = None;
         self.send_claim(now_us, term, actions);
-        let deadline_us = now_us.saturating_add(self.settings.claim_us);
+        let deadline_us = now_us.saturating_add(self.settings.claim_timeout_us);
         Phase::Claiming { cause, term, deadline_us }
     }
 
@@ -41,7 +41,7 @@
             Self::trace(Step::Claimed, term, actions);
             return Some(self.after_claim(now_us, cause, term));
         }
-        if self.overtaken(term) || self.leader_beyond(term) {
+        if self.overtaken(term) || self.leader_reached_term(term) {
             return Some(self.lose(now_us, term, actions));
         }
         if now_us >= deadline_us {
@@ -92,8 +92,8 @@
         record.driver != self.name && record.term >= term
     }
 
-    pub(super) fn leader_beyond(&self, term: Term) -> bool {
-        self.led_term() >= term
+    pub(super) fn leader_reached_term(&self, term: Term) -> bool {
+        self.leader_term() >= term
     }
 
     /// Sends the conditional update, or reads the record first where its version is not known.
@@ -102,14 +102,14 @@
             self.read_lead(now_us, actions);
             return;
         }
-        let (wanted, plan) = self.wish_and_plan();
+        let (wanted, plan) = self.wanted_and_plan();
         let driver = self.name.clone();
         let record = LeadRecord { term, driver, primary: String::new(), wanted, plan };
         self.update_lead(now_us, record, actions);
     }
 
     /// What a driver keeps of the record as it read it: the operator's.
-    pub(super) fn wish_and_plan(&self) -> (String, String) {
+    pub(super) fn wanted_and_plan(&self) -> (String, String) {
         let record = self.record();
         record.map(|record| (record.wanted.clone(), record.plan.clone())).unwrap_or_default()
     }
@@ -139,7 +139,7 @@
 
     /// Takes in an answer of the platform. One to a call that was given up is dropped; what it
     /// changed is found when the version does not match.
-    pub(super) fn note_platform(
+    pub(super) fn handle_platform_answer(
         &mut self,
         now_us: u64,
         call: PlatformCall,
@@ -151,11 +151,11 @@
         }
         let Some(open) = self.lead.open.take() else { return };
         match (answer, open.kind) {
-            (PlatformAnswer::Took { version }, CallKind::Update(record)) => {
-                self.lead.note_seen(now_us, *version, Some(&record));
+            (PlatformAnswer::Updated { version }, CallKind::Update(record)) => {
+                self.lead.observe_version(now_us, *version, Some(&record));
             }
             (PlatformAnswer::Read { version, record }, CallKind::Read) => {
-                self.lead.note_seen(now_us, *version, record.as_ref());
+                self.lead.observe_version(now_us, *version, record.as_ref());
             }
             // The update may have taken effect, so only reading tells. Trying again blindly could
             // meet the driver's own record and take it for a rival's.
@@ -165,12 +165,12 @@
                     self.read_lead(now_us, actions);
                 }
             }
-            _ => self.stop_waiting(now_us),
+            _ => self.end_claim_wait(now_us),
         }
     }
 
     /// A read without an answer: the platform is down, so the claim need not wait for its bound.
-    fn stop_waiting(&mut self, now_us: u64) {
+    fn end_claim_wait(&mut self, now_us: u64) {
         if let Phase::Claiming { deadline_us, .. } = &mut self.phase {
             *deadline_us = now_us;
         }
--- a/crates/core/src/process/failover/event.rs
+++ b/crates/core/src/process/failover/event.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub enum PlatformAnswer {
     /// The conditional update took.
-    Took {
+    Updated {
         /// The record's new version.
         version: u64,
     },
@@ -144,7 +144,7 @@
     /// A change begins.
     Started(Cause),
     /// A quorum of members answers, so that the change can succeed.
-    Canvassed,
+    QuorumReached,
     /// The platform's record names this driver.
     Claimed,
     /// The platform did not answer; the members' votes alone decide.
@@ -169,9 +169,9 @@
     /// The primary is taken to be gone.
     Suspected,
     /// No member is known to lead.
-    Unled,
+    NoLeader,
     /// A member promised itself to a higher term than the primary's and can't confirm any more.
-    RaisedBeyond,
+    HigherTerm,
     /// An operator asked for another primary.
     Wanted,
 }
--- a/crates/core/src/process/failover/fence.rs
+++ b/crates/core/src/process/failover/fence.rs
@@ -18,13 +18,13 @@
 
 /// How candidates of a fence compare: the log first, for safety; the rest only among equal logs.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Merit {
+struct CandidateRank {
     log: LogPosition,
     wanted: bool,
-    stays: bool,
+    not_leaving: bool,
     same_region: bool,
     leads_already: bool,
-    earlier: usize,
+    list_order: usize,
 }
 
 impl FailoverDriver {
@@ -36,7 +36,7 @@
         since_us: u64,
         actions: &mut Vec<Action>,
     ) -> Option<Phase> {
-        if self.leader_beyond(term) {
+        if self.leader_reached_term(term) {
             return Some(self.lose(now_us, term, actions));
         }
         let voters = self.voters(term);
@@ -52,16 +52,16 @@
         if self.refused(term) || self.overtaken(term) {
             return Some(self.lose(now_us, term, actions));
         }
-        if now_us >= since_us.saturating_add(self.settings.driver_us) {
+        if now_us >= since_us.saturating_add(self.settings.driver_timeout_us) {
             return Some(self.give_up(now_us, term, actions));
         }
         for member in 0..self.members().count() {
             if !voters.contains(member) {
-                let every_us = self.settings.resend_us;
+                let every_us = self.settings.resend_interval_us;
                 self.call_member(now_us, member, MemberCall::Raise { term }, every_us, actions);
             }
         }
-        self.wake_at(since_us.saturating_add(self.settings.driver_us));
+        self.wake_at(since_us.saturating_add(self.settings.driver_timeout_us));
         None
     }
 
@@ -98,12 +98,12 @@
         voters: MemberMask,
         since_us: u64,
     ) -> bool {
-        let until_us = since_us.saturating_add(self.settings.resend_us);
+        let until_us = since_us.saturating_add(self.settings.resend_interval_us);
         let preferred = match cause {
             Cause::Wanted => self.wanted_member(),
-            Cause::RaisedBeyond => self.announced.map(|leader| leader.member),
-            Cause::Unled if term == FIRST_TERM => self.longest_log(),
-            Cause::Suspected | Cause::Unled => None,
+            Cause::HigherTerm => self.announced.map(|leader| leader.member),
+            Cause::NoLeader if term == FIRST_TERM => self.longest_log(),
+            Cause::Suspected | Cause::NoLeader => None,
         };
         let missing = preferred.is_some_and(|member| !voters.contains(member));
         let waits = missing && now_us < until_us;
@@ -122,19 +122,19 @@
         (0..self.members().count())
             .filter(|&member| voters.contains(member))
             .filter(|&member| self.status(member).is_some_and(|s| s.raised_term == term))
-            .max_by_key(|&member| self.merit(member))
+            .max_by_key(|&member| self.candidate_rank(member))
     }
 
-    fn merit(&self, member: usize) -> Option<Merit> {
+    fn candidate_rank(&self, member: usize) -> Option<CandidateRank> {
         let status = self.status(member)?;
         let profile = self.profiles[member];
-        Some(Merit {
+        Some(CandidateRank {
             log: status.log,
             wanted: self.wanted_member() == Some(member),
-            stays: !profile.drained && !status.leaving,
+            not_leaving: !profile.drained && !status.leaving,
             same_region: profile.same_region,
             leads_already: self.announced.is_some_and(|leader| leader.member == member),
-            earlier: usize::MAX - member,
+            list_order: usize::MAX - member,
         })
     }
 
@@ -156,14 +156,14 @@
         let raised = self
             .status(member)
             .is_some_and(|status| status.raised_term > term || status.role == Role::Replica);
-        if raised || self.leader_beyond(term) {
+        if raised || self.leader_reached_term(term) {
             return Some(self.lose(now_us, term, actions));
         }
-        let until_us = since_us.saturating_add(self.settings.driver_us);
+        let until_us = since_us.saturating_add(self.settings.driver_timeout_us);
         if now_us >= until_us {
             return Some(self.give_up(now_us, term, actions));
         }
-        let every_us = self.settings.resend_us;
+        let every_us = self.settings.resend_interval_us;
         self.call_member(now_us, member, MemberCall::Promote { term }, every_us, actions);
         self.wake_at(until_us);
         None
--- a/crates/core/src/process/failover/upkeep.rs
+++ b/crates/core/src/process/failover/maintenance.rs
@@ -11,7 +11,7 @@
 use crate::version::objects::LeadRecord;
 
 /// How much more seldom a silent member is told to follow.
-const SILENT_FACTOR: u64 = 10;
+const SILENT_BACKOFF_FACTOR: u64 = 10;
 
 /// How many driver's times a claim may stand without an effect before its record is corrected.
 const DEAD_CLAIM_FACTOR: u64 = 4;
@@ -27,37 +27,38 @@
             return;
         }
         self.announced = Some(leader);
-        if self.driven == Some(leader.term) {
+        if self.driven_term == Some(leader.term) {
             Self::trace(Step::Opened, leader.term, actions);
         }
         actions.push(Action::Announce { leader });
     }
 
-    pub(super) fn keep_up(&mut self, now_us: u64, actions: &mut Vec<Action>) {
-        self.watch_wish(now_us, actions);
+    pub(super) fn run_maintenance(&mut self, now_us: u64, actions: &mut Vec<Action>) {
+        self.enforce_move_deadline(now_us, actions);
         if self.phase != Phase::Idle {
             return;
         }
         if let Some(leader) = self.leader {
-            self.win_back(now_us, leader, actions);
+            self.reattach_members(now_us, leader, actions);
         }
         self.correct_record(now_us, actions);
     }
 
     /// Tells members that follow nobody, or an older primary, whom to follow. This is how an old
     /// primary rejoins. The order is right from whoever it comes, because a term has one primary.
-    fn win_back(&mut self, now_us: u64, leader: Leader, actions: &mut Vec<Action>) {
-        let astray: Vec<usize> =
-            (0..self.members().count()).filter(|&member| self.is_astray(member, leader)).collect();
-        if astray.is_empty() {
+    fn reattach_members(&mut self, now_us: u64, leader: Leader, actions: &mut Vec<Action>) {
+        let detached: Vec<usize> = (0..self.members().count())
+            .filter(|&member| self.is_detached(member, leader))
+            .collect();
+        if detached.is_empty() {
             return;
         }
-        let turn_us = self.turn_us(leader, self.led_since_us);
+        let turn_us = self.turn_us(leader, self.leader_since_us);
         if now_us < turn_us {
             self.wake_at(turn_us);
             return;
         }
-        for member in astray {
+        for member in detached {
             let call = MemberCall::Follow { term: leader.term, primary: leader.member };
             let every_us = self.follow_every_us(member);
             self.call_member(now_us, member, call, every_us, actions);
@@ -70,12 +71,12 @@
         let sent_us = self.sent[member].map(|sent| sent.sent_us);
         let heard_us = self.reports.latest(member).map(|(at_us, _)| at_us);
         match heard_us >= sent_us {
-            true => self.settings.upkeep_us,
-            false => self.settings.upkeep_us.saturating_mul(SILENT_FACTOR),
+            true => self.settings.maintenance_interval_us,
+            false => self.settings.maintenance_interval_us.saturating_mul(SILENT_BACKOFF_FACTOR),
         }
     }
 
-    fn is_astray(&self, member: usize, leader: Leader) -> bool {
+    fn is_detached(&self, member: usize, leader: Leader) -> bool {
         member != leader.member
             && self.status(member).is_none_or(|status| {
                 status.raised_term < leader.term
@@ -85,10 +86,10 @@
 
     /// The driver of the leader's term acts at once; others act in its place after a while.
     fn turn_us(&self, leader: Leader, since_us: u64) -> u64 {
-        if self.driven == Some(leader.term) {
+        if self.driven_term == Some(leader.term) {
             return since_us;
         }
-        since_us.saturating_add(self.settings.driver_us).saturating_add(self.stagger_us())
+        since_us.saturating_add(self.settings.driver_timeout_us).saturating_add(self.stagger_us())
     }
 
     /// Writes the lead record where it lags behind what the members decided.
@@ -99,18 +100,18 @@
         if self.awaits_platform(now_us) {
             return;
         }
-        let Some(record) = self.corrected(now_us, leader) else {
-            self.wrong_since_us = None;
+        let Some(record) = self.corrected_record(now_us, leader) else {
+            self.record_stale_since_us = None;
             return;
         };
-        let since_us = *self.wrong_since_us.get_or_insert(now_us);
+        let since_us = *self.record_stale_since_us.get_or_insert(now_us);
         let turn_us = if self.abandoned() { since_us } else { self.turn_us(leader, since_us) };
         let turn_us = turn_us.max(self.platform_retry_us);
         if now_us < turn_us {
             self.wake_at(turn_us);
             return;
         }
-        self.platform_retry_us = now_us.saturating_add(self.settings.upkeep_us);
+        self.platform_retry_us = now_us.saturating_add(self.settings.maintenance_interval_us);
         match self.lead.version {
             Some(_) => self.update_lead(now_us, record, actions),
             None => self.read_lead(now_us, actions),
@@ -121,7 +122,7 @@
     /// Whether a call to the platform is under way; one that takes too long is given up.
     fn awaits_platform(&mut self, now_us: u64) -> bool {
         let Some(open) = &self.lead.open else { return false };
-        let until_us = open.sent_us.saturating_add(self.settings.claim_us);
+        let until_us = open.sent_us.saturating_add(self.settings.claim_timeout_us);
         if now_us < until_us {
             self.wake_at(until_us);
             return true;
@@ -132,31 +133,31 @@
     }
 
     /// The record as it should be, if it is not.
-    fn corrected(&mut self, now_us: u64, leader: Leader) -> Option<LeadRecord> {
+    fn corrected_record(&mut self, now_us: u64, leader: Leader) -> Option<LeadRecord> {
         let primary = self.member_name(leader.member);
         let driver = self.status(leader.member)?.raised_by.clone();
         let known = self.lead.record();
         let abandoned = self.abandoned();
-        let (wish, plan) = self.wish_and_plan();
-        let done = wish == primary || abandoned;
-        let wanted = if done { String::new() } else { wish };
-        let true_record = LeadRecord { term: leader.term, driver, primary, wanted, plan };
-        let Some(record) = known else { return Some(true_record) };
+        let (wanted_name, plan) = self.wanted_and_plan();
+        let done = wanted_name == primary || abandoned;
+        let wanted = if done { String::new() } else { wanted_name };
+        let expected = LeadRecord { term: leader.term, driver, primary, wanted, plan };
+        let Some(record) = known else { return Some(expected) };
         if record.term > leader.term && !abandoned {
             // A claim under way is not to be disturbed; one that led to nothing is dead.
-            let dead_us = self
+            let claim_expires_us = self
                 .lead
                 .seen_us()
-                .saturating_add(self.settings.driver_us.saturating_mul(DEAD_CLAIM_FACTOR));
-            if now_us < dead_us {
-                self.wake_at(dead_us);
+                .saturating_add(self.settings.driver_timeout_us.saturating_mul(DEAD_CLAIM_FACTOR));
+            if now_us < claim_expires_us {
+                self.wake_at(claim_expires_us);
                 return None;
             }
         }
-        let right = record.term == true_record.term
-            && record.primary == true_record.primary
-            && record.wanted == true_record.wanted;
-        (!right).then_some(true_record)
+        let is_current = record.term == expected.term
+            && record.primary == expected.primary
+            && record.wanted == expected.wanted;
+        (!is_current).then_some(expected)
     }
 
     /// Holds writes back while the record shows a planned move that is under way, whoever drives
@@ -178,9 +179,9 @@
         let announced_term = self.announced?.term;
         // Once begun, holding lasts until the new primary is announced here, also when the record
         // names it earlier: writes sent to the old one would only be refused.
-        let begins = record.primary.is_empty() && self.wish().is_some();
-        let goes_on = self.holding && !record.primary.is_empty();
-        let moving = record.term > announced_term && (begins || goes_on);
-        moving.then(|| self.lead.seen_us().saturating_add(self.settings.hold_us))
+        let begins = record.primary.is_empty() && self.requested_member().is_some();
+        let continues = self.holding && !record.primary.is_empty();
+        let moving = record.term > announced_term && (begins || continues);
+        moving.then(|| self.lead.seen_us().saturating_add(self.settings.max_hold_us))
     }
 }
--- a/crates/core/src/process/failover/mod.rs
+++ b/crates/core/src/process/failover/mod.rs
@@ -44,10 +44,10 @@
 mod claim;
 mod event;
 mod fence;
+mod maintenance;
 mod planned_move;
 mod record;
 mod settings;
-mod upkeep;
 mod verify;
 mod view;
 
@@ -71,7 +71,7 @@
     /// No change is under way here.
     Idle,
     /// Waiting for a quorum of members to answer.
-    Canvassing { cause: Cause, since_us: u64 },
+    CheckingQuorum { cause: Cause, since_us: u64 },
     /// Waiting for the platform to name this driver.
     Claiming { cause: Cause, term: Term, deadline_us: u64 },
     /// Writes are held back until the wanted member is level with the primary.
@@ -104,7 +104,7 @@
     announced: Option<Leader>,
     suspected: Option<Term>,
     /// When another driver was last seen to raise a member's term.
-    rival_us: Option<u64>,
+    rival_seen_us: Option<u64>,
     /// The present reason for a change, and since when it stands.
     cause: Option<(Cause, u64)>,
     /// No new change before this time.
@@ -113,18 +113,18 @@
     /// The last promotion asked for, which no other of the same term may follow.
     promoted: Option<Leader>,
     /// The term of the last change driven here, for its trace.
-    driven: Option<Term>,
+    driven_term: Option<Term>,
     lead: LeadView,
     phase: Phase,
     sent: Vec<Option<SentCall>>,
     next_call: u64,
     holding: bool,
     /// Since when the leader has been known here.
-    led_since_us: u64,
+    leader_since_us: u64,
     /// The version of the lead record whose wish was given up.
     abandoned_version: Option<u64>,
     /// Since when the lead record has differed from what the members decided.
-    wrong_since_us: Option<u64>,
+    record_stale_since_us: Option<u64>,
     /// The lead record is not corrected again before this time.
     platform_retry_us: u64,
     wake_us: Option<u64>,
@@ -147,26 +147,26 @@
             settings,
             name: name.to_owned(),
             rank,
-            profiles: padded(profiles, count),
+            profiles: padded_profiles(profiles, count),
             seed,
             reports: Acknowledgement::new(members, settings.stall),
             leader: None,
             announced: None,
             suspected: None,
-            rival_us: None,
+            rival_seen_us: None,
             cause: None,
             not_before_us: 0,
             losses: 0,
             promoted: None,
-            driven: None,
+            driven_term: None,
             lead: LeadView::default(),
             phase: Phase::Idle,
             sent: vec![None; count],
             next_call: 0,
             holding: false,
-            led_since_us: 0,
+            leader_since_us: 0,
             abandoned_version: None,
-            wrong_since_us: None,
+            record_stale_since_us: None,
             platform_retry_us: 0,
             wake_us: None,
             timer_us: None,
@@ -209,29 +209,29 @@
         if *event == Event::Timer {
             self.timer_us = None;
         }
-        self.absorb(now_us, event, actions);
+        self.apply_event(now_us, event, actions);
         self.announce(actions);
         self.advance(now_us, actions);
-        self.keep_up(now_us, actions);
+        self.run_maintenance(now_us, actions);
         self.update_hold(now_us, actions);
         self.set_timer(actions);
     }
 
-    fn absorb(&mut self, now_us: u64, event: &Event, actions: &mut Vec<Action>) {
+    fn apply_event(&mut self, now_us: u64, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Report { member, status } => self.note_report(now_us, *member, status),
+            Event::Report { member, status } => self.record_report(now_us, *member, status),
             Event::MemberAnswer { member, status, .. } => {
-                self.note_report(now_us, *member, status);
-                self.note_alive(*member, status);
+                self.record_report(now_us, *member, status);
+                self.clear_suspicion(*member, status);
             }
             // The call is repeated when its time has come; nothing is known of its effect.
             Event::MemberFailed { .. } => {}
             Event::LeadSeen { version, record } => {
-                self.lead.note_seen(now_us, *version, record.as_ref());
-                self.note_leader(now_us);
+                self.lead.observe_version(now_us, *version, record.as_ref());
+                self.update_leader(now_us);
             }
             Event::Platform { call, answer } => {
-                self.note_platform(now_us, *call, answer, actions);
+                self.handle_platform_answer(now_us, *call, answer, actions);
             }
             Event::Suspected { term } => self.suspected = Some(*term),
             Event::Trusted => self.suspected = None,
@@ -251,8 +251,8 @@
         loop {
             let next = match self.phase.clone() {
                 Phase::Idle => self.advance_idle(now_us, actions),
-                Phase::Canvassing { cause, since_us } => {
-                    self.advance_canvass(now_us, cause, since_us, actions)
+                Phase::CheckingQuorum { cause, since_us } => {
+                    self.advance_quorum_check(now_us, cause, since_us, actions)
                 }
                 Phase::Claiming { cause, term, deadline_us } => {
                     self.advance_claim(now_us, cause, term, deadline_us, actions)
@@ -316,13 +316,13 @@
         if members.version() < known.version() {
             return;
         }
-        self.profiles = padded(profiles, members.count());
+        self.profiles = padded_profiles(profiles, members.count());
         if members.version() == known.version() {
             return;
         }
         let old_names = known.names().to_vec();
         let moved = |leader: Leader| {
-            let member = members.place(&old_names[leader.member])?;
+            let member = members.index_of(&old_names[leader.member])?;
             Some(Leader { term: leader.term, member })
         };
         self.announced = self.announced.and_then(moved);
@@ -334,7 +334,7 @@
             self.phase = Phase::Idle;
             self.not_before_us = now_us;
         }
-        self.note_leader(now_us);
+        self.update_leader(now_us);
     }
 
     /// The latest report of a member.
@@ -343,12 +343,12 @@
     }
 
     /// A suspected primary that answers a call is not gone.
-    fn note_alive(&mut self, member: usize, status: &MemberStatus) {
-        let canvassing = matches!(self.phase, Phase::Canvassing { .. });
+    fn clear_suspicion(&mut self, member: usize, status: &MemberStatus) {
+        let is_checking = matches!(self.phase, Phase::CheckingQuorum { .. });
         let leads = self
             .leader
             .is_some_and(|leader| leader.member == member && leader.term == status.raised_term);
-        if canvassing && leads && status.role == Role::Primary {
+        if is_checking && leads && status.role == Role::Primary {
             self.suspected = None;
         }
     }
@@ -362,8 +362,8 @@
     }
 }
 
-fn padded(profiles: &[MemberProfile], count: usize) -> Vec<MemberProfile> {
-    let mut padded = profiles.to_vec();
-    padded.resize(count, MemberProfile::default());
-    padded
+fn padded_profiles(profiles: &[MemberProfile], count: usize) -> Vec<MemberProfile> {
+    let mut padded_profiles = profiles.to_vec();
+    padded_profiles.resize(count, MemberProfile::default());
+    padded_profiles
 }
--- a/crates/core/src/process/failover/planned_move.rs
+++ b/crates/core/src/process/failover/planned_move.rs
@@ -10,11 +10,11 @@
 
 impl FailoverDriver {
     /// The member that the lead record asks for, unless the wish was given up.
-    pub(super) fn wish(&self) -> Option<usize> {
+    pub(super) fn requested_member(&self) -> Option<usize> {
         if self.abandoned() {
             return None;
         }
-        self.members().place(&self.record()?.wanted)
+        self.members().index_of(&self.record()?.wanted)
     }
 
     /// Whether the wish in the present version of the record was given up.
@@ -24,13 +24,13 @@
 
     /// The member that is wished for and does not lead yet.
     pub(super) fn wanted_member(&self) -> Option<usize> {
-        let wanted = self.wish()?;
+        let wanted = self.requested_member()?;
         let leads = self.leader.is_some_and(|leader| leader.member == wanted);
         (!leads).then_some(wanted)
     }
 
     /// Whether the wanted member lacks so little that holding writes back will be short.
-    pub(super) fn comes_near(&self, wanted: usize) -> bool {
+    pub(super) fn is_close_to_primary(&self, wanted: usize) -> bool {
         let Some(leader) = self.leader else { return false };
         let (Some(target), Some(primary)) = (self.status(wanted), self.status(leader.member))
         else {
@@ -60,10 +60,10 @@
             return Some(Phase::Fencing { cause: Cause::Suspected, term, since_us: now_us });
         }
         let settled_us = since_us.saturating_add(self.settings.hold_settle_us);
-        if self.level_since(settled_us, leader.member, wanted) {
+        if self.logs_equal_since(settled_us, leader.member, wanted) {
             return Some(Phase::Fencing { cause: Cause::Wanted, term, since_us: now_us });
         }
-        let until_us = since_us.saturating_add(self.settings.hold_us);
+        let until_us = since_us.saturating_add(self.settings.max_hold_us);
         if now_us >= until_us {
             self.abandon_move();
             return Some(self.give_up(now_us, term, actions));
@@ -74,7 +74,7 @@
     }
 
     /// Whether reports of both members from after the settling time show equal logs.
-    fn level_since(&self, settled_us: u64, primary: usize, wanted: usize) -> bool {
+    fn logs_equal_since(&self, settled_us: u64, primary: usize, wanted: usize) -> bool {
         let (Some((primary_us, of_primary)), Some((wanted_us, of_wanted))) =
             (self.reports.latest(primary), self.reports.latest(wanted))
         else {
@@ -95,7 +95,7 @@
             self.wake_at(settled_us);
             return;
         }
-        let every_us = self.settings.hold_poll_us;
+        let every_us = self.settings.hold_poll_interval_us;
         for member in [primary, wanted] {
             self.call_member(now_us, member, MemberCall::ReadStatus, every_us, actions);
         }
@@ -107,15 +107,15 @@
     }
 
     /// Gives up a wish whose member has not come near in time.
-    pub(super) fn watch_wish(&mut self, now_us: u64, actions: &mut Vec<Action>) {
-        let begun = !matches!(self.phase, Phase::Idle | Phase::Canvassing { .. });
+    pub(super) fn enforce_move_deadline(&mut self, now_us: u64, actions: &mut Vec<Action>) {
+        let begun = !matches!(self.phase, Phase::Idle | Phase::CheckingQuorum { .. });
         if begun || self.wanted_member().is_none() {
             return;
         }
         let until_us = self
             .lead
             .seen_us()
-            .saturating_add(self.settings.move_us)
+            .saturating_add(self.settings.move_timeout_us)
             .saturating_add(self.stagger_us());
         if now_us < until_us {
             self.wake_at(until_us);
--- a/crates/core/src/process/failover/record.rs
+++ b/crates/core/src/process/failover/record.rs
@@ -49,7 +49,12 @@
     }
 
     /// Takes in a version from the watch. Late sights of older versions change nothing.
-    pub(super) fn note_seen(&mut self, now_us: u64, version: u64, record: Option<&LeadRecord>) {
+    pub(super) fn observe_version(
+        &mut self,
+        now_us: u64,
+        version: u64,
+        record: Option<&LeadRecord>,
+    ) {
         if version < self.seen_version {
             return;
         }
@@ -63,9 +68,9 @@
     }
 
     /// When another driver's claim of a term above the leader's was seen.
-    pub(super) fn rival_claim_us(&self, name: &str, led_term: Term) -> Option<u64> {
+    pub(super) fn rival_claim_us(&self, name: &str, leader_term: Term) -> Option<u64> {
         let record = self.record.as_ref()?;
-        let rival = record.term > led_term && record.driver != name && record.primary.is_empty();
+        let rival = record.term > leader_term && record.driver != name && record.primary.is_empty();
         rival.then_some(self.seen_us)
     }
 }
--- a/crates/core/src/process/failover/verify.rs
+++ b/crates/core/src/process/failover/verify.rs
@@ -44,13 +44,13 @@
             violations.push(FailoverViolation::AnnouncedUnopened { term: leader.term });
         }
         if let Some(term) = self.phase_term()
-            && self.driven != Some(term)
+            && self.driven_term != Some(term)
         {
             violations.push(FailoverViolation::ForeignTerm { term });
         }
         if let Phase::Promoting { term, member, .. } = self.phase {
-            let noted = self.promoted.is_some_and(|p| p.term == term && p.member == member);
-            if !noted {
+            let is_recorded = self.promoted.is_some_and(|p| p.term == term && p.member == member);
+            if !is_recorded {
                 violations.push(FailoverViolation::SecondPromotion { term });
             }
         }
@@ -59,7 +59,7 @@
 
     fn phase_term(&self) -> Option<Term> {
         match self.phase {
-            Phase::Idle | Phase::Canvassing { .. } => None,
+            Phase::Idle | Phase::CheckingQuorum { .. } => None,
             Phase::Claiming { term, .. }
             | Phase::Holding { term, .. }
             | Phase::Fencing { term, .. }
--- a/crates/core/src/process/homes.rs
+++ b/crates/core/src/process/homes.rs
@@ -59,7 +59,7 @@
 
 /// What the ranking knows of a target.
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct TargetKey {
     hash: u64,
     zone: ZoneId,
 }
@@ -69,7 +69,7 @@
 pub struct Homes {
     homes_per_target: usize,
     vms: Vec<Candidate>,
-    targets: Vec<Place>,
+    targets: Vec<TargetKey>,
     zone_hashes: Vec<u64>,
     vms_by_zone: Vec<Vec<VmId>>,
     targets_by_zone: Vec<Vec<TargetId>>,
@@ -97,7 +97,7 @@
         }
         for (index, target) in topology.targets.iter().enumerate() {
             let hash = hash_name(&target.name, TARGET_SEED);
-            homes.targets.push(Place { hash, zone: target.zone });
+            homes.targets.push(TargetKey { hash, zone: target.zone });
             homes.targets_by_zone[target.zone.index()].push(TargetId(index as u32));
         }
         for target in 0..homes.targets.len() {
@@ -136,8 +136,8 @@
         let mut changed = Vec::new();
         for index in 0..self.targets.len() {
             let target = TargetId(index as u32);
-            let place = self.targets[index];
-            if (place.zone == zone || !self.zone_has_usable(place.zone))
+            let key = self.targets[index];
+            if (key.zone == zone || !self.zone_has_usable(key.zone))
                 && self.update_target(target, vm, usable)
             {
                 changed.push(target);
@@ -156,8 +156,8 @@
     pub fn verify(&self) -> Vec<String> {
         let mut problems = Vec::new();
         for (index, homes) in self.homes.iter().enumerate() {
-            let place = self.targets[index];
-            let expected = self.ranking(place.hash, place.zone, self.homes_per_target);
+            let key = self.targets[index];
+            let expected = self.ranking(key.hash, key.zone, self.homes_per_target);
             if *homes != expected {
                 problems.push(format!("target{index} has homes {homes:?}, not {expected:?}"));
             }
@@ -173,31 +173,31 @@
     }
 
     fn update_target(&mut self, target: TargetId, vm: VmId, usable: bool) -> bool {
-        let place = self.targets[target.index()];
+        let key = self.targets[target.index()];
         let homes = &self.homes[target.index()];
-        let touched = if usable { self.would_rank(target, vm) } else { homes.contains(&vm) };
-        if !touched {
+        let is_affected = if usable { self.would_be_home(target, vm) } else { homes.contains(&vm) };
+        if !is_affected {
             return false;
         }
-        self.homes[target.index()] = self.ranking(place.hash, place.zone, self.homes_per_target);
+        self.homes[target.index()] = self.ranking(key.hash, key.zone, self.homes_per_target);
         true
     }
 
-    fn would_rank(&self, target: TargetId, vm: VmId) -> bool {
+    fn would_be_home(&self, target: TargetId, vm: VmId) -> bool {
         let homes = &self.homes[target.index()];
-        let place = self.targets[target.index()];
+        let key = self.targets[target.index()];
         let Some(lowest) = homes.last() else { return true };
-        let from_elsewhere = self.vms[lowest.index()].zone != place.zone;
-        let own_zone = self.vms[vm.index()].zone == place.zone;
+        let from_elsewhere = self.vms[lowest.index()].zone != key.zone;
+        let own_zone = self.vms[vm.index()].zone == key.zone;
         if homes.len() < self.homes_per_target || (own_zone && from_elsewhere) {
             return true;
         }
-        self.ranked(place.hash, vm) > self.ranked(place.hash, *lowest)
+        self.ranked(key.hash, vm) > self.ranked(key.hash, *lowest)
     }
 
     fn rank_target(&mut self, target: TargetId) {
-        let place = self.targets[target.index()];
-        self.homes[target.index()] = self.ranking(place.hash, place.zone, self.homes_per_target);
+        let key = self.targets[target.index()];
+        self.homes[target.index()] = self.ranking(key.hash, key.zone, self.homes_per_target);
     }
 
     fn ranked(&self, key: u64, vm: VmId) -> Ranked {
@@ -221,9 +221,9 @@
         let mut best: Vec<Ranked> = Vec::with_capacity(count + 1);
         for vm in vms.filter(|vm| self.vms[vm.index()].usable) {
             let ranked = self.ranked(key, vm);
-            let place = best.partition_point(|better| *better > ranked);
-            if place < count {
-                best.insert(place, ranked);
+            let rank = best.partition_point(|better| *better > ranked);
+            if rank < count {
+                best.insert(rank, ranked);
                 best.truncate(count);
             }
         }
@@ -235,10 +235,10 @@
 /// topology. Returns their places in `vms`, the best first.
 pub fn rank_names(target: &str, vms: &[&str], count: usize) -> Vec<usize> {
     let key = hash_name(target, TARGET_SEED);
-    let mut places: Vec<usize> = (0..vms.len()).collect();
-    places.sort_by_cached_key(|place| std::cmp::Reverse(name_score(key, vms[*place])));
-    places.truncate(count);
-    places
+    let mut indexes: Vec<usize> = (0..vms.len()).collect();
+    indexes.sort_by_cached_key(|index| std::cmp::Reverse(name_score(key, vms[*index])));
+    indexes.truncate(count);
+    indexes
 }
 
 /// How many of these VMs rank higher for a target than `own` does.
--- a/crates/core/src/process/isolation.rs
+++ b/crates/core/src/process/isolation.rs
@@ -18,11 +18,11 @@
 
 /// How long targets of other zones have to fail before it counts, in microseconds. A primary that is
 /// being replaced fails for about as long.
-pub const FAILING_US: u64 = 500_000;
+pub const MIN_FAILURE_US: u64 = 500_000;
 
 /// How many targets of other zones have to fail. With two the failure of a single target, or the
 /// replacement of a single primary, isolates nobody.
-pub const FAILING_TARGETS: usize = 2;
+pub const MIN_FAILING_TARGETS: usize = 2;
 
 /// For how long no other zone may have answered before targets there are asked as well, in microseconds. VMs
 /// that answer no longer may have lost power all together.
@@ -44,24 +44,24 @@
 /// Whether the process is cut off, given all targets of other zones and whether those that watch for its zone
 /// say that all of it is.
 pub fn is_isolated(targets: &[OtherZoneTarget], zone_is_cut: bool, now_us: u64) -> bool {
-    let fails_long = |target: &&OtherZoneTarget| {
-        target.failed_since_us.is_some_and(|since_us| now_us >= since_us + FAILING_US)
+    let has_failed_long = |target: &&OtherZoneTarget| {
+        target.failed_since_us.is_some_and(|since_us| now_us >= since_us + MIN_FAILURE_US)
     };
     let answers = |target: &OtherZoneTarget| {
-        target.failed_since_us.is_none() && now_us < target.answered_us + FAILING_US
+        target.failed_since_us.is_none() && now_us < target.answered_us + MIN_FAILURE_US
     };
-    let many_fail = || targets.iter().filter(fails_long).count() >= FAILING_TARGETS;
+    let many_fail = || targets.iter().filter(has_failed_long).count() >= MIN_FAILING_TARGETS;
     (zone_is_cut || many_fail()) && !targets.iter().any(answers)
 }
 
 /// What one that watches for its zone hears of the others.
 #[derive(Clone, Debug, Default)]
-pub struct ZoneReach {
+pub struct ZoneReachability {
     /// Since when each other zone was asked without an answer; none while it answers.
     unanswered_since_us: FastMap<Arc<str>, Option<u64>>,
 }
 
-impl ZoneReach {
+impl ZoneReachability {
     /// The other zones are these.
     pub fn set_zones(&mut self, zones: &[Arc<str>]) {
         self.unanswered_since_us.retain(|zone, _| zones.contains(zone));
@@ -86,16 +86,17 @@
 
     /// Whether it is time to ask targets of other zones as well.
     pub fn is_suspect(&self, now_us: u64) -> bool {
-        self.nobody_answers_for(SUSPECT_US, now_us)
+        self.all_silent_for(SUSPECT_US, now_us)
     }
 
     /// Whether this zone is cut off from all others.
     pub fn is_cut_off(&self, now_us: u64) -> bool {
-        self.nobody_answers_for(CUT_OFF_US, now_us)
+        self.all_silent_for(CUT_OFF_US, now_us)
     }
 
-    fn nobody_answers_for(&self, span_us: u64, now_us: u64) -> bool {
-        let is_silent = |since_us: &Option<u64>| since_us.is_some_and(|it| now_us >= it + span_us);
+    fn all_silent_for(&self, duration_us: u64, now_us: u64) -> bool {
+        let is_silent =
+            |since_us: &Option<u64>| since_us.is_some_and(|it| now_us >= it + duration_us);
         !self.unanswered_since_us.is_empty() && self.unanswered_since_us.values().all(is_silent)
     }
 }
--- a/crates/core/src/process/member_set.rs
+++ b/crates/core/src/process/member_set.rs
@@ -147,7 +147,7 @@
     }
 
     /// The place of the member with this name.
-    pub fn place(&self, name: &str) -> Option<usize> {
+    pub fn index_of(&self, name: &str) -> Option<usize> {
         self.names.iter().position(|known| known == name)
     }
 
@@ -174,7 +174,7 @@
 }
 
 fn check_names(names: &[String]) -> Result<(), MemberSetError> {
-    let distinct = names.iter().enumerate().all(|(place, name)| !names[..place].contains(name));
+    let distinct = names.iter().enumerate().all(|(index, name)| !names[..index].contains(name));
     if names.is_empty() || names.len() > MAX_MEMBERS || !distinct {
         return Err(MemberSetError::BadMembers);
     }
--- a/crates/core/src/process/membership.rs
+++ b/crates/core/src/process/membership.rs
@@ -33,7 +33,7 @@
     /// The list or an operator says that it leaves.
     ListedLeaving,
     /// It said itself that it leaves.
-    SaidLeaving,
+    ReportedLeaving,
     /// It evidently does not answer.
     Unreachable,
     /// The list doesn't name it.
@@ -88,7 +88,7 @@
         now_us < self.leaving_until_us
     }
 
-    fn is_dead(&self, policy: &MembershipPolicy, now_us: u64) -> bool {
+    fn is_unreachable(&self, policy: &MembershipPolicy, now_us: u64) -> bool {
         now_us < self.failures_until_us && self.failure_points >= policy.failure_limit
     }
 
@@ -131,13 +131,13 @@
     /// Takes evidence about a VM. Returns whether its standing may have changed.
     pub fn vm_seen(&mut self, vm: &str, evidence: Evidence, now_us: u64) -> bool {
         let policy = self.policy;
-        record_seen(&mut self.vms, &policy, vm, evidence, now_us)
+        apply_evidence(&mut self.vms, &policy, vm, evidence, now_us)
     }
 
     /// Takes evidence about a target. Returns whether its standing may have changed.
     pub fn target_seen(&mut self, target: &str, evidence: Evidence, now_us: u64) -> bool {
         let policy = self.policy;
-        record_seen(&mut self.targets, &policy, target, evidence, now_us)
+        apply_evidence(&mut self.targets, &policy, target, evidence, now_us)
     }
 
     /// The standing of a VM of a version.
@@ -203,14 +203,14 @@
             return Standing::ListedLeaving;
         }
         match record {
-            Some(record) if record.is_leaving(now_us) => Standing::SaidLeaving,
-            Some(record) if record.is_dead(&self.policy, now_us) => Standing::Unreachable,
+            Some(record) if record.is_leaving(now_us) => Standing::ReportedLeaving,
+            Some(record) if record.is_unreachable(&self.policy, now_us) => Standing::Unreachable,
             _ => Standing::Usable,
         }
     }
 }
 
-fn record_seen(
+fn apply_evidence(
     records: &mut FastMap<String, Record>,
     policy: &MembershipPolicy,
     name: &str,
@@ -222,13 +222,13 @@
     }
     // The name is copied only when it is new: a dead VM is reported again and again.
     if let Some(record) = records.get_mut(name) {
-        let before = (record.is_leaving(now_us), record.is_dead(policy, now_us));
+        let before = (record.is_leaving(now_us), record.is_unreachable(policy, now_us));
         record.take(policy, evidence, now_us);
-        return before != (record.is_leaving(now_us), record.is_dead(policy, now_us));
+        return before != (record.is_leaving(now_us), record.is_unreachable(policy, now_us));
     }
     let mut record = Record::default();
     record.take(policy, evidence, now_us);
-    let changed = record.is_leaving(now_us) || record.is_dead(policy, now_us);
+    let changed = record.is_leaving(now_us) || record.is_unreachable(policy, now_us);
     records.insert(name.to_owned(), record);
     changed
 }
--- a/crates/core/src/process/quota.rs
+++ b/crates/core/src/process/quota.rs
@@ -21,7 +21,7 @@
 
 /// How many operations an allocator's bucket holds at least. A small limit has fewer allocators: parts below
 /// one operation would never be granted.
-const LEAST_BURST: u64 = 2;
+const MIN_BURST: u64 = 2;
 
 /// What one operation costs, in thousandths of a token.
 pub const OPERATION_MILLI: u64 = 1_000;
@@ -50,12 +50,12 @@
 /// The parts of the tolerance, in sixths: what widens the buckets, since an operation may be refused by one
 /// allocator while another has tokens left, and what buckets start with. All allocators may start again twice in
 /// one window; the sixth that is left is for operations that reach targets more than once.
-const WIDENED_SIXTHS: u64 = 1;
+const BURST_SIXTHS: u64 = 1;
 const START_SIXTHS: u64 = 2;
 
 impl QuotaTolerance {
     /// How many operations of a limit may come on top in one window, in thousandths.
-    fn milli(&self, limit: RateLimit) -> u64 {
+    fn allowance_milli(&self, limit: RateLimit) -> u64 {
         let in_window_milli = limit.rate_milli_per_s.saturating_mul(self.window_ms) / 1_000;
         let window_milli = in_window_milli.saturating_add(limit.burst_milli);
         let excess_milli = window_milli.saturating_mul(self.excess_milli) / 1_000;
@@ -64,8 +64,8 @@
 }
 
 /// The burst of all allocators together, in thousandths of an operation.
-fn widened_burst_milli(limit: RateLimit, tolerance: QuotaTolerance) -> u64 {
-    limit.burst_milli.saturating_add(tolerance.milli(limit) * WIDENED_SIXTHS / 6)
+fn total_burst_milli(limit: RateLimit, tolerance: QuotaTolerance) -> u64 {
+    limit.burst_milli.saturating_add(tolerance.allowance_milli(limit) * BURST_SIXTHS / 6)
 }
 
 /// Among how many allocators a limit is divided.
@@ -81,8 +81,8 @@
     /// Among how many a limit is divided where there are so many availability zones.
     pub fn of(limit: RateLimit, tolerance: QuotaTolerance, zones: usize) -> Division {
         let zones = zones.max(1);
-        let burst = widened_burst_milli(limit, tolerance) / OPERATION_MILLI;
-        let affordable = ((burst / LEAST_BURST) as usize).max(1);
+        let burst = total_burst_milli(limit, tolerance) / OPERATION_MILLI;
+        let affordable = ((burst / MIN_BURST) as usize).max(1);
         Division {
             zones: affordable.min(zones),
             per_zone: (affordable / zones).clamp(1, ALLOCATORS_PER_ZONE),
@@ -110,8 +110,8 @@
     /// The part of one of `allocators`.
     pub fn of(limit: RateLimit, tolerance: QuotaTolerance, allocators: usize) -> LimitPart {
         let allocators = allocators.max(1) as u64;
-        let burst_milli = widened_burst_milli(limit, tolerance) / allocators;
-        let start_milli = tolerance.milli(limit) * START_SIXTHS / 6 / allocators;
+        let burst_milli = total_burst_milli(limit, tolerance) / allocators;
+        let start_milli = tolerance.allowance_milli(limit) * START_SIXTHS / 6 / allocators;
         let rate_milli_per_s = limit.rate_milli_per_s / allocators;
         LimitPart {
             limit: RateLimit { rate_milli_per_s, burst_milli },
@@ -136,10 +136,10 @@
     part: LimitPart,
     tokens_milli: u64,
     /// Until when tokens were earned.
-    earned_us: u64,
+    refilled_us: u64,
     /// What was asked for in vain and is expected to be asked for again, in thousandths of a token. It is worked
     /// off at the rate.
-    turned_away_milli: u64,
+    refused_milli: u64,
 }
 
 impl TokenBucket {
@@ -148,15 +148,15 @@
         TokenBucket {
             part,
             tokens_milli: part.start_milli,
-            earned_us: since_us,
-            turned_away_milli: 0,
+            refilled_us: since_us,
+            refused_milli: 0,
         }
     }
 
     /// Brings the bucket to another limit. Tokens above a lowered burst are gone.
     pub fn set_part(&mut self, part: LimitPart, now_us: u64) {
         if self.part != part {
-            self.earn(now_us);
+            self.refill(now_us);
             self.part = part;
             self.tokens_milli = self.tokens_milli.min(part.limit.burst_milli);
         }
@@ -164,36 +164,36 @@
 
     /// Grants up to `wanted` operations.
     pub fn take(&mut self, wanted: u32, now_us: u64) -> Grant {
-        if now_us < self.earned_us {
-            return Grant { granted: 0, retry_after_us: self.earned_us - now_us };
+        if now_us < self.refilled_us {
+            return Grant { granted: 0, retry_after_us: self.refilled_us - now_us };
         }
-        self.earn(now_us);
+        self.refill(now_us);
         let granted = u64::from(wanted).min(self.tokens_milli / OPERATION_MILLI);
         self.tokens_milli -= granted * OPERATION_MILLI;
         if granted == u64::from(wanted) {
             return Grant { granted: wanted, retry_after_us: 0 };
         }
-        let retry_after_us = self.next_token_us();
+        let retry_after_us = self.retry_after_us_for_next();
         // Whoever is turned away here asks the other allocators as well.
         let most_milli = self.part.limit.rate_milli_per_s.max(OPERATION_MILLI);
         let missed_milli = (u64::from(wanted) - granted) * OPERATION_MILLI / self.part.allocators;
-        self.turned_away_milli = (self.turned_away_milli + missed_milli).min(most_milli);
+        self.refused_milli = (self.refused_milli + missed_milli).min(most_milli);
         Grant { granted: granted as u32, retry_after_us }
     }
 
     /// How long until one operation more can be granted, after those that were turned away before; a second where
     /// none ever can.
-    fn next_token_us(&self) -> u64 {
+    fn retry_after_us_for_next(&self) -> u64 {
         let missing_milli = OPERATION_MILLI.saturating_sub(self.tokens_milli);
         if self.part.limit.rate_milli_per_s == 0 || self.part.limit.burst_milli < OPERATION_MILLI {
             return SECOND_US;
         }
-        let ahead_milli = missing_milli + self.turned_away_milli;
+        let ahead_milli = missing_milli + self.refused_milli;
         (ahead_milli * SECOND_US).div_ceil(self.part.limit.rate_milli_per_s).min(SECOND_US)
     }
 
-    fn earn(&mut self, now_us: u64) {
-        let passed_us = now_us.saturating_sub(self.earned_us);
+    fn refill(&mut self, now_us: u64) {
+        let passed_us = now_us.saturating_sub(self.refilled_us);
         // A remainder below a thousandth of a token stays to be earned.
         let earned_milli = (u128::from(passed_us) * u128::from(self.part.limit.rate_milli_per_s)
             / u128::from(SECOND_US)) as u64;
@@ -203,8 +203,8 @@
                 (u128::from(earned_milli) * u128::from(SECOND_US)).div_ceil(u128::from(rate)) as u64
             }
         };
-        self.earned_us += counted_us.min(passed_us);
-        self.turned_away_milli = self.turned_away_milli.saturating_sub(earned_milli);
+        self.refilled_us += counted_us.min(passed_us);
+        self.refused_milli = self.refused_milli.saturating_sub(earned_milli);
         self.tokens_milli =
             self.tokens_milli.saturating_add(earned_milli).min(self.part.limit.burst_milli);
     }
--- a/crates/core/src/process/read_age.rs
+++ b/crates/core/src/process/read_age.rs
@@ -25,7 +25,7 @@
 pub const MAX_SAMPLES: usize = 64;
 
 /// How many of the primary's positions are kept for telling how fast members follow.
-const MAX_SEEN: usize = 16;
+const MAX_PRIMARY_POSITIONS: usize = 16;
 
 /// The weight of the newest observation in the average lag, as one part in this many.
 const LAG_DIVISOR: u64 = 8;
@@ -48,7 +48,7 @@
     lag_us: Option<u64>,
     catch_up_us: Option<u64>,
     /// The last of the primary's positions by which catching up was measured.
-    caught_up: LogPosition,
+    last_measured: LogPosition,
 }
 
 /// The samples of one group and what its members have applied.
@@ -59,7 +59,7 @@
     members: Vec<MemberAge>,
     samples: collections::VecDeque<Sample>,
     /// When the primary's latest positions were first seen here.
-    seen: collections::VecDeque<(LogPosition, u64)>,
+    primary_positions: collections::VecDeque<(LogPosition, u64)>,
 }
 
 impl ReadAge {
@@ -102,8 +102,8 @@
         }
         state.probe = Some((sent_us, status.clone()));
         state.applied = status.applied;
-        self.take_sample();
-        self.observe(member, now_us);
+        self.add_sample();
+        self.update_averages(member, now_us);
     }
 
     /// Takes a notice that a member sent on its own after a change.
@@ -111,7 +111,7 @@
     /// It carries no time of sending, so it moves the applied position and proves nothing of terms.
     pub fn notified(&mut self, member: usize, now_us: u64, applied: LogPosition) {
         self.members[member].applied = applied;
-        self.observe(member, now_us);
+        self.update_averages(member, now_us);
     }
 
     /// The time up to which reads at the member see all that was acknowledged.
@@ -153,7 +153,7 @@
     }
 
     /// Adds the best sample that the newest probes prove, if it says more than the last one.
-    fn take_sample(&mut self) {
+    fn add_sample(&mut self) {
         let Some((primary_sent_us, position)) = self.primary_report() else { return };
         let Some(quorum_us) = self.quorum_sent_us(position) else { return };
         let taken_us = primary_sent_us.min(quorum_us);
@@ -194,7 +194,7 @@
         };
         let times = || self.members.iter().filter_map(bound);
         let is_shown = |time_us: &u64| {
-            let found = |place: &usize| bound(&self.members[*place]) >= Some(*time_us);
+            let found = |index: &usize| bound(&self.members[*index]) >= Some(*time_us);
             self.is_quorum((0..self.members.len()).filter(found).collect())
         };
         times().filter(is_shown).max()
@@ -212,31 +212,33 @@
     /// long lag with a claim that is too old by a small part of it. A missing sample makes claims
     /// older, never wrong.
     fn thin_out(&mut self, now_us: u64) {
-        let gap_to_age = |place: &usize| {
-            let gap_us = self.samples[place + 1].taken_us - self.samples[place - 1].taken_us;
-            let age_us = now_us.saturating_sub(self.samples[*place].taken_us).max(1);
+        let gap_to_age = |index: &usize| {
+            let gap_us = self.samples[index + 1].taken_us - self.samples[index - 1].taken_us;
+            let age_us = now_us.saturating_sub(self.samples[*index].taken_us).max(1);
             u128::from(gap_us) * u128::from(u32::MAX) / u128::from(age_us)
         };
         let inner = 1..self.samples.len() - 1;
-        if let Some(place) = inner.min_by_key(gap_to_age) {
-            self.samples.remove(place);
+        if let Some(index) = inner.min_by_key(gap_to_age) {
+            self.samples.remove(index);
         }
     }
 
-    fn observe(&mut self, member: usize, now_us: u64) {
+    fn update_averages(&mut self, member: usize, now_us: u64) {
         if self.is_primary(member) {
-            self.see(self.members[member].applied, now_us);
+            self.record_primary_position(self.members[member].applied, now_us);
         }
         if let Some(fresh_us) = self.fresh_as_of_us(member) {
             let state = &mut self.members[member];
-            state.lag_us = Some(averaged(state.lag_us, now_us.saturating_sub(fresh_us)));
+            state.lag_us = Some(moving_average(state.lag_us, now_us.saturating_sub(fresh_us)));
         }
         let applied = self.members[member].applied;
-        let covered = self.seen.iter().rev().find(|(position, _)| applied.covers(*position));
+        let covered =
+            self.primary_positions.iter().rev().find(|(position, _)| applied.covers(*position));
         let state = &mut self.members[member];
-        if let Some((position, seen_us)) = covered.filter(|(at, _)| *at > state.caught_up) {
-            state.caught_up = *position;
-            state.catch_up_us = Some(averaged(state.catch_up_us, now_us.saturating_sub(*seen_us)));
+        if let Some((position, seen_us)) = covered.filter(|(at, _)| *at > state.last_measured) {
+            state.last_measured = *position;
+            state.catch_up_us =
+                Some(moving_average(state.catch_up_us, now_us.saturating_sub(*seen_us)));
         }
     }
 
@@ -245,18 +247,18 @@
         probe.is_some_and(|(_, status)| status.role == Role::Primary)
     }
 
-    fn see(&mut self, position: LogPosition, now_us: u64) {
-        if self.seen.back().is_some_and(|(last, _)| *last >= position) {
+    fn record_primary_position(&mut self, position: LogPosition, now_us: u64) {
+        if self.primary_positions.back().is_some_and(|(last, _)| *last >= position) {
             return;
         }
-        if self.seen.len() == MAX_SEEN {
-            self.seen.pop_front();
+        if self.primary_positions.len() == MAX_PRIMARY_POSITIONS {
+            self.primary_positions.pop_front();
         }
-        self.seen.push_back((position, now_us));
+        self.primary_positions.push_back((position, now_us));
     }
 }
 
-fn averaged(average_us: Option<u64>, observed_us: u64) -> u64 {
+fn moving_average(average_us: Option<u64>, observed_us: u64) -> u64 {
     match average_us {
         None => observed_us,
         Some(average_us) => average_us - average_us / LAG_DIVISOR + observed_us / LAG_DIVISOR,
--- a/crates/core/src/process/session_floors.rs
+++ b/crates/core/src/process/session_floors.rs
@@ -51,7 +51,7 @@
 }
 
 /// How many sessions may be on record before those that need no floor are looked for.
-const LEAST_SWEEP: usize = 64;
+const MIN_SWEEP_SIZE: usize = 64;
 
 /// A write that this process or a co-home executed.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
@@ -103,7 +103,7 @@
     term: Term,
     accounted: Accounted,
     /// Whether the holder has begun since the member set last changed.
-    began: bool,
+    started: bool,
     sessions: FastMap<String, LogPosition>,
     /// The number of sessions at which those that need no floor are dropped. It doubles what the
     /// last sweep left, so that a sweep costs little for each record.
@@ -124,9 +124,9 @@
             members,
             term: Term::default(),
             accounted: Accounted::default(),
-            began: false,
+            started: false,
             sessions: FastMap::default(),
-            sweep_at: LEAST_SWEEP,
+            sweep_at: MIN_SWEEP_SIZE,
             applied: vec![LogPosition::default(); count],
             waiting: Vec::new(),
             barrier: None,
@@ -141,7 +141,7 @@
             self.record_floor(session, write.position);
         }
         self.account(write.position);
-        self.keep_bounds();
+        self.enforce_limits();
     }
 
     /// Accounts for the record that opens a term: no session wrote it.
@@ -189,7 +189,7 @@
         self.barrier = None;
         self.enter_term(end);
         // A holder that has heard of a later term meanwhile answers with its beginning there.
-        let end = end.max(self.beginning());
+        let end = end.max(self.start());
         self.answer(&lookups, end)
     }
 
@@ -218,7 +218,7 @@
         *applied = status.applied.max(*applied);
         let everywhere = self.applied_everywhere();
         if everywhere.term == self.term {
-            self.accounted.forget_up_to(everywhere.index);
+            self.accounted.drop_up_to(everywhere.index);
         }
     }
 
@@ -226,9 +226,9 @@
     /// missing at a new one, so the holder begins anew.
     pub fn change_members(&mut self, members: MemberSet) {
         let mut applied = vec![LogPosition::default(); members.count()];
-        for (place, name) in self.members.names().iter().enumerate() {
-            if let Some(new_place) = members.place(name) {
-                applied[new_place] = self.applied[place];
+        for (old_index, name) in self.members.names().iter().enumerate() {
+            if let Some(new_index) = members.index_of(name) {
+                applied[new_index] = self.applied[old_index];
             }
         }
         if let Some(barrier) = &self.barrier {
@@ -236,7 +236,7 @@
         }
         self.members = members;
         self.applied = applied;
-        self.began = false;
+        self.started = false;
     }
 
     /// Ends the joint phase of the member set.
@@ -271,7 +271,7 @@
         if self.accounted.range_count() > self.settings.max_ranges {
             violations.push(SessionFloorsViolation::TooManyRanges);
         }
-        let bad = self.accounted.bad_ranges();
+        let bad = self.accounted.invalid_ranges();
         violations.extend(bad.into_iter().map(|first| SessionFloorsViolation::BadRange { first }));
         violations
     }
@@ -283,13 +283,13 @@
             .map(|lookup| {
                 let recorded = self.sessions.get(&lookup.session).copied().unwrap_or_default();
                 let floor = recorded.max(unaccounted);
-                FloorAnswer { lookup: lookup.id, floor: self.needed(floor) }
+                FloorAnswer { lookup: lookup.id, floor: self.effective_floor(floor) }
             })
             .collect()
     }
 
     /// A floor that every member covers asks for nothing.
-    fn needed(&self, floor: LogPosition) -> LogPosition {
+    fn effective_floor(&self, floor: LogPosition) -> LogPosition {
         if floor <= self.applied_everywhere() { LogPosition::default() } else { floor }
     }
 
@@ -299,18 +299,18 @@
     }
 
     /// Everything at or below is not accounted for.
-    fn beginning(&self) -> LogPosition {
-        LogPosition { term: self.term, index: self.accounted.beginning() }
+    fn start(&self) -> LogPosition {
+        LogPosition { term: self.term, index: self.accounted.start() }
     }
 
     /// Begins in a later term, or for the first time, at a position seen there. Writes of the term
     /// before that position may have gone unseen.
     fn enter_term(&mut self, seen: LogPosition) {
-        let known = self.began && seen.term <= self.term;
-        if known || seen < self.beginning() {
+        let known = self.started && seen.term <= self.term;
+        if known || seen < self.start() {
             return;
         }
-        self.began = true;
+        self.started = true;
         self.term = seen.term;
         self.accounted = Accounted::new(seen.index);
     }
@@ -336,14 +336,14 @@
     /// Drops sessions that need no floor of their own: every member covers it, or the beginning is
     /// answered for all of them.
     fn sweep(&mut self) {
-        let covered = self.applied_everywhere().max(self.beginning());
+        let covered = self.applied_everywhere().max(self.start());
         self.sessions.retain(|_, floor| *floor > covered);
-        self.sweep_at = LEAST_SWEEP.max(2 * self.sessions.len());
+        self.sweep_at = MIN_SWEEP_SIZE.max(2 * self.sessions.len());
     }
 
-    fn keep_bounds(&mut self) {
+    fn enforce_limits(&mut self) {
         if self.accounted.range_count() > self.settings.max_ranges {
-            self.accounted.forget_half();
+            self.accounted.drop_lower_half();
         }
         if self.sessions.len() > self.sweep_at.min(self.settings.max_sessions) {
             self.sweep();
@@ -352,14 +352,14 @@
             let mut floors: Vec<LogPosition> = self.sessions.values().copied().collect();
             let middle = floors.len() / 2;
             let (_, median, _) = floors.select_nth_unstable(middle);
-            self.forget_up_to(*median);
+            self.drop_up_to(*median);
         }
     }
 
     /// Lets the beginning cover everything up to a position, so that its records can go.
-    fn forget_up_to(&mut self, position: LogPosition) {
+    fn drop_up_to(&mut self, position: LogPosition) {
         if position.term == self.term {
-            self.accounted.forget_up_to(position.index);
+            self.accounted.drop_up_to(position.index);
         }
         self.sweep();
     }
--- a/crates/core/src/process/sharing/class_queue.rs
+++ b/crates/core/src/process/sharing/class_queue.rs
@@ -71,16 +71,16 @@
     /// Takes the request that goes next.
     pub fn pop(&mut self) -> Option<Waiting> {
         let request = self.waiting.pop_front()?;
-        self.leave(request.caller);
+        self.remove_from_caller(request.caller);
         Some(request)
     }
 
     /// Takes a request out that no longer waits. Returns whether it was there.
     pub fn remove(&mut self, ticket: Ticket) -> bool {
-        let place = self.waiting.binary_search_by_key(&ticket, |waiting| waiting.ticket);
-        let removed = place.ok().and_then(|place| self.waiting.remove(place));
+        let index = self.waiting.binary_search_by_key(&ticket, |waiting| waiting.ticket);
+        let removed = index.ok().and_then(|index| self.waiting.remove(index));
         if let Some(request) = removed {
-            self.leave(request.caller);
+            self.remove_from_caller(request.caller);
         }
         removed.is_some()
     }
@@ -116,7 +116,7 @@
         problems
     }
 
-    fn leave(&mut self, caller: CallerId) {
+    fn remove_from_caller(&mut self, caller: CallerId) {
         let Some(queued) = self.callers.get_mut(&caller) else { return };
         *queued -= 1;
         if *queued == 0 {
--- a/crates/core/src/process/sharing/queue.rs
+++ b/crates/core/src/process/sharing/queue.rs
@@ -201,7 +201,7 @@
             return Admission::Granted;
         }
         let predicted_wait_us = self.predicted_wait_us(class, now_us);
-        self.watch_wait(index, predicted_wait_us, now_us);
+        self.track_standing_wait(index, predicted_wait_us, now_us);
         if let Some(kind) = self.refusal(index, caller, predicted_wait_us, deadline_us, now_us) {
             let retry_after_us = predicted_wait_us.max(MIN_RETRY_AFTER_US);
             return Admission::Refused { kind, retry_after_us };
@@ -269,8 +269,8 @@
         assert!(self.connections > self.running, "a connection was given back while it runs");
         self.connections -= 1;
         let averages = &mut self.averages[class.index()];
-        averages.run_us = moved(averages.run_us, run_us);
-        averages.held_us = moved(averages.held_us, held_us);
+        averages.run_us = moving_average(averages.run_us, run_us);
+        averages.held_us = moving_average(averages.held_us, held_us);
         self.refresh(class.index());
     }
 
@@ -346,9 +346,9 @@
         }
         let queue = &self.queues[class];
         let full = queue.len() >= self.limits.queued_per_class
-            || self.crowds_out(class, caller)
-            || self.stands_too_long(class, caller, predicted_wait_us, now_us)
-            || !self.has_place(class);
+            || self.exceeds_caller_limit(class, caller)
+            || self.is_standing(class, caller, predicted_wait_us, now_us)
+            || !self.has_queue_space(class);
         full.then_some(ErrorKind::QueueFull)
     }
 
@@ -356,7 +356,7 @@
     ///
     /// A caller that has the queue to itself harms nobody, and may be a whole application that
     /// connects under one name. It still leaves places for others that come.
-    fn crowds_out(&self, class: usize, caller: CallerId) -> bool {
+    fn exceeds_caller_limit(&self, class: usize, caller: CallerId) -> bool {
         let queue = &self.queues[class];
         let per_caller = self.limits.queued_per_caller;
         let bound = match queue.has_others(caller) {
@@ -368,7 +368,7 @@
 
     /// Notes since when the wait stands. It counts as short again only well below the bounds: while
     /// requests are refused the wait stays close to them, and must not end that.
-    fn watch_wait(&mut self, class: usize, predicted_wait_us: u64, now_us: u64) {
+    fn track_standing_wait(&mut self, class: usize, predicted_wait_us: u64, now_us: u64) {
         let bound_us = self.standing_bound_us(class);
         let since = &mut self.standing_since_us[class];
         if predicted_wait_us > bound_us / 2 {
@@ -378,7 +378,7 @@
         }
     }
 
-    fn stands_too_long(
+    fn is_standing(
         &self,
         class: usize,
         caller: CallerId,
@@ -403,7 +403,7 @@
     /// Half of the places are divided evenly among the classes, and the rest is for whoever comes.
     /// Without that, a surge of one class would fill the whole queue and the requests of the others
     /// would be refused for lack of a place, however high their weight.
-    fn has_place(&self, class: usize) -> bool {
+    fn has_queue_space(&self, class: usize) -> bool {
         let reserved = self.limits.queued / (2 * self.queues.len().max(1));
         if self.queues[class].len() < reserved {
             return true;
@@ -425,6 +425,6 @@
     }
 }
 
-fn moved(average_us: u64, observed_us: u64) -> u64 {
+fn moving_average(average_us: u64, observed_us: u64) -> u64 {
     average_us - average_us / AVERAGE_DIVISOR + observed_us / AVERAGE_DIVISOR
 }
--- a/crates/core/src/process/takeover_claim.rs
+++ b/crates/core/src/process/takeover_claim.rs
@@ -119,18 +119,18 @@
 
     /// Whether a call that promotes may be sent now. Looked at once more when the connection stands,
     /// right before the call is written: a driver may freeze while it connects.
-    pub fn may_call(&self, now_us: u64) -> bool {
+    pub fn may_send_promote(&self, now_us: u64) -> bool {
         now_us + PROMOTE_CALL_US <= self.written_us + LEASE_US
     }
 
     /// Whether a call for the chosen target may still be carried out.
-    pub fn may_come_late(&self, now_us: u64) -> bool {
+    pub fn may_take_effect_late(&self, now_us: u64) -> bool {
         self.claim.unsettled && now_us < self.unsettled_since_us + LATE_EFFECT_US
     }
 
     /// Whether `target` may be promoted, given that the platform checks tokens or does not.
     pub fn may_promote(&self, target: &str, checks_tokens: bool, now_us: u64) -> bool {
-        checks_tokens || !self.may_come_late(now_us) || self.claim.chosen == target
+        checks_tokens || !self.may_take_effect_late(now_us) || self.claim.chosen == target
     }
 }
 
@@ -143,7 +143,7 @@
         token: u64,
     },
     /// Leave it to the present holder for now, and look again at this time.
-    LeaveUntil {
+    WaitUntil {
         /// The time to look again.
         at_us: u64,
     },
@@ -164,6 +164,6 @@
     };
     match now_us >= at_us {
         true => ClaimStep::Write { token },
-        false => ClaimStep::LeaveUntil { at_us },
+        false => ClaimStep::WaitUntil { at_us },
     }
 }
--- a/crates/core/src/process/timer.rs
+++ b/crates/core/src/process/timer.rs
@@ -77,7 +77,7 @@
         subscription.step += 1;
         subscription.due_us = due_us;
         self.heap.push(cmp::Reverse((due_us, timer, subscription.step)));
-        self.sweep();
+        self.compact();
     }
 
     /// Ends a subscription. Its id may be given out again.
@@ -98,9 +98,9 @@
                 return;
             }
             self.heap.pop();
-            if self.counts(timer, step) {
+            if self.is_current(timer, step) {
                 due.push(timer);
-                self.move_on(timer, now_us);
+                self.reschedule(timer, now_us);
             }
         }
     }
@@ -108,7 +108,7 @@
     /// When the next subscription is due.
     pub fn next_deadline_us(&mut self) -> Option<u64> {
         while let Some(&cmp::Reverse((due_us, timer, step))) = self.heap.peek() {
-            if self.counts(timer, step) {
+            if self.is_current(timer, step) {
                 return Some(due_us);
             }
             self.heap.pop();
@@ -148,12 +148,12 @@
         timer
     }
 
-    fn counts(&self, timer: TimerId, step: u64) -> bool {
+    fn is_current(&self, timer: TimerId, step: u64) -> bool {
         let subscription = &self.subscriptions[timer.index()];
         subscription.active && subscription.step == step
     }
 
-    fn move_on(&mut self, timer: TimerId, now_us: u64) {
+    fn reschedule(&mut self, timer: TimerId, now_us: u64) {
         let subscription = &mut self.subscriptions[timer.index()];
         let Some(period) = subscription.period else {
             self.cancel(timer);
@@ -168,15 +168,15 @@
 
     /// Drops entries that no longer count once they outnumber those that do, so that timers that are
     /// moved often don't make the heap grow.
-    fn sweep(&mut self) {
+    fn compact(&mut self) {
         if self.heap.len() <= 2 * self.subscriptions.len() + 16 {
             return;
         }
         let heap = std::mem::take(&mut self.heap);
-        let counting = heap.into_iter().filter(|entry| {
+        let current = heap.into_iter().filter(|entry| {
             let cmp::Reverse((_, timer, step)) = *entry;
-            self.counts(timer, step)
+            self.is_current(timer, step)
         });
-        self.heap = counting.collect();
+        self.heap = current.collect();
     }
 }
--- a/crates/core/tests/connection_plan.rs
+++ b/crates/core/tests/connection_plan.rs
@@ -71,8 +71,8 @@
 /// ranks high.
 #[test]
 fn those_without_a_way_connect_one_after_the_other() {
-    assert_eq!(connection_plan::may_connect(10, 2_900_000), 0);
-    assert_eq!(connection_plan::may_connect(10, 3_000_000), 20);
-    assert_eq!(connection_plan::may_connect(10, 13_000_000), 160);
-    assert!(connection_plan::may_connect(2, u64::MAX) > 1_000);
+    assert_eq!(connection_plan::fallback_count(10, 2_900_000), 0);
+    assert_eq!(connection_plan::fallback_count(10, 3_000_000), 20);
+    assert_eq!(connection_plan::fallback_count(10, 13_000_000), 160);
+    assert!(connection_plan::fallback_count(2, u64::MAX) > 1_000);
 }
--- a/crates/core/tests/failover/cases.rs
+++ b/crates/core/tests/failover/cases.rs
@@ -142,7 +142,7 @@
             ["lead", version, ref rest @ ..] => {
                 Event::LeadSeen { version: number(version), record: record(rest) }
             }
-            ["took", version] => platform(PlatformAnswer::Took { version: number(version) }),
+            ["took", version] => platform(PlatformAnswer::Updated { version: number(version) }),
             ["conflict"] => platform(PlatformAnswer::Conflict),
             ["read", version, ref rest @ ..] => {
                 platform(PlatformAnswer::Read { version: number(version), record: record(rest) })
--- a/crates/core/tests/failover/network.rs
+++ b/crates/core/tests/failover/network.rs
@@ -120,7 +120,7 @@
         }
         self.set_record(record);
         let version = self.record_version;
-        self.answer_platform(process, call, PlatformAnswer::Took { version });
+        self.answer_platform(process, call, PlatformAnswer::Updated { version });
     }
 
     fn answer_platform(&mut self, process: usize, call: PlatformCall, answer: PlatformAnswer) {
--- a/crates/core/tests/isolation.rs
+++ b/crates/core/tests/isolation.rs
@@ -4,10 +4,10 @@
 
 use skylark_core::process::isolation;
 use skylark_core::process::isolation::CUT_OFF_US;
-use skylark_core::process::isolation::FAILING_US;
+use skylark_core::process::isolation::MIN_FAILURE_US;
 use skylark_core::process::isolation::OtherZoneTarget;
 use skylark_core::process::isolation::SUSPECT_US;
-use skylark_core::process::isolation::ZoneReach;
+use skylark_core::process::isolation::ZoneReachability;
 
 const NOW_US: u64 = 10_000_000;
 
@@ -36,21 +36,21 @@
 
 verdicts! {
     nobody_outside_is_no_isolation: [], "zone" => false;
-    all_fail: [fails(FAILING_US), fails(FAILING_US)], "zone" => true;
-    not_yet_for_long: [fails(FAILING_US - 1), fails(FAILING_US)], "zone" => false;
-    one_alone_says_nothing: [fails(FAILING_US), unasked()], "zone" => false;
-    one_answers: [fails(FAILING_US), fails(FAILING_US), answers()], "zone" => false;
-    unasked_ones_don_t_count: [fails(FAILING_US), fails(FAILING_US), unasked()], "zone" => true;
+    all_fail: [fails(MIN_FAILURE_US), fails(MIN_FAILURE_US)], "zone" => true;
+    not_yet_for_long: [fails(MIN_FAILURE_US - 1), fails(MIN_FAILURE_US)], "zone" => false;
+    one_alone_says_nothing: [fails(MIN_FAILURE_US), unasked()], "zone" => false;
+    one_answers: [fails(MIN_FAILURE_US), fails(MIN_FAILURE_US), answers()], "zone" => false;
+    unasked_ones_don_t_count: [fails(MIN_FAILURE_US), fails(MIN_FAILURE_US), unasked()], "zone" => true;
     /// It serves nobody and so knows nothing by itself.
     its_zone_is_cut_off: [unasked(), unasked()], "cut zone" => true;
     /// Those that watch for its zone may be cut off by themselves.
-    it_reaches_others_itself: [answers(), fails(FAILING_US)], "cut zone" => false;
+    it_reaches_others_itself: [answers(), fails(MIN_FAILURE_US)], "cut zone" => false;
 }
 
 /// What a watcher sees of two other zones, asked at these times before now; none if they answer.
-fn reach(silent_us: [Option<u64>; 2]) -> ZoneReach {
+fn reach(silent_us: [Option<u64>; 2]) -> ZoneReachability {
     let zones: [Arc<str>; 2] = ["a".into(), "b".into()];
-    let mut reach = ZoneReach::default();
+    let mut reach = ZoneReachability::default();
     reach.set_zones(&zones);
     for (zone, silent_us) in zones.iter().zip(silent_us) {
         reach.asked(zone, NOW_US - silent_us.unwrap_or_default());
@@ -82,7 +82,7 @@
 
 #[test]
 fn without_other_zones_nobody_is_cut_off() {
-    assert!(!ZoneReach::default().is_cut_off(NOW_US));
+    assert!(!ZoneReachability::default().is_cut_off(NOW_US));
 }
 
 #[test]
--- a/crates/core/tests/sharing_connections.rs
+++ b/crates/core/tests/sharing_connections.rs
@@ -64,7 +64,7 @@
     budget.set_share(2);
     assert_eq!(budget.plan(2).close, 4);
     assert_eq!(budget.used(), 4);
-    budget.gave_back();
+    budget.returned();
     assert_eq!(budget.plan(3).close, 1);
 }
 
@@ -83,7 +83,7 @@
         assert_eq!(budget.verify(), Vec::<String>::new());
         let after = budget.plan(now_us);
         assert_eq!(after.open, 0, "a failed try is not repeated at once");
-        now_us = after.ask_again_us.expect("a home that lacks connections asks again");
+        now_us = after.next_plan_us.expect("a home that lacks connections asks again");
     }
     tries
 }
@@ -162,7 +162,7 @@
             1 => {
                 budget.take(now_us);
             }
-            2 if budget.used() > 0 => budget.gave_back(),
+            2 if budget.used() > 0 => budget.returned(),
             3 if budget.used() > 0 => budget.used_closed(),
             4 if opening > 0 => {
                 opening -= 1;
--- a/crates/core/tests/store_calls.rs
+++ b/crates/core/tests/store_calls.rs
@@ -8,31 +8,31 @@
 use skylark_core::process::homes::WATCHERS_PER_ZONE;
 use skylark_core::process::jitter;
 use skylark_core::process::store_calls;
-use skylark_core::process::store_calls::Standing;
-use skylark_core::process::store_calls::StoreNews;
+use skylark_core::process::store_calls::StoreAccess;
+use skylark_core::process::store_calls::StoreStatus;
 
 /// The time between two steps, in microseconds.
 const STEP_US: u64 = 20_000;
 
 /// For how long each fleet is played, in microseconds.
-const PLAYED_US: u64 = 20_000_000;
+const SIMULATED_US: u64 = 20_000_000;
 
 /// Up to how many VMs each asks by itself.
-const ASK_ALONE: usize = 16;
+const MAX_DIRECT_VMS: usize = 16;
 
 /// The time in which each VM that has a path to a new version has to know it, in microseconds.
-const IN_FORCE_US: u64 = 6_000_000;
+const VERSION_DEADLINE_US: u64 = 6_000_000;
 
 /// What a VM that the store does not answer waits before it asks others, in microseconds.
 const HELP_AFTER_US: u64 = 1_000_000;
 
 /// The calls a second that those who ask for others may make, each.
-const CALLS_OF_AN_ASKER: usize = 10;
+const CALLS_PER_POLLING_VM: usize = 10;
 
 /// The calls a second that all others together may make, and the part of the VMs that may call beyond that
 /// in the same second: those that the limit of their pauses has call more often.
-const CALLS_OF_THE_OTHERS: usize = 80;
-const BEYOND_DIVISOR: usize = 2;
+const CALLS_OF_OTHER_VMS: usize = 80;
+const EXTRA_CALLS_DIVISOR: usize = 2;
 
 /// Which VMs the store answers, and from when to when it does not.
 #[derive(Clone, Copy, Debug)]
@@ -54,10 +54,10 @@
     zone: usize,
     seed: u64,
     /// The VMs that reach each other have the same side.
-    side: u64,
-    asks: bool,
-    told: Option<StoreNews>,
-    untold_since_us: u64,
+    partition: u64,
+    polls_store: bool,
+    peer_status: Option<StoreStatus>,
+    no_peer_since_us: u64,
     failures: u32,
     failing_since_us: Option<u64>,
     answers: bool,
@@ -73,22 +73,22 @@
 }
 
 /// The most calls without an answer within one second.
-fn most_in_a_second(calls_us: &[u64]) -> usize {
+fn max_calls_per_second(calls_us: &[u64]) -> usize {
     let within =
         |at_us: u64| calls_us.iter().filter(move |call| (at_us..at_us + 1_000_000).contains(*call));
-    (0..PLAYED_US).step_by(500_000).map(|at_us| within(at_us).count()).max().unwrap_or(0)
+    (0..SIMULATED_US).step_by(500_000).map(|at_us| within(at_us).count()).max().unwrap_or(0)
 }
 
 impl Fleet {
-    fn new(count: usize, zones: usize, sides: u64, outage: Outage, seed: u64) -> Fleet {
-        let has_many = count > ASK_ALONE;
-        let vm = |place: usize| Vm {
-            zone: place % zones,
-            seed: jitter::below_us(seed, place as u64, u64::MAX),
-            side: jitter::below_us(seed ^ 1, place as u64, sides),
-            asks: !has_many || place < zones * WATCHERS_PER_ZONE,
-            told: None,
-            untold_since_us: 0,
+    fn new(count: usize, zones: usize, partitions: u64, outage: Outage, seed: u64) -> Fleet {
+        let has_many = count > MAX_DIRECT_VMS;
+        let vm = |index: usize| Vm {
+            zone: index % zones,
+            seed: jitter::below_us(seed, index as u64, u64::MAX),
+            partition: jitter::below_us(seed ^ 1, index as u64, partitions),
+            polls_store: !has_many || index < zones * WATCHERS_PER_ZONE,
+            peer_status: None,
+            no_peer_since_us: 0,
             failures: 0,
             failing_since_us: None,
             answers: false,
@@ -96,60 +96,64 @@
             version_us: 0,
         };
         let vms: Vec<Vm> = (0..count).map(vm).collect();
-        let watchers = (0..count).filter(|place| vms[*place].asks).collect();
+        let watchers = (0..count).filter(|index| vms[*index].polls_store).collect();
         Fleet { vms, watchers, outage }
     }
 
-    fn is_turned_away(&self, place: usize, at_us: u64) -> bool {
+    fn is_turned_away(&self, index: usize, at_us: u64) -> bool {
         self.outage.is_at(at_us)
-            && jitter::below_us(self.vms[place].seed, 2, 100) < self.outage.percent
+            && jitter::below_us(self.vms[index].seed, 2, 100) < self.outage.percent
     }
 
-    fn news_of(&self, place: usize) -> StoreNews {
-        let vm = &self.vms[place];
-        store_calls::news(vm.answers, vm.told.filter(|_| vm.asks))
+    fn status_of(&self, index: usize) -> StoreStatus {
+        let vm = &self.vms[index];
+        store_calls::status_for_peers(vm.answers, vm.peer_status.filter(|_| vm.polls_store))
     }
 
     /// The VMs that may tell this one, the best first.
-    fn tellers(&self, place: usize) -> Vec<usize> {
-        let vm = &self.vms[place];
-        let reached = |other: &usize| *other != place && self.vms[*other].side == vm.side;
-        let mut tellers: Vec<usize> = self.watchers.iter().copied().filter(reached).collect();
-        tellers.sort_by_key(|other| {
-            (self.news_of(*other) == StoreNews::Away, self.vms[*other].zone != vm.zone)
+    fn peers(&self, index: usize) -> Vec<usize> {
+        let vm = &self.vms[index];
+        let reached = |other: &usize| *other != index && self.vms[*other].partition == vm.partition;
+        let mut peers: Vec<usize> = self.watchers.iter().copied().filter(reached).collect();
+        peers.sort_by_key(|other| {
+            (self.status_of(*other) == StoreStatus::Unavailable, self.vms[*other].zone != vm.zone)
         });
-        tellers
+        peers
     }
 
-    fn listen(&mut self, place: usize, at_us: u64) {
-        let asks = self.vms[place].asks;
-        let needs = !asks
-            || self.vms[place]
+    fn poll_peers(&mut self, index: usize, at_us: u64) {
+        let polls_store = self.vms[index].polls_store;
+        let needs = !polls_store
+            || self.vms[index]
                 .failing_since_us
                 .is_some_and(|since_us| at_us >= since_us + HELP_AFTER_US);
-        let tellers = if needs { self.tellers(place) } else { Vec::new() };
-        let teller =
-            tellers.into_iter().find(|teller| !asks || self.news_of(*teller) == StoreNews::Answers);
-        let told = teller.map(|teller| (self.news_of(teller), self.vms[teller].version_us));
-        let vm = &mut self.vms[place];
-        let was_told = store_calls::standing(asks, vm.told) == Standing::Told;
-        vm.told = told.map(|(news, _)| news);
-        if let Some((StoreNews::Answers | StoreNews::Relayed, version_us)) = told {
+        let peers = if needs { self.peers(index) } else { Vec::new() };
+        let peer = peers
+            .into_iter()
+            .find(|peer| !polls_store || self.status_of(*peer) == StoreStatus::Answers);
+        let peer_status = peer.map(|peer| (self.status_of(peer), self.vms[peer].version_us));
+        let vm = &mut self.vms[index];
+        let was_via_peer =
+            store_calls::store_access(polls_store, vm.peer_status) == StoreAccess::ViaPeer;
+        vm.peer_status = peer_status.map(|(news, _)| news);
+        if let Some((StoreStatus::Answers | StoreStatus::Relayed, version_us)) = peer_status {
             vm.version_us = vm.version_us.max(version_us);
             (vm.answers, vm.failing_since_us) =
-                (vm.answers && asks, vm.failing_since_us.filter(|_| asks));
-        } else if was_told {
-            vm.untold_since_us = at_us;
+                (vm.answers && polls_store, vm.failing_since_us.filter(|_| polls_store));
+        } else if was_via_peer {
+            vm.no_peer_since_us = at_us;
         }
     }
 
     /// Asks the store if it is time for that. Returns whether a call was made in vain.
-    fn ask(&mut self, place: usize, at_us: u64) -> bool {
-        let (is_turned_away, count) = (self.is_turned_away(place, at_us), self.vms.len());
-        let vm = &mut self.vms[place];
-        let standing = store_calls::standing(vm.asks, vm.told);
-        let patience_us = store_calls::patience_us(standing, count, vm.seed);
-        if standing == Standing::Told || at_us < vm.untold_since_us + patience_us {
+    fn call_store(&mut self, index: usize, at_us: u64) -> bool {
+        let (is_turned_away, count) = (self.is_turned_away(index, at_us), self.vms.len());
+        let vm = &mut self.vms[index];
+        let store_access = store_calls::store_access(vm.polls_store, vm.peer_status);
+        let direct_call_delay_us = store_calls::direct_call_delay_us(store_access, count, vm.seed);
+        if store_access == StoreAccess::ViaPeer
+            || at_us < vm.no_peer_since_us + direct_call_delay_us
+        {
             return false;
         }
         if is_turned_away {
@@ -159,7 +163,7 @@
                 return false;
             }
             vm.failures += 1;
-            let pause_us = store_calls::retry_pause_us(standing, count, vm.failures, vm.seed);
+            let pause_us = store_calls::retry_pause_us(store_access, count, vm.failures, vm.seed);
             vm.next_call_us = at_us + pause_us;
             return true;
         }
@@ -172,48 +176,49 @@
     }
 
     /// Plays the fleet. Returns when calls were made in vain, and the complaints.
-    fn play(&mut self) -> (Vec<u64>, Vec<String>) {
-        let (mut in_vain_us, mut complaints) = (Vec::new(), Vec::new());
+    fn simulate(&mut self) -> (Vec<u64>, Vec<String>) {
+        let (mut failed_calls_us, mut violations) = (Vec::new(), Vec::new());
         let mut has_path_since_us = vec![Some(0); self.vms.len()];
-        for at_us in (0..PLAYED_US).step_by(STEP_US as usize) {
-            for place in 0..self.vms.len() {
-                self.listen(place, at_us);
-                if self.ask(place, at_us) {
-                    in_vain_us.push(at_us);
+        for at_us in (0..SIMULATED_US).step_by(STEP_US as usize) {
+            for index in 0..self.vms.len() {
+                self.poll_peers(index, at_us);
+                if self.call_store(index, at_us) {
+                    failed_calls_us.push(at_us);
                 }
             }
             let served: Vec<u64> = (0..self.vms.len())
-                .filter(|place| !self.is_turned_away(*place, at_us))
-                .filter(|place| self.vms[*place].asks)
-                .map(|place| self.vms[place].side)
+                .filter(|index| !self.is_turned_away(*index, at_us))
+                .filter(|index| self.vms[*index].polls_store)
+                .map(|index| self.vms[index].partition)
                 .collect();
-            for (place, since_us) in has_path_since_us.iter_mut().enumerate() {
-                let has_path =
-                    !self.is_turned_away(place, at_us) || served.contains(&self.vms[place].side);
+            for (index, since_us) in has_path_since_us.iter_mut().enumerate() {
+                let has_path = !self.is_turned_away(index, at_us)
+                    || served.contains(&self.vms[index].partition);
                 *since_us = has_path.then(|| since_us.unwrap_or(at_us));
-                let due_us = since_us.map(|since_us| since_us + IN_FORCE_US);
-                let age_us = at_us - self.vms[place].version_us;
-                if due_us.is_some_and(|due_us| at_us >= due_us) && age_us > IN_FORCE_US {
-                    complaints.push(format!("VM {place} is {age_us} us behind at {at_us}"));
+                let due_us = since_us.map(|since_us| since_us + VERSION_DEADLINE_US);
+                let age_us = at_us - self.vms[index].version_us;
+                if due_us.is_some_and(|due_us| at_us >= due_us) && age_us > VERSION_DEADLINE_US {
+                    violations.push(format!("VM {index} is {age_us} us behind at {at_us}"));
                 }
             }
         }
-        (in_vain_us, complaints)
+        (failed_calls_us, violations)
     }
 }
 
-fn holds(count: usize, zones: usize, sides: u64, outage: Outage, seed: u64) {
-    let mut fleet = Fleet::new(count, zones, sides, outage, seed);
-    let askers = fleet.watchers.len();
-    let (in_vain_us, complaints) = fleet.play();
-    let case = format!("{count} VMs in {zones} zones on {sides} sides, {outage:?}, seed {seed}");
-    assert!(complaints.is_empty(), "{case}: {}", complaints[0]);
-    let most = most_in_a_second(&in_vain_us);
-    let mut bound = askers * CALLS_OF_AN_ASKER + CALLS_OF_THE_OTHERS;
-    bound += (count - askers) / BEYOND_DIVISOR;
+fn check_fleet(count: usize, zones: usize, partitions: u64, outage: Outage, seed: u64) {
+    let mut fleet = Fleet::new(count, zones, partitions, outage, seed);
+    let polling_vms = fleet.watchers.len();
+    let (failed_calls_us, violations) = fleet.simulate();
+    let case =
+        format!("{count} VMs in {zones} zones on {partitions} sides, {outage:?}, seed {seed}");
+    assert!(violations.is_empty(), "{case}: {}", violations[0]);
+    let most = max_calls_per_second(&failed_calls_us);
+    let mut bound = polling_vms * CALLS_PER_POLLING_VM + CALLS_OF_OTHER_VMS;
+    bound += (count - polling_vms) / EXTRA_CALLS_DIVISOR;
     // Those that nobody tells have no other way to learn that it was one call that failed.
-    let is_split = sides > 1 || outage.from_us == 0;
-    let quick = if is_split { 4 * (count - askers) } else { 0 };
+    let is_split = partitions > 1 || outage.from_us == 0;
+    let quick = if is_split { 4 * (count - polling_vms) } else { 0 };
     assert!(most <= bound + quick, "{case}: {most} calls in a second");
 }
 
@@ -223,13 +228,13 @@
 const AT_THE_START: Outage = Outage { from_us: 0, ..FOR_ALL };
 
 macro_rules! fleets {
-    ($($(#[$doc:meta])* $name:ident: $sides:expr, $outage:expr;)*) => {
+    ($($(#[$doc:meta])* $name:ident: $partitions:expr, $outage:expr;)*) => {
         $($(#[$doc])*
         #[test]
         fn $name() {
-            for (place, count) in [1, 2, 6, 16, 17, 40, 86, 295, 550, 1_000].into_iter().enumerate() {
+            for (index, count) in [1, 2, 6, 16, 17, 40, 86, 295, 550, 1_000].into_iter().enumerate() {
                 for zones in [1, 3, 8] {
-                    holds(count, zones, $sides, $outage, place as u64 * 8 + zones as u64);
+                    check_fleet(count, zones, $partitions, $outage, index as u64 * 8 + zones as u64);
                 }
             }
         })*
@@ -258,7 +263,16 @@
 /// store would have told each other for ever that it answers.
 #[test]
 fn what_was_passed_on_is_not_passed_on_again() {
-    assert_eq!(store_calls::news(false, Some(StoreNews::Answers)), StoreNews::Relayed);
-    assert_eq!(store_calls::news(false, Some(StoreNews::Relayed)), StoreNews::Away);
-    assert_eq!(store_calls::news(true, Some(StoreNews::Away)), StoreNews::Answers);
+    assert_eq!(
+        store_calls::status_for_peers(false, Some(StoreStatus::Answers)),
+        StoreStatus::Relayed
+    );
+    assert_eq!(
+        store_calls::status_for_peers(false, Some(StoreStatus::Relayed)),
+        StoreStatus::Unavailable
+    );
+    assert_eq!(
+        store_calls::status_for_peers(true, Some(StoreStatus::Unavailable)),
+        StoreStatus::Answers
+    );
 }
--- a/crates/core/tests/takeover_claim.rs
+++ b/crates/core/tests/takeover_claim.rs
@@ -38,7 +38,7 @@
 fn others_leave_it_to_the_last_driver_for_a_moment() {
     let seen = seen("vm-2", ClaimState::Settled, 0);
     let step = takeover_claim::next_claim(Some(&seen), "vm-1", 500, 600);
-    assert_eq!(step, ClaimStep::LeaveUntil { at_us: 500 + HOLDER_GRACE_US });
+    assert_eq!(step, ClaimStep::WaitUntil { at_us: 500 + HOLDER_GRACE_US });
     let step = takeover_claim::next_claim(Some(&seen), "vm-1", 500, 500 + HOLDER_GRACE_US);
     assert_eq!(step, ClaimStep::Write { token: 8 });
 }
@@ -47,7 +47,7 @@
 fn a_driver_at_work_is_disturbed_only_once_it_counts_as_gone() {
     let seen = seen("vm-2", ClaimState::Moving, 1_000);
     let step = takeover_claim::next_claim(Some(&seen), "vm-1", 0, 2_000);
-    assert_eq!(step, ClaimStep::LeaveUntil { at_us: 1_000 + DRIVER_SILENCE_US });
+    assert_eq!(step, ClaimStep::WaitUntil { at_us: 1_000 + DRIVER_SILENCE_US });
 }
 
 fn held(unsettled: bool, unsettled_since_us: u64) -> HeldClaim {
@@ -61,12 +61,12 @@
 #[test]
 fn a_holder_calls_only_while_nobody_can_have_taken_its_claim() {
     let held = held(false, 0);
-    assert!(held.may_call(LEASE_US - PROMOTE_CALL_US));
-    assert!(!held.may_call(LEASE_US - PROMOTE_CALL_US + 1));
+    assert!(held.may_send_promote(LEASE_US - PROMOTE_CALL_US));
+    assert!(!held.may_send_promote(LEASE_US - PROMOTE_CALL_US + 1));
     let claim = SeenClaim { claim: held.claim.clone(), revision: 40, seen_us: 0 };
     for now_us in 0..=LEASE_US {
         let step = takeover_claim::next_claim(Some(&claim), "vm-2", 0, now_us);
-        assert!(matches!(step, ClaimStep::LeaveUntil { .. }));
+        assert!(matches!(step, ClaimStep::WaitUntil { .. }));
     }
 }
 
@@ -75,7 +75,7 @@
     let held = held(false, 0);
     assert!(!held.must_renew(RENEW_US - 1));
     assert!(held.must_renew(RENEW_US));
-    assert!(held.may_call(RENEW_US));
+    assert!(held.may_send_promote(RENEW_US));
 }
 
 /// A call without an answer is carried out seconds later, after another target was promoted: that one
--- a/crates/proxy/src/connection/pool.rs
+++ b/crates/proxy/src/connection/pool.rs
@@ -268,7 +268,7 @@
     /// Takes back an idle connection.
     pub(super) fn put_back(self: &Arc<Self>, connection: L) {
         let mut state = self.state.lock();
-        state.budget.gave_back();
+        state.budget.returned();
         self.hand_over(state, connection);
     }
 
--- a/crates/proxy/src/process/control/align.rs
+++ b/crates/proxy/src/process/control/align.rs
@@ -299,7 +299,7 @@
                 let standing = self.membership.target_standing(target, now_us);
                 let kept_out = matches!(
                     standing,
-                    membership::Standing::ListedLeaving | membership::Standing::SaidLeaving
+                    membership::Standing::ListedLeaving | membership::Standing::ReportedLeaving
                 );
                 group.keep_out(now_us, place, &target.name, kept_out);
             }
--- a/crates/proxy/src/process/control/drive.rs
+++ b/crates/proxy/src/process/control/drive.rs
@@ -191,7 +191,7 @@
         tokio::spawn(async move {
             let put = store.put(ObjectKind::Lead, &group, expected_version, body);
             let answer = match time::timeout(LEAD_CALL, put).await {
-                Ok(Ok(answer)) => failover::PlatformAnswer::Took { version: answer.version },
+                Ok(Ok(answer)) => failover::PlatformAnswer::Updated { version: answer.version },
                 Ok(Err(StoreError::Conflict { .. })) => failover::PlatformAnswer::Conflict,
                 Ok(Err(_)) | Err(_) => failover::PlatformAnswer::NoAnswer,
             };
--- a/crates/proxy/src/process/decisions.rs
+++ b/crates/proxy/src/process/decisions.rs
@@ -161,7 +161,7 @@
 fn step_words(step: failover::Step) -> &'static str {
     match step {
         failover::Step::Started(_) => "started",
-        failover::Step::Canvassed => "a majority answers",
+        failover::Step::QuorumReached => "a majority answers",
         failover::Step::Claimed => "claimed",
         failover::Step::ClaimSkipped => "going on without the platform",
         failover::Step::Held => "writes are held back",
@@ -176,12 +176,12 @@
 fn step_reason(step: failover::Step) -> &'static str {
     match step {
         failover::Step::Started(failover::Cause::Suspected) => "the primary is taken to be gone",
-        failover::Step::Started(failover::Cause::Unled) => "no member is known to lead",
-        failover::Step::Started(failover::Cause::RaisedBeyond) => {
+        failover::Step::Started(failover::Cause::NoLeader) => "no member is known to lead",
+        failover::Step::Started(failover::Cause::HigherTerm) => {
             "a member promised itself to a higher term than the primary's"
         }
         failover::Step::Started(failover::Cause::Wanted) => "an operator asked for it",
-        failover::Step::Canvassed => "the change can succeed",
+        failover::Step::QuorumReached => "the change can succeed",
         failover::Step::Claimed => "the platform's record names this process as the driver",
         failover::Step::ClaimSkipped => "the platform did not answer; the members' votes decide",
         failover::Step::Held => "the wanted member is to become level with the primary",
--- a/crates/proxy/src/sessions/process/asking.rs
+++ b/crates/proxy/src/sessions/process/asking.rs
@@ -9,8 +9,8 @@
 
 use skylark_core::process::jitter;
 use skylark_core::process::store_calls;
-use skylark_core::process::store_calls::Standing;
-use skylark_core::process::store_calls::StoreNews;
+use skylark_core::process::store_calls::StoreAccess;
+use skylark_core::process::store_calls::StoreStatus;
 use tokio::sync::Mutex;
 use tokio::sync::watch;
 use tokio::time;
@@ -29,7 +29,7 @@
     /// Whether this process asks for itself and others.
     asks: bool,
     /// What the one that tells this process says of the store.
-    told: Option<StoreNews>,
+    told: Option<StoreStatus>,
     /// Since when nobody tells what the store says.
     untold_since_us: u64,
     /// Whether the store did not answer this process's last probe.
@@ -39,16 +39,16 @@
 }
 
 impl State {
-    fn standing(&self) -> Standing {
-        store_calls::standing(self.asks, self.told)
+    fn standing(&self) -> StoreAccess {
+        store_calls::store_access(self.asks, self.told)
     }
 
     fn is_told(&self) -> bool {
-        self.standing() == Standing::Told
+        self.standing() == StoreAccess::ViaPeer
     }
 
     fn may_answer(&self) -> bool {
-        !self.is_away && self.told != Some(StoreNews::Away)
+        !self.is_away && self.told != Some(StoreStatus::Unavailable)
     }
 }
 
@@ -88,7 +88,7 @@
     }
 
     /// How this process comes by what the store says.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> StoreAccess {
         self.state.borrow().standing()
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Takes in what the one that tells this process says of the store; none if nobody tells it.
-    pub fn set_told(&self, told: Option<StoreNews>) {
+    pub fn set_told(&self, told: Option<StoreStatus>) {
         self.change(|state| (state.told, state.is_late) = (told, false));
     }
 
@@ -141,16 +141,16 @@
         loop {
             let state = *states.borrow_and_update();
             let standing = state.standing();
-            if standing == Standing::Told {
+            if standing == StoreAccess::ViaPeer {
                 was_told = true;
                 // The sender lives as long as this.
                 let _ = states.changed().await;
                 continue;
             }
-            if standing == Standing::Asks || state.is_late {
+            if standing == StoreAccess::Direct || state.is_late {
                 return was_told;
             }
-            let patience_us = store_calls::patience_us(standing, state.vms, self.seed);
+            let patience_us = store_calls::direct_call_delay_us(standing, state.vms, self.seed);
             let left_us = (state.untold_since_us + patience_us).saturating_sub(self.clock.now_us());
             if left_us > 0 {
                 let _ = time::timeout(Duration::from_micros(left_us), states.changed()).await;
--- a/crates/proxy/src/sessions/process/claims.rs
+++ b/crates/proxy/src/sessions/process/claims.rs
@@ -104,7 +104,7 @@
                         return Some(held);
                     }
                 }
-                ClaimStep::LeaveUntil { at_us } => {
+                ClaimStep::WaitUntil { at_us } => {
                     let wait = Duration::from_micros(at_us.saturating_sub(now_us).max(1));
                     time::sleep(wait.min(LOOK_AGAIN)).await;
                 }
--- a/crates/proxy/src/sessions/process/cluster_state.rs
+++ b/crates/proxy/src/sessions/process/cluster_state.rs
@@ -33,7 +33,7 @@
     fn list(&mut self, member: Member, now_us: u64) {
         let id = Arc::clone(&member.record.id);
         self.lapsed.remove(&id);
-        self.departures_of(&member.record.service, now_us).returned(&id);
+        self.departures_of(&member.record.service, now_us).member_returned(&id);
         self.targets.insert(id, member);
     }
 
@@ -44,7 +44,7 @@
         now_us: u64,
     ) -> &mut Departures<Arc<TargetRecord>> {
         let departures = self.departures.entry(Arc::clone(service));
-        departures.or_insert_with(|| Departures::known_since(now_us))
+        departures.or_insert_with(|| Departures::started_at(now_us))
     }
 }
 
@@ -197,7 +197,7 @@
             "leaving" => member.record.leaving);
         let now_us = self.gateway.clock.now_us();
         let departures = known.departures_of(&member.record.service, now_us);
-        departures.left(&member.record.id, Arc::clone(&member.record), now_us);
+        departures.member_left(&member.record.id, Arc::clone(&member.record), now_us);
     }
 
     fn log_member(&self, member: &Member) {
--- a/crates/proxy/src/sessions/process/departed.rs
+++ b/crates/proxy/src/sessions/process/departed.rs
@@ -40,12 +40,12 @@
         let mut known = self.known.lock();
         for (service, departures) in &mut known.departures {
             // Each service has an entry, and most have nothing to settle once the start is over.
-            if departures.is_at_rest() {
+            if departures.is_settled() {
                 continue;
             }
             let state = self.gateway.service(service);
             let positions = state.positions.lock();
-            departures.settle(|left_us| positions.covering(left_us), now_us);
+            departures.update_floors(|left_us| positions.covering(left_us), now_us);
             state.set_departed(departures);
         }
     }
@@ -65,7 +65,7 @@
         let Some(departures) = known.departures.get(service) else {
             return DepartedMembers::default();
         };
-        let needed = departures.needed().filter(|(id, _)| Some(*id) != primary);
+        let needed = departures.required().filter(|(id, _)| Some(*id) != primary);
         let (lost, away): (Vec<_>, Vec<_>) =
             needed.map(|(_, record)| Arc::clone(record)).partition(|it| known.lists(&it.name));
         DepartedMembers { away, lost: lost.len(), floor: departures.floor() }
--- a/crates/proxy/src/sessions/process/feed/listen.rs
+++ b/crates/proxy/src/sessions/process/feed/listen.rs
@@ -8,8 +8,8 @@
 use bytes::BytesMut;
 use skylark_core::process::jitter;
 use skylark_core::process::store_calls;
-use skylark_core::process::store_calls::Standing;
-use skylark_core::process::store_calls::StoreNews;
+use skylark_core::process::store_calls::StoreAccess;
+use skylark_core::process::store_calls::StoreStatus;
 use tokio::net::TcpStream;
 use tokio::time;
 use tokio::time::Instant;
@@ -119,8 +119,10 @@
     let mut pause = FIRST_PAUSE;
     loop {
         let was_told = match gateway.asking.standing() {
-            Standing::Asks => ask_for_help(&watcher).await,
-            Standing::Told | Standing::ToldAway | Standing::Alone => ask_watchers(&watcher).await,
+            StoreAccess::Direct => ask_for_help(&watcher).await,
+            StoreAccess::ViaPeer | StoreAccess::ViaPeerUnavailable | StoreAccess::NoPeer => {
+                ask_watchers(&watcher).await
+            }
         };
         pause = if was_told { FIRST_PAUSE } else { (pause * 2).min(LAST_PAUSE) };
         time::sleep(pause).await;
@@ -138,7 +140,7 @@
     let (mut was_told, mut is_reached) = (false, false);
     for vm in in_turn(gateway, gateway.watchers(), usize::MAX) {
         let heard = hear_until_the_end(watcher, &vm, Teller::Watcher).await;
-        was_told |= heard == Some(Standing::Told);
+        was_told |= heard == Some(StoreAccess::ViaPeer);
         is_reached |= heard.is_some();
     }
     if was_told {
@@ -148,7 +150,7 @@
     let count = if is_reached { 1 } else { FAR_ASKED };
     for vm in in_turn(gateway, gateway.far_watchers(), count) {
         let heard = hear_until_the_end(watcher, &vm, Teller::FarWatcher).await;
-        was_told |= heard == Some(Standing::Told);
+        was_told |= heard == Some(StoreAccess::ViaPeer);
         is_reached |= heard.is_some();
     }
     if !is_reached {
@@ -170,7 +172,7 @@
     let mut was_told = false;
     for vm in in_turn(gateway, gateway.helpers(), HELPERS_ASKED) {
         let heard = hear_until_the_end(watcher, &vm, Teller::Helper).await;
-        was_told |= heard == Some(Standing::Told);
+        was_told |= heard == Some(StoreAccess::ViaPeer);
     }
     was_told
 }
@@ -197,7 +199,7 @@
     watcher: &Watcher<C, S>,
     vm: &VmAddress,
     teller: Teller,
-) -> Option<Standing>
+) -> Option<StoreAccess>
 where
     C: Codec,
     S: StateStore,
@@ -240,7 +242,7 @@
     /// What came and is no whole message yet.
     input: BytesMut,
     /// Whether it told anything, and whether it ever could.
-    heard: Option<Standing>,
+    heard: Option<StoreAccess>,
     /// The list of VMs as it tells it.
     vms: Arc<VmList>,
     /// The list of targets as it tells it.
@@ -353,7 +355,7 @@
         let is_current = self.announced.is_some_and(|version| version <= self.watcher.version());
         if is_current && self.away_since.is_none() {
             self.late_at = None;
-            self.tells(StoreNews::Answers);
+            self.tells(StoreStatus::Answers);
         }
         Ok(())
     }
@@ -363,18 +365,18 @@
     fn store_is_away(&mut self) -> Result<(), End> {
         let away_since = *self.away_since.get_or_insert_with(Instant::now);
         (self.announced, self.late_at) = (None, None);
-        self.tells(StoreNews::Away);
+        self.tells(StoreStatus::Unavailable);
         match self.teller == Teller::Helper || away_since.elapsed() >= AWAY_LIMIT {
             true => Err(End::CantTell),
             false => Ok(()),
         }
     }
 
-    fn tells(&mut self, news: StoreNews) {
+    fn tells(&mut self, news: StoreStatus) {
         let told = Told { news, is_settled: self.is_settled };
         self.watcher.set_told(Some(told));
-        let standing = store_calls::standing(false, Some(news));
-        if self.heard != Some(Standing::Told) {
+        let standing = store_calls::store_access(false, Some(news));
+        if self.heard != Some(StoreAccess::ViaPeer) {
             self.heard = Some(standing);
         }
     }
--- a/crates/proxy/src/sessions/process/feed/outbox.rs
+++ b/crates/proxy/src/sessions/process/feed/outbox.rs
@@ -4,7 +4,7 @@
 
 use parking_lot::Mutex;
 use skylark_core::FastMap;
-use skylark_core::process::store_calls::StoreNews;
+use skylark_core::process::store_calls::StoreStatus;
 use skylark_core::version::route_changes::RecentVersions;
 use skylark_core::version::route_changes::RoutesSince;
 use skylark_core::version::routes::RouteTable;
@@ -43,7 +43,7 @@
     /// The targets; empty while there are none.
     pub targets: Arc<TargetList>,
     /// What there is to say of the store.
-    pub news: StoreNews,
+    pub news: StoreStatus,
     /// Whether a target that is not listed is gone.
     pub is_settled: bool,
     /// Whether this zone is cut off from the others.
@@ -58,7 +58,7 @@
             number: 0,
             version: 0,
             targets: Arc::default(),
-            news: StoreNews::Away,
+            news: StoreStatus::Unavailable,
             is_settled: false,
             zone_is_cut: false,
             vms: Arc::default(),
@@ -71,9 +71,9 @@
     pub(super) fn sign_of_life(&self) -> Message {
         let Bulletin { version, news, is_settled, zone_is_cut, .. } = *self;
         let (store_answers, relayed) = match news {
-            StoreNews::Answers => (true, false),
-            StoreNews::Relayed => (true, true),
-            StoreNews::Away => (false, false),
+            StoreStatus::Answers => (true, false),
+            StoreStatus::Relayed => (true, true),
+            StoreStatus::Unavailable => (false, false),
         };
         Message::Alive { version, store_answers, relayed, is_settled, zone_is_cut }
     }
--- a/crates/proxy/src/sessions/process/fleet.rs
+++ b/crates/proxy/src/sessions/process/fleet.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 
 use skylark_core::process::connection_plan::Demand;
-use skylark_core::process::store_calls::Standing;
+use skylark_core::process::store_calls::StoreAccess;
 use skylark_core::version::organisations::Organisations;
 
 use crate::process::counters::Event;
@@ -102,7 +102,7 @@
 
     /// Whether another VM tells this one what the store says.
     pub fn is_told(&self) -> bool {
-        self.asking.standing() == Standing::Told
+        self.asking.standing() == StoreAccess::ViaPeer
     }
 
     /// The VMs that can tell this one when the store turns it away.
--- a/crates/proxy/src/sessions/process/gateway.rs
+++ b/crates/proxy/src/sessions/process/gateway.rs
@@ -12,7 +12,7 @@
 use parking_lot::RwLock;
 use skylark_core::FastMap;
 use skylark_core::FastSet;
-use skylark_core::process::isolation::ZoneReach;
+use skylark_core::process::isolation::ZoneReachability;
 use skylark_core::request::error_kind::ErrorKind;
 use skylark_core::version::organisations::KeyDigest;
 use skylark_core::version::routes::Route;
@@ -77,7 +77,7 @@
     /// Whether this process asks the store by itself.
     pub asking: Asking,
     /// What this process hears of other availability zones, if it watches for its own.
-    pub zone_reach: Mutex<ZoneReach>,
+    pub zone_reach: Mutex<ZoneReachability>,
     /// Until when this process's zone counts as cut off, in microseconds; zero if it does not.
     pub(super) zone_cut_until_us: AtomicU64,
     /// Whether this process may be given new callers, as far as the control thread knows.
--- a/crates/proxy/src/sessions/process/limits.rs
+++ b/crates/proxy/src/sessions/process/limits.rs
@@ -107,25 +107,25 @@
 /// ahead of need.
 pub const CONNECTION_POLICY: BudgetPolicy = BudgetPolicy {
     spare: 0,
-    need_window_us: 2_500_000,
+    demand_window_us: 2_500_000,
     backoff_us: 40_000,
     max_backoff_us: 400_000,
     // All processes that start at once, or that find a new primary, open connections at the same
     // target: more than a few at a time would pass its limit, and each try occupies a slot.
-    tries_per_second: 15,
+    attempts_per_second: 15,
     burst: 1,
-    overshoot_us: 300_000,
+    pool_cap_us: 300_000,
 };
 
 /// The same where connections serve one organisation each. A statement of an organisation without one waits for
 /// its connection to be opened, so several are opened at a time; idle ones stay until others need their room.
 pub const ORGANISATIONS_POLICY: BudgetPolicy =
-    BudgetPolicy { tries_per_second: 60, burst: 6, ..CONNECTION_POLICY };
+    BudgetPolicy { attempts_per_second: 60, burst: 6, ..CONNECTION_POLICY };
 
 /// The same for connections to other proxies, of which there is one pool for each home of each target. They cost
 /// targets nothing, and opening one delays a statement by two round trips.
 pub const ORGANISATIONS_PEER_POLICY: BudgetPolicy =
-    BudgetPolicy { need_window_us: 30_000_000, burst: 4, ..CONNECTION_POLICY };
+    BudgetPolicy { demand_window_us: 30_000_000, burst: 4, ..CONNECTION_POLICY };
 
 /// How long the balancer may go on sending new callers after the process stopped being ready: two of its probes.
 pub const BALANCER_NOTICES: Duration = Duration::from_millis(2_300);
--- a/crates/proxy/src/sessions/process/peer_routes.rs
+++ b/crates/proxy/src/sessions/process/peer_routes.rs
@@ -233,8 +233,8 @@
     {
         let Some(since_us) = target.health().path_failed_since_us else { return false };
         let without_way_us = now_us.saturating_sub(since_us);
-        let may_connect = connection_plan::may_connect(homes.fallbacks, without_way_us);
-        if homes.rank >= may_connect {
+        let fallback_count = connection_plan::fallback_count(homes.fallbacks, without_way_us);
+        if homes.rank >= fallback_count {
             return false;
         }
         self.set_fallback(target, now_us);
--- a/crates/proxy/src/sessions/process/services.rs
+++ b/crates/proxy/src/sessions/process/services.rs
@@ -60,8 +60,8 @@
 
     /// What is known of members that left.
     pub fn set_departed<R>(&self, departures: &Departures<R>) {
-        self.departed.store(departures.needed().count(), Ordering::Relaxed);
-        self.past_is_known.store(departures.past_is_known(), Ordering::Relaxed);
+        self.departed.store(departures.required().count(), Ordering::Relaxed);
+        self.past_is_known.store(departures.start_floor_known(), Ordering::Relaxed);
     }
 
     /// How many members left without whom nothing can be promoted yet.
--- a/crates/proxy/src/sessions/process/takeover/drive.rs
+++ b/crates/proxy/src/sessions/process/takeover/drive.rs
@@ -49,7 +49,7 @@
     /// stepped down, and a promotion that may come late must find the replicas paused.
     pub(super) fn must_go_on(&self, now_us: u64) -> bool {
         let limit_us = self.began_us + DRIVE_LIMIT_US + LATE_EFFECT_US;
-        now_us < limit_us && (self.stepped_down || self.claim.may_come_late(now_us))
+        now_us < limit_us && (self.stepped_down || self.claim.may_take_effect_late(now_us))
     }
 
     /// Whether the old primary has to step down before another is promoted. Where commits are stuck nothing
--- a/crates/proxy/src/sessions/process/takeover/mod.rs
+++ b/crates/proxy/src/sessions/process/takeover/mod.rs
@@ -142,8 +142,8 @@
         }
         // A replica that received again could acknowledge with the old primary what a promotion that
         // comes late would lose.
-        let may_come_late = claim.claim.unsettled && outcome != Outcome::Promoted;
-        if outcome != Outcome::ClaimLost && !may_come_late {
+        let may_take_effect_late = claim.claim.unsettled && outcome != Outcome::Promoted;
+        if outcome != Outcome::ClaimLost && !may_take_effect_late {
             self.resume_all(&service, &back).await;
         }
         let settled = outcome != Outcome::ClaimLost && self.claims.settle(&service, claim).await;
--- a/crates/proxy/src/sessions/process/takeover/promote.rs
+++ b/crates/proxy/src/sessions/process/takeover/promote.rs
@@ -55,7 +55,7 @@
             return None;
         }
         // A call with this claim's token settles earlier ones where tokens are checked.
-        let may_come_late = !checks_tokens && drive.claim.may_come_late(now_us);
+        let may_take_effect_late = !checks_tokens && drive.claim.may_take_effect_late(now_us);
         let choose = |claim: &mut Claim| {
             claim.chosen = target.id.to_string();
             claim.unsettled = true;
@@ -64,14 +64,14 @@
             return Some(Outcome::ClaimLost);
         }
         let (token, vm, held) = (drive.claim.claim.token, &self.gateway.vm, &drive.claim);
-        let may_send = || held.may_call(self.gateway.clock.now_us());
+        let may_send = || held.may_send_promote(self.gateway.clock.now_us());
         let result = self.promoter.promote(&drive.service, target, vm, token, may_send).await;
         slog::warn!(self.gateway.log, "promote";
             "service" => &*drive.service, "target" => &*target.id, "token" => token,
             "result" => result.as_ref().map_or_else(ToString::to_string, |()| "accepted".into()));
         match result {
             Ok(()) => {
-                drive.claim.claim.unsettled = may_come_late;
+                drive.claim.claim.unsettled = may_take_effect_late;
                 self.await_effect(&drive.service, &target.id).await;
                 Some(Outcome::Promoted)
             }
@@ -80,11 +80,11 @@
                 self.settle_call(drive, checks_tokens).await
             }
             Err(PromoteError::Refused) => {
-                drive.claim.claim.unsettled = may_come_late;
+                drive.claim.claim.unsettled = may_take_effect_late;
                 self.settle_call(drive, checks_tokens).await
             }
             Err(PromoteError::Overloaded | PromoteError::NotSent) => {
-                drive.claim.claim.unsettled = may_come_late;
+                drive.claim.claim.unsettled = may_take_effect_late;
                 time::sleep(RETRY_PAUSE).await;
                 None
             }
--- a/crates/proxy/src/sessions/process/takeover/steps.rs
+++ b/crates/proxy/src/sessions/process/takeover/steps.rs
@@ -74,7 +74,7 @@
             return Some(Outcome::NotNeeded);
         }
         let chosen = &drive.claim.claim.chosen;
-        if drive.claim.may_come_late(now_us) && self.leads(&drive.service, chosen) {
+        if drive.claim.may_take_effect_late(now_us) && self.leads(&drive.service, chosen) {
             return Some(Outcome::Promoted);
         }
         if drive.claim.must_renew(now_us) && !self.change_claim(drive, |_| ()).await {
--- a/crates/proxy/src/sessions/process/vms.rs
+++ b/crates/proxy/src/sessions/process/vms.rs
@@ -8,7 +8,7 @@
 
 use skylark_core::process::jitter;
 use skylark_core::process::store_calls;
-use skylark_core::process::store_calls::Standing;
+use skylark_core::process::store_calls::StoreAccess;
 use tokio::time;
 
 use crate::sessions::codec::Codec;
@@ -114,7 +114,7 @@
         self.failures += 1;
         let (vms, seed) = (gateway.vm_count(), jitter::seed_of(&gateway.vm));
         // No other VM has a use for this call's answer.
-        let pause_us = store_calls::retry_pause_us(Standing::Alone, vms, self.failures, seed);
+        let pause_us = store_calls::retry_pause_us(StoreAccess::NoPeer, vms, self.failures, seed);
         time::sleep(Duration::from_micros(pause_us)).await;
     }
 
--- a/crates/proxy/src/sessions/process/watch.rs
+++ b/crates/proxy/src/sessions/process/watch.rs
@@ -13,8 +13,8 @@
 use skylark_core::FastSet;
 use skylark_core::process::departures::Departures;
 use skylark_core::process::store_calls;
-use skylark_core::process::store_calls::Standing;
-use skylark_core::process::store_calls::StoreNews;
+use skylark_core::process::store_calls::StoreAccess;
+use skylark_core::process::store_calls::StoreStatus;
 use skylark_core::version::routes::RouteTable;
 use skylark_core::version::routes::TargetRecord;
 use tokio::time;
@@ -113,7 +113,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Told {
     /// What it says of the store.
-    pub news: StoreNews,
+    pub news: StoreStatus,
     /// Whether a target that is not listed is gone.
     pub is_settled: bool,
 }
@@ -184,23 +184,23 @@
         if known.health.answers_targets() {
             return self.gateway.clock.now_us() >= known.store_back_us + LAPSED_BACK_US;
         }
-        let told = known.told.filter(|told| told.news != StoreNews::Away);
+        let told = known.told.filter(|told| told.news != StoreStatus::Unavailable);
         told.is_some_and(|told| told.is_settled)
     }
 
     /// What this process tells others of the store. One that another one tells has nothing of its own, but
     /// for what it asks in the place of others.
-    pub(super) fn news(&self, known: &ClusterState) -> StoreNews {
-        let asks = self.gateway.asking.standing() == Standing::Asks;
+    pub(super) fn news(&self, known: &ClusterState) -> StoreStatus {
+        let asks = self.gateway.asking.standing() == StoreAccess::Direct;
         let helper = known.told.filter(|_| asks).map(|told| told.news);
-        store_calls::news(known.health.answers(), helper)
+        store_calls::status_for_peers(known.health.answers(), helper)
     }
 
     /// Takes in what another process tells this one; none if nobody does any more.
     pub fn set_told(&self, told: Option<Told>) {
         let mut known = self.known.lock();
         known.told = told;
-        known.was_away |= told.is_some_and(|told| told.news == StoreNews::Away);
+        known.was_away |= told.is_some_and(|told| told.news == StoreStatus::Unavailable);
         drop(known);
         self.gateway.asking.set_told(told.map(|told| told.news));
     }
--- a/crates/proxy/tests/pool_users.rs
+++ b/crates/proxy/tests/pool_users.rs
@@ -97,7 +97,7 @@
 fn pool(share: u32) -> (Arc<Target>, Arc<Pool<FakeLink>>) {
     let target = Arc::new(Target::default());
     let policy =
-        BudgetPolicy { spare: 0, tries_per_second: 1_000, burst: 16, ..BudgetPolicy::default() };
+        BudgetPolicy { spare: 0, attempts_per_second: 1_000, burst: 16, ..BudgetPolicy::default() };
     let options = PoolOptions {
         address: "127.0.0.1:1".to_owned(),
         login: Arc::clone(&target),
--- a/crates/spec/src/acknowledgement/views.rs
+++ b/crates/spec/src/acknowledgement/views.rs
@@ -38,10 +38,10 @@
             let version = number as u64 + 1;
             let previous = views.settled.last();
             let changed = previous.and_then(|set| set.successor(version, names(members)).ok());
-            let is_new = |name: &&String| previous.is_some_and(|set| set.place(name).is_none());
+            let is_new = |name: &&String| previous.is_some_and(|set| set.index_of(name).is_none());
             let added = changed.as_ref().and_then(|set| {
                 let name = set.names().iter().find(is_new)?;
-                set.place(name)
+                set.index_of(name)
             });
             let joint = changed
                 .unwrap_or_else(|| MemberSet::new(version, names(members)).expect("a small set"));
