--- a/crates/core/src/process/accounted.rs
+++ b/crates/core/src/process/accounted.rs
@@ -1,21 +1,23 @@
-//! Which positions of one term's log a holder can account for.
+//! The set of log indexes of one term whose records a holder of session floors knows.
 //!
-//! Positions up to a beginning are not accounted for; above it, disjoint ranges are. The state is
-//! as small as the gaps are few: in the ordinary case one range follows the beginning.
+//! A record is accounted for if the holder knows which session wrote it, or that no session did. No
+//! index at or below the start is accounted for; above it, the set is stored as disjoint,
+//! non-adjacent ranges. The size of the state follows the number of gaps; without gaps there is a
+//! single range above the start.
 
 use std::collections::BTreeMap;
 use std::mem;
 
-/// The indexes that are accounted for.
+/// A set of accounted log indexes above a start index.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
 pub(super) struct Accounted {
     start: u64,
-    /// First index → last index. Ranges don't touch each other.
+    /// Maps the first index of each range to its last. Ranges are disjoint and not adjacent.
     ranges: BTreeMap<u64, u64>,
 }
 
 impl Accounted {
-    /// Nothing is accounted for up to `beginning`.
+    /// Creates an empty set: no index up to `start` is accounted for.
     pub(super) fn new(start: u64) -> Accounted {
         Accounted { start, ranges: BTreeMap::new() }
     }
@@ -28,7 +30,7 @@
         self.ranges.len()
     }
 
-    /// Accounts for one index.
+    /// Adds one index. Indexes at or below the start are ignored.
     pub(super) fn insert(&mut self, index: u64) {
         if index <= self.start {
             return;
@@ -43,8 +45,8 @@
         self.ranges.insert(first, last);
     }
 
-    /// The highest index at or below `end` that is not accounted for, but never less than the
-    /// beginning.
+    /// Returns the highest index at or below `end` that is not accounted for, but at least the
+    /// start.
     pub(super) fn highest_gap(&self, end: u64) -> u64 {
         if end <= self.start {
             return self.start;
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Moves the beginning up: what is at or below need not be told apart any more.
+    /// Raises the start to `index` and drops the ranges, or parts of them, at or below it.
     pub(super) fn drop_up_to(&mut self, index: u64) {
         if index <= self.start {
             return;
@@ -70,15 +72,15 @@
         }
     }
 
-    /// Forgets the lower half of the ranges.
+    /// Drops the lower half of the ranges by raising the start.
     pub(super) fn drop_lower_half(&mut self) {
         if let Some((&first, _)) = self.ranges.iter().nth(self.ranges.len() / 2) {
             self.drop_up_to(first - 1);
         }
     }
 
-    /// The first indexes of ranges that are empty, reach below the beginning, or touch the range
-    /// before.
+    /// Returns the first indexes of ranges that are empty, reach below the start, or touch the
+    /// range before them.
     pub(super) fn invalid_ranges(&self) -> Vec<u64> {
         let mut bad = Vec::new();
         let mut below = self.start;
--- a/crates/core/src/process/acknowledgement.rs
+++ b/crates/core/src/process/acknowledgement.rs
@@ -1,19 +1,20 @@
-//! Which writes of a group may be acknowledged: those that a quorum confirmed in their own term.
+//! Tracks which writes of a group may be acknowledged: those that a quorum confirmed in their own
+//! term.
 //!
 //! A report that [confirms](MemberStatus::confirms) a position states a fact about the past: this
-//! member held the record at a time when it had promised itself to no later term. Facts do not
-//! expire, so reports may come late, repeated or in any order; the tracker keeps the highest fact of
-//! each member and never takes one back.
+//! member held the record at a time when it had promised itself to no later term. Such facts do not
+//! expire, so reports may arrive late, repeated or in any order; the tracker keeps the highest
+//! confirmed position of each member and never lowers it.
 //!
 //! Invariant: an acknowledged position `p` of term `T` is in the log of every later primary. The
-//! quorum that confirmed `p` and the quorum that a driver raises to `T' > T` share a member. It
-//! confirmed `p` before it was raised, since a raised member reports the new term. From then on it
-//! takes no record of `T`, so its log at the fence still holds `p`, and the driver promotes the
-//! highest log of the fence. A log of the same term that is at least as long holds `p`; a log whose
-//! last entry is of a term between was written by a primary that holds `p`, by induction. Only
-//! confirmations in the position's own term count: a record of an older term can be on a majority
-//! and still be overwritten by a primary that never had it (the commitment rule of Raft, Ongaro
-//! and Ousterhout 2014, section 5.4.2).
+//! quorum that confirmed `p` and the quorum that a driver raises to `T' > T` share a member. That
+//! member confirmed `p` before it was raised, since a raised member reports the new term. After it
+//! was raised it accepts no record of `T`, so its log at the time of the fence still holds `p`, and
+//! the driver promotes the highest log of the fenced quorum. A log of the same term that is at
+//! least as long holds `p`; a log whose last entry is of a term in between was written by a primary
+//! that holds `p`, by induction. Only confirmations in the position's own term count: a record of
+//! an older term can be on a majority and still be overwritten by a primary that never had it (the
+//! commitment rule of Raft, Ongaro and Ousterhout 2014, section 5.4.2).
 
 use crate::log_position::LogPosition;
 use crate::log_position::Term;
@@ -22,13 +23,12 @@
 use crate::process::member_set::MemberMask;
 use crate::process::member_set::MemberSet;
 
-/// Bounds after which a silent or standing member counts as unable to confirm.
+/// Time limits after which a silent or lagging member counts as unable to confirm writes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct StallSettings {
-    /// The longest time between two reports of a member that answers, in microseconds.
+    /// The longest time between two reports of a responsive member, in microseconds.
     pub silence_us: u64,
-    /// The longest time that a member may stand behind the primary without coming closer, in
-    /// microseconds.
+    /// The longest time that a member may lag behind the primary without progress, in microseconds.
     pub no_progress_us: u64,
 }
 
@@ -38,20 +38,20 @@
     }
 }
 
-/// What is known of one member.
+/// The state tracked for one member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 struct MemberTrack {
-    /// The highest position that the member ever confirmed in the position's own term.
+    /// The highest position that the member has confirmed in the position's own term.
     confirmed: Option<LogPosition>,
-    /// The latest report, by the order of arrival within the highest term seen.
+    /// The latest report to arrive among those of the highest raised term.
     latest: Option<MemberStatus>,
-    /// When the latest report arrived.
+    /// The time at which the latest report arrived.
     reported_us: u64,
-    /// Since when the member has stood behind the primary without coming closer.
+    /// The time since which the member has lagged behind the primary without progress.
     behind_since_us: Option<u64>,
 }
 
-/// What a member set's reports prove about a group's log.
+/// The confirmation tracker of one group's log.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct Acknowledgement {
     members: MemberSet,
@@ -61,21 +61,21 @@
 }
 
 impl Acknowledgement {
-    /// A tracker that has no reports yet.
+    /// Creates a tracker without reports.
     pub fn new(members: MemberSet, settings: StallSettings) -> Acknowledgement {
         let tracks = vec![MemberTrack::default(); members.count()];
         Acknowledgement { members, settings, tracks, confirmed: LogPosition::default() }
     }
 
-    /// The member set.
+    /// Returns the member set whose quorums confirm positions.
     pub fn members(&self) -> &MemberSet {
         &self.members
     }
 
-    /// Takes in a report of one member. Returns the highest confirmed position if it grew.
+    /// Records a report of one member. Returns the highest confirmed position if it grew.
     ///
     /// Reports of members beyond the set, which a changed configuration can leave behind, prove
-    /// nothing and are dropped.
+    /// nothing and are ignored.
     pub fn report(
         &mut self,
         now_us: u64,
@@ -97,21 +97,21 @@
         self.advance(status.log.term)
     }
 
-    /// The highest position that a quorum confirmed in the position's own term. Every write of the
-    /// same term at or below it may be acknowledged; a write of an older term may not.
+    /// Returns the highest position that a quorum confirmed in the position's own term. Every write
+    /// of the same term at or below it may be acknowledged; a write of an older term may not.
     pub fn confirmed(&self) -> LogPosition {
         self.confirmed
     }
 
-    /// The latest report of a member, with its time of arrival.
+    /// Returns the latest report of a member and the time at which it arrived.
     pub fn latest(&self, member: usize) -> Option<(u64, &MemberStatus)> {
         let track = self.tracks.get(member)?;
         let status = track.latest.as_ref()?;
         Some((track.reported_us, status))
     }
 
-    /// Whether writes at `primary` in `term` would now wait for confirmations that can't come, so
-    /// that they are better refused before they run.
+    /// Returns whether a write at `primary` in `term` would wait for confirmations that can't come.
+    /// Such writes are better refused before they run.
     pub fn stalled(&self, now_us: u64, primary: usize, term: Term) -> bool {
         let primary_leads = self.is_responsive(now_us, primary, term)
             && self.latest(primary).is_some_and(|(_, status)| status.role == Role::Primary);
@@ -122,7 +122,8 @@
         !primary_leads || !self.members.is_quorum(responsive)
     }
 
-    /// Replaces the member set; what is known of members in both is kept.
+    /// Replaces the member set. The state of members that are in both sets is kept. Returns the
+    /// highest confirmed position if it grew.
     pub fn change_members(&mut self, members: MemberSet) -> Option<LogPosition> {
         let mut tracks = vec![MemberTrack::default(); members.count()];
         for (old_index, name) in self.members.names().iter().enumerate() {
@@ -135,13 +136,13 @@
         self.advance_all()
     }
 
-    /// Ends the joint phase of the member set, and forgets what members confirmed before.
+    /// Ends the joint phase of the member set and drops all confirmations of members.
     ///
-    /// A confirmation is a fact about the past, and quorums that share a member make it safe to keep.
-    /// Quorums of sets two changes apart need not share one: a member that confirmed a write, was
-    /// left out of the next term's fence and rewound the write could be a quorum of what is left of
-    /// the set, and the caller would be told of a write that is gone. Members report again soon, and
-    /// report a write's term only while they still hold it.
+    /// Confirmations are safe to keep only while the quorums of the old and the new set share a
+    /// member. Quorums of sets that are two changes apart need not share one: a member that
+    /// confirmed a write, was not part of the next term's fence and rewound the write could form a
+    /// quorum of the remaining set, and a lost write would be acknowledged. Members report again
+    /// soon, and report a write's term only while they still hold it.
     pub fn settle_members(&mut self) {
         self.members.settle();
         for track in &mut self.tracks {
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Every broken invariant.
+    /// Returns every broken invariant.
     pub fn verify(&self) -> Vec<AcknowledgementViolation> {
         let mut violations = Vec::new();
         if self.tracks.len() != self.members.count() {
@@ -172,8 +173,8 @@
 
     fn update_latest(&mut self, now_us: u64, member: usize, status: &MemberStatus) {
         let track = &mut self.tracks[member];
-        // A report of an older term than one seen is late: it still counts as a confirmation of the
-        // past, but says nothing about what the member can do now.
+        // A report with a lower raised term than one already received arrived late. It still counts
+        // as a confirmation of the past, but says nothing about the member's present state.
         if track.latest.as_ref().is_some_and(|known| known.raised_term > status.raised_term) {
             return;
         }
@@ -186,8 +187,8 @@
         self.update_lag_start(now_us, status.raised_term);
     }
 
-    /// Starts the time of members that the primary has left behind. An idle group's members are
-    /// level, so the time starts with the first record that a member lacks.
+    /// Starts the lag time of members that are behind the primary. The members of an idle group are
+    /// level with it, so the time starts with the first record that a member lacks.
     fn update_lag_start(&mut self, now_us: u64, term: Term) {
         let Some(end) = self.primary_log_end(term) else { return };
         for track in &mut self.tracks {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// The end of the log of the primary of `term`, as last reported.
+    /// Returns the last reported end of the log of the primary of `term`.
     fn primary_log_end(&self, term: Term) -> Option<LogPosition> {
         self.tracks
             .iter()
@@ -238,7 +239,7 @@
         Some(position)
     }
 
-    /// The highest position of `term` that a quorum confirmed.
+    /// Returns the highest position of `term` that a quorum confirmed.
     fn quorum_position(&self, term: Term) -> Option<LogPosition> {
         let candidates = self.tracks.iter().filter_map(|track| track.confirmed);
         let of_term = candidates.filter(|position| position.term == term);
@@ -258,16 +259,16 @@
 /// A broken invariant of [`Acknowledgement`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AcknowledgementViolation {
-    /// The tracks do not match the member set.
+    /// The number of member tracks differs from the size of the member set.
     WrongNumberOfTracks,
-    /// A member confirmed in a term that none of its reports shows.
+    /// A member confirmed a position of a higher term than any of its reports shows.
     ConfirmedBeyondRaised {
-        /// The member.
+        /// The index of the member in the member list.
         member: usize,
     },
-    /// A quorum confirms more than is published.
+    /// A quorum confirmed a higher position than [`Acknowledgement::confirmed`] returns.
     ConfirmationMissed {
-        /// The term.
+        /// The term of the confirmations.
         term: Term,
     },
 }
--- a/crates/core/src/process/connection_budget.rs
+++ b/crates/core/src/process/connection_budget.rs
@@ -1,42 +1,43 @@
-//! How many connections a home keeps open to one target.
+//! Decides how many connections a home keeps open to one target.
 //!
 //! A new connection costs 10 to 30 ms, several times what a statement takes, so connections are
-//! opened ahead of need: as many as were in use at once recently, and some to spare. Those that
-//! were not needed for a while are given back.
+//! opened ahead of demand: as many as were recently in use at the same time, and some spare ones.
+//! Connections that were not needed for a while are closed.
 //!
-//! Three things must not become a storm of connections. A target that comes back is dialled by all
-//! its homes: failed tries are spaced by a back-off that doubles, with jitter from a seed of this
-//! process. A pool that has to grow by much: tries are budgeted by a token bucket. And while two
-//! proxies differ about who is home, their parts together pass the target's limit and one is told
-//! `53300`: it then stays below what it has, and asks for one more at a time until the views agree.
+//! Three situations must not cause a connection storm. A target that comes back is dialled by all
+//! its homes: failed attempts are spaced by an exponential back-off, with jitter from a seed of
+//! this process. A pool has to grow by many connections: attempts are limited by a token bucket.
+//! Two proxies disagree about which VMs are home to a target, so that their shares together exceed
+//! the target's connection limit and the target answers one with `53300`: that one caps its pool at
+//! the present size, and raises the cap by one connection at a time until the proxies agree.
 
 use crate::process::jitter;
 
-/// How many times a back-off doubles at most.
+/// The maximum number of times that a back-off doubles.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// What one connection try costs in the token bucket.
+/// The cost of one connection attempt in the token bucket, in thousandths of a token.
 const ATTEMPT_COST_MILLI: u64 = 1_000;
 
-/// Microseconds in a second.
 const SECOND_US: u64 = 1_000_000;
 
-/// The settings of a budget.
+/// The settings of a [`ConnectionBudget`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct BudgetPolicy {
-    /// Connections kept open beyond the recent need.
+    /// The number of connections kept open beyond the recent demand.
     pub spare: u32,
-    /// For how long a need is remembered.
+    /// How long a peak of the demand is remembered, in microseconds.
     pub demand_window_us: u64,
-    /// The delay after the first failed try.
+    /// The delay after the first failed attempt, in microseconds.
     pub backoff_us: u64,
-    /// The longest delay between failed tries.
+    /// The longest delay between failed attempts, in microseconds.
     pub max_backoff_us: u64,
-    /// How many tries a second are allowed in the long run.
+    /// The long-term rate of connection attempts per second.
     pub attempts_per_second: u32,
-    /// How many tries are allowed at once.
+    /// The number of attempts that may be started at the same time.
     pub burst: u32,
-    /// How long the target's "too many connections" keeps the pool from growing.
+    /// How long the target's "too many connections" error keeps the pool from growing, in
+    /// microseconds.
     pub pool_cap_us: u64,
 }
 
@@ -54,29 +55,29 @@
     }
 }
 
-/// Why a try to connect failed.
+/// The reason for which a connection attempt failed.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum ConnectFailure {
-    /// The target has as many connections as it accepts (`53300`).
+    /// The target has reached its connection limit (`53300`).
     TooMany,
-    /// Refused, reset, no answer, or an error in the start-up.
+    /// The connection was refused or reset, there was no answer, or the start-up failed.
     Failed,
 }
 
-/// What to do with the pool now.
+/// The changes to make to the pool now.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct BudgetPlan {
-    /// How many connections to open. They count as being opened from now on.
+    /// The number of connections to open. The budget already counts them as being opened.
     pub open: u32,
-    /// How many idle connections to close. They count as closed from now on.
+    /// The number of idle connections to close. The budget already counts them as closed.
     pub close: u32,
-    /// How many of these give way to connections of other users.
+    /// How many of the closed connections make room for connections of other users.
     pub replaced: u32,
-    /// When to ask again even if nothing happens.
+    /// When to call [`ConnectionBudget::plan`] again at the latest, in microseconds.
     pub next_plan_us: Option<u64>,
 }
 
-/// The users who wait without a connection being opened for them, in the order of their arrival.
+/// Returns the waiting users for whom no connection is being opened, in the order of their arrival.
 pub fn missing_users<'a, U, W>(waiting: W, opening: &[U]) -> Vec<U>
 where
     U: Clone + PartialEq + 'a,
@@ -95,7 +96,7 @@
     missing
 }
 
-/// The connections of one home to one target.
+/// The connections of one home to one target, counted by state.
 #[derive(Clone, Debug)]
 pub struct ConnectionBudget {
     policy: BudgetPolicy,
@@ -109,15 +110,15 @@
     failures: u32,
     attempts: u64,
     retry_at_us: u64,
-    /// While set, the pool is kept at or below the first until the second.
+    /// The cap of the pool's size and the time in microseconds at which it may be raised.
     pool_cap: Option<(u32, u64)>,
     tokens_milli: u64,
     refilled_us: u64,
 }
 
 impl ConnectionBudget {
-    /// An empty pool with this home's part of the target's connections; see
-    /// [`connection_share`](crate::process::homes::connection_share). `seed` differs between
+    /// Creates an empty pool with this home's share of the target's connections; see
+    /// [`connection_share`](crate::process::homes::connection_share). `seed` must differ between
     /// processes.
     pub fn new(policy: BudgetPolicy, share: u32, seed: u64, now_us: u64) -> ConnectionBudget {
         ConnectionBudget {
@@ -138,17 +139,17 @@
         }
     }
 
-    /// This home's part changed. What is in use beyond it is given back as it becomes idle.
+    /// Changes this home's share. Connections in use beyond it are closed once they are idle.
     pub fn set_share(&mut self, share: u32) {
         self.share = share;
     }
 
-    /// This many requests wait for a connection.
+    /// Sets the number of requests that wait for a connection.
     pub fn set_waiting(&mut self, waiting: u32) {
         self.waiting = waiting;
     }
 
-    /// Takes an idle connection for a request, if there is one.
+    /// Takes an idle connection for a request. Returns whether there was one.
     pub fn take(&mut self, now_us: u64) -> bool {
         if self.idle == 0 {
             return false;
@@ -159,36 +160,36 @@
         true
     }
 
-    /// A used connection is idle again.
+    /// Records that a connection in use became idle.
     pub fn returned(&mut self) {
-        assert!(self.used > 0, "a connection came back that was not in use");
+        assert!(self.used > 0, "a connection was returned that was not in use");
         self.used -= 1;
         self.idle += 1;
     }
 
-    /// A used connection was closed instead of coming back.
+    /// Records that a connection in use was closed.
     pub fn used_closed(&mut self) {
-        assert!(self.used > 0, "a connection closed that was not in use");
+        assert!(self.used > 0, "a connection was closed that was not in use");
         self.used -= 1;
     }
 
-    /// The target closed an idle connection.
+    /// Records that the target closed an idle connection.
     pub fn idle_closed(&mut self) {
         self.idle = self.idle.saturating_sub(1);
     }
 
-    /// A try succeeded: the connection is idle.
+    /// Records that an attempt succeeded; the connection is idle.
     pub fn opened(&mut self) {
-        assert!(self.opening > 0, "a connection opened that was not being opened");
+        assert!(self.opening > 0, "a connection was opened without an attempt");
         self.opening -= 1;
         self.idle += 1;
         self.failures = 0;
         self.retry_at_us = 0;
     }
 
-    /// A try failed.
+    /// Records that an attempt failed.
     pub fn open_failed(&mut self, failure: ConnectFailure, now_us: u64) {
-        assert!(self.opening > 0, "a try failed that was not under way");
+        assert!(self.opening > 0, "an attempt failed that was not in progress");
         self.opening -= 1;
         match failure {
             ConnectFailure::TooMany => self.cap_pool(now_us),
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Decides what to open and close at `now_us`.
+    /// Decides which connections to open and close at `now_us`.
     pub fn plan(&mut self, now_us: u64) -> BudgetPlan {
         self.refill(now_us);
         let wanted = self.wanted(now_us);
@@ -210,8 +211,9 @@
         BudgetPlan { open, close, replaced: 0, next_plan_us }
     }
 
-    /// Decides what to open and close at `now_us` where idle connections are kept for their users, and
-    /// `missing` users wait for whom none is open. Where there is no room, idle ones of other users give way.
+    /// Decides which connections to open and close at `now_us` if each idle connection belongs to a
+    /// user, and `missing` users wait without a connection. Where there is no room, idle
+    /// connections of other users are replaced.
     pub fn plan_for_users(&mut self, missing: u32, now_us: u64) -> BudgetPlan {
         self.refill(now_us);
         let desired = self.total().saturating_add(missing).min(self.share);
@@ -228,43 +230,43 @@
         BudgetPlan { open, close: excess + replaced, replaced, next_plan_us }
     }
 
-    /// Changes how connections are kept and tries are spaced.
+    /// Changes the policy. Tokens beyond the new burst are dropped.
     pub fn set_policy(&mut self, policy: BudgetPolicy) {
         self.policy = policy;
         self.tokens_milli = self.tokens_milli.min(u64::from(policy.burst) * ATTEMPT_COST_MILLI);
     }
 
-    /// Connections that are idle, in use or being opened.
+    /// Returns the number of connections that are idle, in use or being opened.
     pub fn total(&self) -> u32 {
         self.idle + self.used + self.opening
     }
 
-    /// Connections that wait for a request.
+    /// Returns the number of idle connections.
     pub fn idle(&self) -> u32 {
         self.idle
     }
 
-    /// Connections in use.
+    /// Returns the number of connections in use.
     pub fn used(&self) -> u32 {
         self.used
     }
 
-    /// Every violated invariant.
+    /// Returns every violated invariant.
     pub fn verify(&self) -> Vec<String> {
         let mut problems = Vec::new();
         if self.pool_cap.is_some_and(|(_, until_us)| until_us == 0) {
-            problems.push("an overshoot is held that never began".to_owned());
+            problems.push("the pool cap has no end time".to_owned());
         }
         if self.tokens_milli > u64::from(self.policy.burst) * ATTEMPT_COST_MILLI {
-            problems.push(format!("{} thousandths pass the burst", self.tokens_milli));
+            problems.push(format!("{} thousandths of a token exceed the burst", self.tokens_milli));
         }
         if self.retry_at_us > 0 && self.failures == 0 {
-            problems.push("tries wait without a failure".to_owned());
+            problems.push("attempts are delayed without a failure".to_owned());
         }
         problems
     }
 
-    /// How many connections there should be.
+    /// Returns the number of connections that the pool should have.
     fn wanted(&mut self, now_us: u64) -> u32 {
         let current_demand = self.used + self.waiting;
         self.demand.observe(current_demand, self.policy.demand_window_us, now_us);
@@ -272,11 +274,13 @@
         self.within_cap(wanted, now_us)
     }
 
-    /// What may be had of as many as are wanted after the target refused some.
+    /// Limits the wanted size of the pool to the cap that is in force after the target refused
+    /// connections.
     fn within_cap(&mut self, wanted: u32, now_us: u64) -> u32 {
         match self.pool_cap {
             Some((limit, until_us)) if now_us < until_us => wanted.min(limit),
-            // One more is tried; if the target refuses it again, the limit holds again.
+            // The cap has expired: it is raised by one connection. If the target refuses that one,
+            // the cap is set again.
             Some((limit, _)) if wanted > limit => {
                 let limit = limit + 1;
                 self.pool_cap = Some((limit, now_us + self.cap_duration_us()));
@@ -299,7 +303,7 @@
     }
 
     fn back_off(&mut self, now_us: u64) {
-        // Several tries that were under way together are one failure of the target.
+        // Failures of attempts that were in progress at the same time count as one.
         if now_us < self.retry_at_us {
             return;
         }
@@ -310,7 +314,7 @@
             now_us + jitter::upper_half_us(self.seed, self.attempts, delay_us).max(1);
     }
 
-    /// How many of the tries that are wanted may begin now.
+    /// Returns how many of the wanted attempts may be started now.
     fn allowed_now(&self, wanted: u32, now_us: u64) -> u32 {
         if now_us < self.retry_at_us { 0 } else { wanted.min(self.allowed_attempts()) }
     }
@@ -321,7 +325,8 @@
         self.tokens_milli -= u64::from(attempts) * ATTEMPT_COST_MILLI;
     }
 
-    /// After a failure one try at a time finds out whether the target is back.
+    /// Returns the number of attempts that the token bucket allows. After a failure only one
+    /// attempt at a time checks whether the target is back.
     fn allowed_attempts(&self) -> u32 {
         let tokens = (self.tokens_milli / ATTEMPT_COST_MILLI) as u32;
         match (self.failures, self.opening) {
@@ -361,7 +366,8 @@
     }
 }
 
-/// The highest need within a sliding window, in two halves: the present half and the one before.
+/// The highest demand within a sliding window, kept for the current half of the window and the
+/// previous one.
 #[derive(Clone, Copy, Debug)]
 struct RecentDemand {
     since_us: u64,
--- a/crates/core/src/process/connection_plan.rs
+++ b/crates/core/src/process/connection_plan.rs
@@ -1,83 +1,89 @@
-//! Whether each VM connects to each target, or a few homes do so for all.
+//! Decides whether every VM connects to a target or only a few homes do.
 //!
-//! A target accepts a few connections from all VMs together. While there are few VMs, each has some
-//! of its own: no hop, and a target is reached as long as anybody reaches it. With many VMs the parts
-//! become too small to be of use, and together they pass the limit, so that most statements find none.
-//! Then each target has a few homes that divide its connections, and the other VMs send their statements
+//! A target accepts a limited number of connections from all VMs together. While there are few VMs,
+//! each of them connects to every target: statements need no hop through another proxy, and a
+//! target is reachable as long as any VM reaches it. With many VMs the shares become too small to
+//! be useful, and together they exceed the limit, so that most statements find no connection. Then
+//! each target has a few homes that divide its connections, and the other VMs send their statements
 //! through one of them.
 //!
-//! VMs that reach none of the homes must not each connect instead: many that are cut off from the others
-//! would take the connections of the homes, which serve everybody else. So some VMs of other availability
-//! zones may act as fallbacks, with connections that the homes leave, and the rest go through those.
-//! Homes and fallbacks together never pass the limit, whichever of them reach each other.
+//! VMs that reach none of the homes must not all connect instead: a large partition of them would
+//! take the connections of the homes, which serve all other VMs. So a limited number of VMs of
+//! other availability zones may act as fallbacks, using connections that the homes leave free, and
+//! the remaining VMs send their statements through those. Homes and fallbacks together never exceed
+//! the limit, whichever of them reach each other.
 
-/// How many homes a target has: one that is lost leaves enough, and each has several connections.
+/// The number of homes of a target: the loss of one leaves enough, and each has several
+/// connections.
 pub const HOMES: usize = 4;
 
-/// How many fallbacks the homes of a target have, at least and at most. With ten VMs that may connect
-/// one is left where any two thirds are lost.
+/// The minimum and maximum number of fallbacks of a target. Of ten VMs that may connect, at least
+/// one is left if any two thirds are lost.
 const MIN_FALLBACKS: u32 = 2;
 const MAX_FALLBACKS: u32 = 12;
 
-/// After which time without any way to a target twice as many VMs may connect by themselves, in
-/// microseconds. A cut that ends soon has few of them do so; where nearly all VMs are gone, those that are left
-/// serve their callers in the end.
+/// The time without any path to a target after which the number of fallbacks that may connect
+/// doubles, in microseconds. After a short partition few VMs have connected; if nearly all VMs are
+/// lost, the remaining ones can serve their callers in the end.
 const FALLBACK_DOUBLING_US: u64 = 3_000_000;
 
-/// How often that number is doubled at most.
+/// The maximum number of such doublings.
 const MAX_DOUBLINGS: u64 = 10;
 
-/// What each fallback takes of a target's connections: one for statements, and one more for questions that
-/// pass its queue.
+/// The connections that each fallback takes from a target's limit: one for statements, and one for
+/// status queries that bypass its queue.
 const FALLBACK_CONNECTIONS: u32 = 2;
 
-/// The part of a target's connections that homes keep open, in hundredths. The rest is for the
-/// questions of takeovers, and for homes that see the list of VMs differently for a moment.
+/// The percentage of a target's connections that homes keep open. The rest is left for the status
+/// queries of takeovers, and for homes whose lists of VMs differ for a moment.
 const HOME_PERCENT: u32 = 75;
 
-/// The connections that each VM needs at a primary of its own accord: one for a transaction that
-/// rests, and one beside it.
+/// The connections that each VM needs to a primary to connect directly: one for a transaction that
+/// is idle between statements, and one for other statements.
 const CONNECTIONS_PER_VM: u32 = 2;
 
-/// How many organisations' connections a VM needs room for to connect by itself. With less it would open one for
-/// most statements, and close another organisation's.
+/// The maximum number of organisations for which a VM that connects directly needs a connection
+/// each. With fewer connections it would open one for most statements, and close that of another
+/// organisation.
 const MIN_CONNECTIONS_BY_ORGANISATION: usize = 12;
 
-/// By how much the needs of all VMs together may pass a target's limit, in hundredths: not all of
-/// them need theirs at once.
+/// The percentage of a target's limit that the demand of all VMs together may reach. It is above
+/// 100 because the VMs do not use all their connections at the same time.
 const OVERSUBSCRIBED_PERCENT: u32 = 125;
 
-/// How one VM comes to a target's connections.
+/// The way in which VMs connect to a target.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ConnectionPlan {
-    /// Each VM connects, with at most so many connections to a primary and to a replica.
+    /// Every VM connects directly.
     Direct {
-        /// To a primary.
+        /// The maximum number of connections of one VM to a primary.
         primary: u32,
-        /// To a replica.
+        /// The maximum number of connections of one VM to a replica.
         replica: u32,
     },
-    /// [`HOMES`] VMs connect, each with at most so many connections.
+    /// Only [`HOMES`] VMs connect; the others send their statements through them.
     Homes {
-        /// Of each home.
+        /// The maximum number of connections of one home.
         share: u32,
-        /// How many others may connect where the homes can't be reached, with one connection each.
+        /// The number of other VMs that may connect if they reach no home, with one connection each
+        /// for statements.
         fallbacks: usize,
     },
 }
 
-/// What a target's connections are divided by.
+/// The quantities that determine the plan of a target.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Demand {
-    /// How many connections the target accepts from all VMs together.
+    /// The number of connections that the target accepts from all VMs together.
     pub max_connections: u32,
-    /// How many VMs there are.
+    /// The number of VMs; zero, while none is known, counts as one.
     pub vms: usize,
-    /// How many organisations need connections of their own; zero if connections serve anybody.
+    /// The number of organisations that need connections of their own; zero if any caller may use
+    /// any connection.
     pub organisations: usize,
 }
 
-/// The plan for a target.
+/// Returns the plan for a target.
 pub fn plan(demand: Demand) -> ConnectionPlan {
     let Demand { max_connections, vms, organisations } = demand;
     let vms = vms.max(1) as u32;
@@ -104,7 +110,8 @@
     ConnectionPlan::Homes { share, fallbacks: fallbacks as usize }
 }
 
-/// How many VMs, the highest ranked ones, may connect by themselves after so long without any way to a target.
+/// Returns how many of the highest ranked VMs may connect directly after `unreachable_us`
+/// microseconds without any path to a target; zero at first.
 pub fn fallback_count(fallbacks: usize, unreachable_us: u64) -> usize {
     match (unreachable_us / FALLBACK_DOUBLING_US).min(MAX_DOUBLINGS) {
         0 => 0,
--- a/crates/core/src/process/detection.rs
+++ b/crates/core/src/process/detection.rs
@@ -1,40 +1,44 @@
-//! Whether a group's primary is gone, judged by one home of the group.
+//! The failure detector of a group's primary, run by each home of the group.
 //!
-//! Two ways lead to a suspicion. The fast way: connections to the primary break or are refused
-//! repeatedly and a reconnect failed too, which a living process on a reachable VM does not do. The
-//! slow way: nothing was heard for a timeout that follows the measured round trips (Jacobson 1988:
-//! mean plus a multiple of the mean deviation), and never less than the configured silence.
+//! There are two grounds for a suspicion. The fast one: connections to the primary break or are
+//! refused repeatedly and a reconnect failed as well, which does not happen with a live process on
+//! a reachable VM. The slow one: the primary was silent for longer than a timeout that follows the
+//! measured round trips (Jacobson 1988: mean plus a multiple of the mean deviation) and is never
+//! below the configured silence.
 //!
-//! A wrong suspicion costs a short gap and never a write, since only the fence decides. Two causes
-//! of wrong suspicions are still worth avoiding. A detector that was paused itself sees every
-//! primary silent at once; the time by which its own timer was late is no silence of the primary.
-//! And a home that alone is cut off from the primary would depose one that works for all others;
-//! while a quorum of members goes on taking the primary's records, the suspicion is withheld.
+//! A wrong suspicion costs a short interruption of writes and never an acknowledged write, since
+//! only the fence decides about those. Two causes of wrong suspicions are avoided nevertheless. A
+//! detector whose own process was paused would see every primary as silent, so the delay of its own
+//! timer does not count as silence. A home that alone is partitioned from the primary would depose
+//! a primary that works for all others, so the suspicion is withheld while a quorum of members
+//! keeps replicating from the primary.
 
 use crate::log_position::Term;
 use crate::member_status::MemberStatus;
 use crate::process::member_set::MemberMask;
 use crate::process::member_set::MemberSet;
 
-/// How a deviation of the round trip counts towards the timeout.
+/// The weight of the mean deviation of the round trip in the timeout.
 const DEVIATION_FACTOR: u64 = 8;
 
-/// How often a silent primary is judged again, in microseconds.
+/// The interval at which a silent primary is checked again, in microseconds.
 const RECHECK_US: u64 = 50_000;
 
-/// Bounds of the detector. The defaults are for zones about 1.5 ms apart.
+/// The settings of the detector. The defaults are for zones about 1.5 ms apart.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct DetectionSettings {
-    /// The least silence that makes a suspicion, in microseconds.
+    /// The shortest silence that causes a suspicion, in microseconds.
     pub silence_us: u64,
-    /// The most that measured round trips can stretch the silence to, in microseconds.
+    /// The longest timeout that measured round trips can lead to, in microseconds.
     pub max_silence_us: u64,
-    /// How many failed connections in a row make a suspicion at once.
+    /// The number of consecutive connection failures that cause a suspicion without a timeout.
     pub connection_failures: u32,
-    /// A timer that comes later than this shows that this process was paused, in microseconds.
+    /// The delay of a timer beyond which this process counts as having been paused, in
+    /// microseconds.
     pub late_timer_us: u64,
-    /// Records that members took this long after the primary was last heard can't have been on
-    /// their way already, in microseconds.
+    /// The longest time that a record may be in transit to a member, in microseconds. Records that
+    /// a member received later than this after the last contact with the primary show that the
+    /// primary still works.
     pub replication_us: u64,
 }
 
@@ -50,42 +54,42 @@
     }
 }
 
-/// What was seen of the primary, by a probe or by traffic.
+/// An observation of the primary, made by a probe or by traffic.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Evidence {
     /// A probe was answered.
     Answered {
-        /// How long the answer took, in microseconds.
+        /// The round-trip time in microseconds.
         round_trip_us: u64,
     },
-    /// Traffic got an answer of any kind, or a status notice came.
+    /// Traffic received an answer of any kind, or a status notice arrived.
     Heard,
-    /// A probe or a statement got no answer in its time. Silence is counted from the last answer,
-    /// so that this adds nothing by itself.
+    /// A probe or a statement timed out. Silence is measured from the last answer, so this adds
+    /// nothing by itself.
     TimedOut,
     /// An established connection was reset or closed.
     Broken,
-    /// A new connection was refused or reset while it was opened.
+    /// A new connection was refused, or reset while it was opened.
     Refused,
 }
 
-/// Why the primary counts as gone.
+/// The reason for suspecting the primary.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Suspicion {
     /// Connections failed repeatedly.
     ConnectionsFail,
-    /// Nothing was heard for too long.
+    /// The primary was silent for longer than the timeout.
     Silent,
 }
 
-/// The detector's judgement.
+/// The verdict of the detector.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Verdict {
-    /// The primary is taken to work.
+    /// The primary is considered alive.
     Trusted,
-    /// This process can't reach the primary, but a quorum of members goes on replicating from it.
+    /// This process can't reach the primary, but a quorum of members keeps replicating from it.
     Withheld(Suspicion),
-    /// The primary is taken to be gone.
+    /// The primary is considered failed.
     Suspected(Suspicion),
 }
 
@@ -96,18 +100,18 @@
     primary: usize,
     term: Term,
     last_heard_us: u64,
-    /// When the timer last fired.
+    /// The time at which the timer last fired.
     checked_us: u64,
     failures: u32,
     connect_failed: bool,
     mean_round_trip_us: u64,
     deviation_us: u64,
-    /// For each member, the last record seen and when the member was first seen with it.
+    /// For each member, the latest report that showed progress, and when it arrived.
     progress: Vec<Option<(MemberStatus, u64)>>,
 }
 
 impl PrimaryDetector {
-    /// A detector of a primary that was announced now.
+    /// Creates a detector for a primary that is announced at `now_us`.
     pub fn new(
         settings: DetectionSettings,
         now_us: u64,
@@ -129,17 +133,17 @@
         }
     }
 
-    /// The member under watch.
+    /// Returns the member that is monitored.
     pub fn primary(&self) -> usize {
         self.primary
     }
 
-    /// The term of the primary under watch.
+    /// Returns the term of the monitored primary.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Takes in what was seen of the primary.
+    /// Records an observation of the primary.
     pub fn evidence(&mut self, now_us: u64, evidence: Evidence) {
         match evidence {
             Evidence::Answered { round_trip_us } => {
@@ -156,7 +160,7 @@
         }
     }
 
-    /// Takes in a report of any member. One of the primary itself counts as an answer.
+    /// Records a report of any member. A report of the primary itself counts as an answer.
     pub fn report(&mut self, now_us: u64, member: usize, status: &MemberStatus) {
         if member == self.primary {
             self.record_contact(now_us);
@@ -164,14 +168,14 @@
         }
         let Some(slot) = self.progress.get_mut(member) else { return };
         if slot.as_ref().is_none_or(|(known, _)| known.log < status.log) {
-            // The first report of a member shows a state, not a change.
+            // The first report of a member shows its state, not progress.
             let since_us = if slot.is_some() { now_us } else { 0 };
             *slot = Some((status.clone(), since_us));
         }
     }
 
-    /// Tells that a timer due at `due_us` fires at `now_us`. Events that waited meanwhile should
-    /// be taken in first.
+    /// Handles a timer that was due at `due_us` and fires at `now_us`. Events that arrived before
+    /// must be passed in first.
     pub fn timer(&mut self, now_us: u64, due_us: u64) {
         self.checked_us = now_us;
         let late_us = now_us.saturating_sub(due_us);
@@ -180,7 +184,7 @@
         }
     }
 
-    /// The judgement now.
+    /// Returns the verdict at `now_us`.
     pub fn verdict(&self, now_us: u64, members: &MemberSet) -> Verdict {
         let Some(suspicion) = self.suspicion(now_us) else { return Verdict::Trusted };
         if members.is_quorum(self.replicating_members(now_us)) {
@@ -189,16 +193,17 @@
         Verdict::Suspected(suspicion)
     }
 
-    /// How long the primary may be silent now, in microseconds.
+    /// Returns the present timeout for a silent primary, in microseconds.
     pub fn timeout_us(&self) -> u64 {
         let measured_us = self.mean_round_trip_us + DEVIATION_FACTOR * self.deviation_us;
         let longest_us = self.settings.max_silence_us.max(self.settings.silence_us);
         (self.settings.silence_us + measured_us).min(longest_us)
     }
 
-    /// When the verdict can change next without new evidence. While the primary stays silent after
-    /// the timer has told so, the view of the members is looked at again from time to time: a due
-    /// time that stays in the past would have the embedder's timer fire without a pause.
+    /// Returns when the verdict can next change without new evidence. While the primary stays
+    /// silent after the timer reported the timeout, the progress of the members is checked again
+    /// every [`RECHECK_US`]: with a due time in the past the embedder's timer would fire without a
+    /// pause.
     pub fn due_us(&self) -> u64 {
         let silent_us = self.last_heard_us.saturating_add(self.timeout_us()).saturating_add(1);
         if silent_us > self.checked_us {
@@ -207,7 +212,7 @@
         self.checked_us.saturating_add(RECHECK_US)
     }
 
-    /// Every broken invariant.
+    /// Returns every broken invariant.
     pub fn verify(&self, now_us: u64) -> Vec<DetectorViolation> {
         let mut violations = Vec::new();
         if self.last_heard_us > now_us {
@@ -230,8 +235,8 @@
         (silent_us > self.timeout_us()).then_some(Suspicion::Silent)
     }
 
-    /// The members that took records of the primary's term lately, after this process last heard
-    /// the primary. The primary itself counts with them.
+    /// Returns the members that recently received records of the primary's term, after the last
+    /// contact of this process with the primary. If there are any, the primary is included.
     fn replicating_members(&self, now_us: u64) -> MemberMask {
         let lost_us = self.last_heard_us.saturating_add(self.settings.replication_us);
         let recent_us = now_us.saturating_sub(self.settings.silence_us);
@@ -274,10 +279,10 @@
 /// A broken invariant of [`PrimaryDetector`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum DetectorViolation {
-    /// The primary was heard later than now.
+    /// The last contact is later than the present time.
     LastHeardInFuture,
-    /// Measured round trips shortened the configured silence.
+    /// Measured round trips made the timeout shorter than the configured silence.
     TimeoutBelowSilence,
-    /// A refused connection is not among the failures.
+    /// A refused connection was recorded, but the failure count is zero.
     FailureNotCounted,
 }
--- a/crates/core/src/process/failover/campaign.rs
+++ b/crates/core/src/process/failover/campaign.rs
@@ -1,4 +1,4 @@
-//! When a change of primary begins: its cause, the candidates' order, and the canvass.
+//! The start of a change of primary: its cause, the order of the candidates, and the quorum check.
 
 use super::Action;
 use super::Cause;
@@ -10,10 +10,10 @@
 use crate::process::jitter;
 use crate::process::member_set::MemberMask;
 
-/// How many rounds of calls a canvass waits for members beyond the quorum.
+/// For how many rounds of calls the quorum check waits for members beyond the quorum.
 const QUORUM_CHECK_ROUNDS: u64 = 2;
 
-/// The most doublings of the back-off.
+/// The maximum number of times that the back-off doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 impl FailoverDriver {
@@ -32,7 +32,7 @@
         Some(Phase::CheckingQuorum { cause, since_us: now_us })
     }
 
-    /// The most urgent reason for a change, if there is one.
+    /// Returns the most urgent reason for a change, if there is one.
     pub(super) fn current_cause(&self) -> Option<Cause> {
         let Some(leader) = self.leader else { return Some(Cause::NoLeader) };
         if self.suspected == Some(leader.term) {
@@ -46,7 +46,7 @@
             .map(|_| Cause::Wanted)
     }
 
-    /// When this candidate's turn comes.
+    /// Returns when this candidate may start the change.
     fn start_us(&self, cause: Cause, since_us: u64) -> u64 {
         let delay_us = match cause {
             Cause::Suspected | Cause::Wanted => 0,
@@ -57,8 +57,8 @@
         turn_us.max(self.not_before_us).max(self.rival_deadline_us(cause))
     }
 
-    /// When a rival that was seen at work has had its time. One that moves the primary as an
-    /// operator asked also has the time of the hold, unless the primary is gone meanwhile.
+    /// Returns when a rival that was seen at work counts as failed. A rival that performs a move
+    /// requested by an operator also has the time of the hold, unless the primary fails meanwhile.
     fn rival_deadline_us(&self, cause: Cause) -> u64 {
         let claim_timeout_us = self.lead.rival_claim_us(&self.name, self.leader_term());
         let Some(seen_us) = self.rival_seen_us.max(claim_timeout_us) else { return 0 };
@@ -73,9 +73,9 @@
         self.settings.stagger_us.saturating_mul(u64::from(self.rank))
     }
 
-    /// Waits for a quorum that answers. A process that reaches no quorum raises nothing: a member
-    /// raised in vain would leave its primary and have to be won back in a higher term, at the cost
-    /// of a change of primary each time that a cut heals.
+    /// Waits for answers of a quorum. A process that reaches no quorum raises no term: a raised
+    /// member leaves its primary and must be won back in a higher term, which would cost a change
+    /// of primary each time that a partition heals.
     pub(super) fn advance_quorum_check(
         &mut self,
         now_us: u64,
@@ -99,9 +99,9 @@
         None
     }
 
-    /// Whether the canvass waits a moment for members beyond the quorum. A process that starts, or
-    /// that sees a stray member, may hear the replicas before the primary that leads them; a
-    /// suspected primary has had its time already.
+    /// Returns whether the quorum check waits for members beyond the quorum. A process that starts,
+    /// or that sees a detached member, may hear from the replicas before the primary that leads
+    /// them; a suspected primary has already had its time.
     fn awaits_more_answers(&mut self, now_us: u64, cause: Cause, since_us: u64) -> bool {
         if cause == Cause::Wanted && !self.wanted_answered(since_us) {
             return true;
@@ -116,14 +116,14 @@
         waits
     }
 
-    /// Whether the wanted member answered this very canvass. Holding writes back for one that has
-    /// just died would cost the whole bound of the hold.
+    /// Returns whether the wanted member answered during this quorum check. Holding back writes for
+    /// a member that has just failed would last for the whole limit of the hold.
     fn wanted_answered(&self, since_us: u64) -> bool {
         let answer = self.wanted_member().and_then(|wanted| self.reports.latest(wanted));
         answer.is_some_and(|(at_us, _)| at_us > since_us)
     }
 
-    /// The members that reported since shortly before the canvass.
+    /// Returns the members that reported during the quorum check or shortly before it.
     fn responding_members(&self, since_us: u64) -> MemberMask {
         let earliest_us = since_us.saturating_sub(self.settings.report_max_age_us);
         let answers = |member: &usize| {
@@ -132,15 +132,15 @@
         (0..self.members().count()).filter(answers).collect()
     }
 
-    /// Ends a change that another driver or a refusal stopped, with a growing random back-off so
-    /// that two drivers do not go on taking each other's votes.
+    /// Ends a change that another driver or a refusal stopped. The back-off is random and grows, so
+    /// that two drivers do not keep taking votes from each other.
     pub(super) fn lose(&mut self, now_us: u64, term: Term, actions: &mut Vec<Action>) -> Phase {
         Self::trace(Step::Lost, term, actions);
         self.back_off(now_us);
         Phase::Idle
     }
 
-    /// Ends a change that could not be carried through in its time.
+    /// Ends a change that did not complete in time.
     pub(super) fn give_up(&mut self, now_us: u64, term: Term, actions: &mut Vec<Action>) -> Phase {
         Self::trace(Step::GivenUp, term, actions);
         self.back_off(now_us);
--- a/crates/core/src/process/failover/claim.rs
+++ b/crates/core/src/process/failover/claim.rs
@@ -1,4 +1,4 @@
-//! Agreement on the driver through the platform's conditional update.
+//! Agreement on the driver of a change, by a conditional update of the lead record at the platform.
 
 use super::Action;
 use super::Cause;
@@ -13,7 +13,7 @@
 use crate::version::objects::LeadRecord;
 
 impl FailoverDriver {
-    /// Chooses the term of the change and asks the platform to name this driver.
+    /// Chooses the term of the change and claims the change at the platform.
     pub(super) fn start_claim(
         &mut self,
         now_us: u64,
@@ -22,7 +22,7 @@
     ) -> Phase {
         let term = self.highest_term().next();
         self.driven_term = Some(term);
-        // An answer to an earlier call must not be taken for one about this claim.
+        // An answer to an earlier call must not be taken for an answer to this claim.
         self.lead.open = None;
         self.send_claim(now_us, term, actions);
         let deadline_us = now_us.saturating_add(self.settings.claim_timeout_us);
@@ -54,8 +54,8 @@
         None
     }
 
-    /// Goes on without the platform. An operator's wish came through the platform and can wait for
-    /// it; a missing primary can't.
+    /// Continues without the platform. A move requested by an operator came through the platform
+    /// and can wait for it; the replacement of a failed primary can't.
     fn skip_claim(
         &mut self,
         now_us: u64,
@@ -64,7 +64,7 @@
         actions: &mut Vec<Action>,
     ) -> Phase {
         self.lead.open = None;
-        // The update may still take effect, so the version is not known any more.
+        // The update may still take effect, so the present version is unknown.
         self.lead.version = None;
         if cause == Cause::Wanted {
             return self.give_up(now_us, term, actions);
@@ -80,13 +80,13 @@
         }
     }
 
-    /// Whether the record names this driver for the term.
+    /// Returns whether the record names this driver for the term.
     fn claimed(&self, term: Term) -> bool {
         self.record().is_some_and(|record| record.driver == self.name && record.term == term)
     }
 
-    /// Whether the record names another driver for this term or a higher one, or for a term that
-    /// it has not opened yet.
+    /// Returns whether the record names another driver for this term or a higher one, or for a term
+    /// that it has not opened yet.
     pub(super) fn overtaken(&self, term: Term) -> bool {
         let Some(record) = self.record() else { return false };
         record.driver != self.name && record.term >= term
@@ -96,7 +96,7 @@
         self.leader_term() >= term
     }
 
-    /// Sends the conditional update, or reads the record first where its version is not known.
+    /// Sends the conditional update, or reads the record first if its version is unknown.
     fn send_claim(&mut self, now_us: u64, term: Term, actions: &mut Vec<Action>) {
         if self.lead.version.is_none() {
             self.read_lead(now_us, actions);
@@ -108,7 +108,8 @@
         self.update_lead(now_us, record, actions);
     }
 
-    /// What a driver keeps of the record as it read it: the operator's.
+    /// Returns the fields of the record that belong to the operator and that a driver must
+    /// preserve.
     pub(super) fn wanted_and_plan(&self) -> (String, String) {
         let record = self.record();
         record.map(|record| (record.wanted.clone(), record.plan.clone())).unwrap_or_default()
@@ -137,8 +138,8 @@
         call
     }
 
-    /// Takes in an answer of the platform. One to a call that was given up is dropped; what it
-    /// changed is found when the version does not match.
+    /// Handles an answer of the platform. An answer to a call that was given up is ignored; a
+    /// change that it made shows as a version conflict.
     pub(super) fn handle_platform_answer(
         &mut self,
         now_us: u64,
@@ -157,8 +158,8 @@
             (PlatformAnswer::Read { version, record }, CallKind::Read) => {
                 self.lead.observe_version(now_us, *version, record.as_ref());
             }
-            // The update may have taken effect, so only reading tells. Trying again blindly could
-            // meet the driver's own record and take it for a rival's.
+            // The update may have taken effect, which only a read can show. If the update were
+            // repeated, the driver could take its own record for that of a rival.
             (PlatformAnswer::Conflict | PlatformAnswer::NoAnswer, CallKind::Update(_)) => {
                 self.lead.version = None;
                 if matches!(self.phase, Phase::Claiming { .. }) {
@@ -169,7 +170,7 @@
         }
     }
 
-    /// A read without an answer: the platform is down, so the claim need not wait for its bound.
+    /// Ends the wait for the claim early: the read failed, so the platform is down.
     fn end_claim_wait(&mut self, now_us: u64) {
         if let Phase::Claiming { deadline_us, .. } = &mut self.phase {
             *deadline_us = now_us;
--- a/crates/core/src/process/failover/event.rs
+++ b/crates/core/src/process/failover/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the failover driver and what comes out of it.
+//! The inputs and outputs of the failover driver.
 
 use crate::log_position::Term;
 use crate::member_status::MemberStatus;
@@ -8,62 +8,63 @@
 /// The primary of a term.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct Leader {
-    /// The term that the member was promoted in.
+    /// The term in which the member was promoted.
     pub term: Term,
-    /// The member's place in the member list.
+    /// The index of the member in the member list.
     pub member: usize,
 }
 
-/// A call to a member's control endpoint. Each is answered by the member's status.
+/// A call to a member's control endpoint. The answer to each is the member's status.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum MemberCall {
     /// Read the status.
     ReadStatus,
-    /// Raise the term in this driver's name: the vote.
+    /// Raise the term in the name of this driver; this is the member's vote.
     Raise {
-        /// The term asked for.
+        /// The term to raise to.
         term: Term,
     },
     /// Become primary of the term that this driver raised.
     Promote {
-        /// The term.
+        /// The raised term.
         term: Term,
     },
     /// Follow the primary of a term.
     Follow {
-        /// The term.
+        /// The term of the primary.
         term: Term,
-        /// The primary's place in the member list.
+        /// The index of the primary in the member list.
         primary: usize,
     },
 }
 
-/// What the platform answered to a call.
+/// The platform's answer to a call.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub enum PlatformAnswer {
-    /// The conditional update took.
+    /// The conditional update succeeded.
     Updated {
-        /// The record's new version.
+        /// The new version of the record.
         version: u64,
     },
-    /// The conditional update did not take: the record has another version than expected.
+    /// The conditional update failed: the record has another version than expected.
     Conflict,
-    /// The record as read.
+    /// The record was read.
     Read {
-        /// Its version; zero for none.
+        /// The version of the record; zero if there is none.
         version: u64,
-        /// The record.
+        /// The record; `None` if there is none.
         record: Option<LeadRecord>,
     },
-    /// No answer in the embedder's bound. An update may have taken effect.
+    /// No answer arrived within the embedder's time limit. An update may have taken effect.
     NoAnswer,
 }
 
-/// A call to the platform, numbered so that a late answer is not taken for that of a later call.
+/// The number of a call to the platform, by which a late answer is told from the answer to a later
+/// call.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct PlatformCall(pub u64);
 
-/// What a member is to the choice among equals.
+/// The properties of a member that decide between members with equal logs.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct MemberProfile {
     /// Whether an operator drains the target.
@@ -72,151 +73,153 @@
     pub same_region: bool,
 }
 
-/// What happened.
+/// An input of the driver.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub enum Event {
-    /// A member's status came without a call of the driver's: a notice or a probe's answer.
+    /// A member's status arrived without a call of the driver: a notice or the answer to a probe.
     Report {
-        /// The member.
+        /// The index of the member.
         member: usize,
-        /// Its status.
+        /// The status of the member.
         status: MemberStatus,
     },
     /// A member answered a call.
     MemberAnswer {
-        /// The member.
+        /// The index of the member.
         member: usize,
-        /// The call.
+        /// The call that was answered.
         call: MemberCall,
-        /// The status after the call's effect, if it had one.
+        /// The status after the call took effect, if it did.
         status: MemberStatus,
     },
-    /// A member's answer did not come: the connection failed or the embedder's bound passed. The
-    /// call may have taken effect.
+    /// A call was not answered: the connection failed or the embedder's time limit passed. The call
+    /// may have taken effect.
     MemberFailed {
-        /// The member.
+        /// The index of the member.
         member: usize,
-        /// The call.
+        /// The call that was not answered.
         call: MemberCall,
     },
-    /// The lead record as the watch of the platform shows it.
+    /// The watch of the platform delivered the lead record.
     LeadSeen {
-        /// Its version; zero for none.
+        /// The version of the record; zero if there is none.
         version: u64,
-        /// The record.
+        /// The record; `None` if there is none.
         record: Option<LeadRecord>,
     },
-    /// The platform answered a call, or the embedder gave up waiting.
+    /// The platform answered a call, or the embedder's time limit passed.
     Platform {
-        /// The call.
+        /// The number of the call.
         call: PlatformCall,
-        /// The answer.
+        /// The answer, or [`PlatformAnswer::NoAnswer`].
         answer: PlatformAnswer,
     },
     /// The detector suspects the primary of this term.
     Suspected {
-        /// The suspected primary's term.
+        /// The term of the suspected primary.
         term: Term,
     },
     /// The detector trusts the primary again.
     Trusted,
-    /// The group's members or their profiles changed. A member set of an older version is ignored.
+    /// The members of the group or their profiles changed. A member set of an older version is
+    /// ignored.
     Members {
-        /// The member set.
+        /// The present member set.
         members: MemberSet,
-        /// The profiles in the order of the members.
+        /// The profiles in the order of the members; missing ones are default.
         profiles: Vec<MemberProfile>,
     },
-    /// Every process knows the present member set by now, so that its joint phase ends.
+    /// Every process knows the present member set, so its joint phase ends.
     MembersSettled,
-    /// This process's place among the group's candidates changed; zero goes first.
+    /// The rank of this process among the group's candidates changed.
     Rank {
-        /// The place.
+        /// The rank; candidates with a lower rank start earlier, beginning with zero.
         rank: u32,
     },
-    /// The timer that was set last fired.
+    /// The timer that was last set has expired.
     Timer,
 }
 
-/// A step of a change of primary, for logs and for measuring where the time goes.
+/// A step of a change of primary, for logs and latency measurements.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Step {
-    /// A change begins.
+    /// A change started.
     Started(Cause),
-    /// A quorum of members answers, so that the change can succeed.
+    /// A quorum of members answered, so the change can succeed.
     QuorumReached,
     /// The platform's record names this driver.
     Claimed,
-    /// The platform did not answer; the members' votes alone decide.
+    /// The platform did not answer; the votes of the members alone decide.
     ClaimSkipped,
     /// Writes are held back for a planned move.
     Held,
     /// A quorum of members raised the term.
     Fenced,
-    /// The new primary took the promotion.
+    /// The new primary accepted the promotion.
     Promoted,
-    /// A quorum confirmed the new primary's first record.
+    /// A quorum confirmed the first record of the new primary.
     Opened,
     /// Another driver was faster, or a member refused.
     Lost,
-    /// The change was given up without an effect.
+    /// The change was abandoned without an effect.
     GivenUp,
 }
 
-/// Why a change of primary begins.
+/// The cause of a change of primary.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Cause {
-    /// The primary is taken to be gone.
+    /// The primary is suspected to have failed.
     Suspected,
     /// No member is known to lead.
     NoLeader,
-    /// A member promised itself to a higher term than the primary's and can't confirm any more.
+    /// A member promised itself to a higher term than the primary's and can't confirm its records.
     HigherTerm,
-    /// An operator asked for another primary.
+    /// An operator requested another primary.
     Wanted,
 }
 
-/// What the embedder is to do.
+/// An output of the driver, which the embedder carries out.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub enum Action {
-    /// Call a member. The answer comes back as [`Event::MemberAnswer`] or [`Event::MemberFailed`].
+    /// Call a member. The result is passed back as [`Event::MemberAnswer`] or
+    /// [`Event::MemberFailed`].
     CallMember {
-        /// The member.
+        /// The index of the member.
         member: usize,
         /// The call, made in the name of [`FailoverDriver::name`](super::FailoverDriver::name).
         call: MemberCall,
     },
-    /// Update the lead record if it has the expected version (zero creates it).
+    /// Update the lead record if it has the expected version. Zero creates the record.
     UpdateLead {
-        /// The call's number.
+        /// The number of the call.
         call: PlatformCall,
-        /// The version.
+        /// The expected version.
         expected_version: u64,
         /// The new record.
         record: LeadRecord,
     },
     /// Read the lead record.
     ReadLead {
-        /// The call's number.
+        /// The number of the call.
         call: PlatformCall,
     },
-    /// Hold back new writes of the group at this process.
+    /// Hold back new writes to the group at this process.
     HoldWrites,
     /// Stop holding back writes.
     ReleaseWrites,
     /// Publish the primary: a quorum confirmed the record that opens its term.
     Announce {
-        /// The primary.
+        /// The primary and its term.
         leader: Leader,
     },
-    /// Send [`Event::Timer`] at this time; replaces the timer set before.
+    /// Send [`Event::Timer`] at this time. Replaces the timer that was set before.
     SetTimer {
         /// The time in microseconds.
         at_us: u64,
     },
-    /// A step was reached.
+    /// Report that a step was reached.
     Trace {
-        /// The step.
+        /// The step that was reached.
         step: Step,
         /// The term that the change opens; zero before one is chosen.
         term: Term,
--- a/crates/core/src/process/failover/fence.rs
+++ b/crates/core/src/process/failover/fence.rs
@@ -1,4 +1,4 @@
-//! Collecting the votes of a term, and promoting the highest log among them.
+//! Collects the votes of a term and promotes the voter with the highest log.
 
 use super::Action;
 use super::Cause;
@@ -16,7 +16,7 @@
 /// The term of a group's first primary.
 const FIRST_TERM: Term = Term(1);
 
-/// How candidates of a fence compare: the log first, for safety; the rest only among equal logs.
+/// The order of the candidates: the log first, for safety; the other fields only among equal logs.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CandidateRank {
     log: LogPosition,
@@ -65,8 +65,8 @@
         None
     }
 
-    /// The members that gave this driver their vote of the term. Their logs stand still until it
-    /// promotes one.
+    /// Returns the members that voted for this driver in the term. Their logs do not change until
+    /// it promotes one of them.
     fn voters(&self, term: Term) -> MemberMask {
         let voted =
             |status: &MemberStatus| status.raised_term == term && status.raised_by == self.name;
@@ -75,8 +75,8 @@
             .collect()
     }
 
-    /// Whether the term can't be won any more: too many members gave their vote to another driver
-    /// or promised themselves to a higher term.
+    /// Returns whether the term can't be won: too many members voted for another driver or promised
+    /// themselves to a higher term.
     fn refused(&self, term: Term) -> bool {
         let refuses = |status: &MemberStatus| {
             status.raised_term > term || status.raised_term == term && status.raised_by != self.name
@@ -87,9 +87,9 @@
         !self.members().is_quorum(open)
     }
 
-    /// Waits a moment longer for the vote of the member that is to lead: the wanted one, or the
-    /// present primary where it works and only a stray member has to be won back, or the one that
-    /// brought the data into a new group, which no acknowledgement protects yet.
+    /// Returns whether to wait for the vote of the preferred member: the wanted one; or the present
+    /// primary if it works and only a detached member must be won back; or the member that holds
+    /// the data of a new group, which no acknowledgement protects yet.
     fn awaits_preferred(
         &mut self,
         now_us: u64,
@@ -117,7 +117,7 @@
         (0..self.members().count()).max_by_key(|&member| self.status(member).map(|it| it.log))
     }
 
-    /// The member to promote: the highest log of the fence.
+    /// Returns the member to promote: the voter with the highest log.
     fn choose(&self, term: Term, voters: MemberMask) -> Option<usize> {
         (0..self.members().count())
             .filter(|&member| voters.contains(member))
@@ -138,8 +138,8 @@
         })
     }
 
-    /// Promotes the chosen member. Whatever happens, no other member is promoted in this term: the
-    /// call may have taken effect although its answer was lost.
+    /// Promotes the chosen member. No other member is ever promoted in this term: the call may have
+    /// taken effect although its answer was lost.
     pub(super) fn advance_promotion(
         &mut self,
         now_us: u64,
--- a/crates/core/src/process/failover/maintenance.rs
+++ b/crates/core/src/process/failover/maintenance.rs
@@ -1,5 +1,5 @@
-//! What every home does apart from changes of primary: announcing, winning members back, keeping the
-//! lead record true, and holding writes back while another process moves the primary.
+//! The tasks of every home outside changes of primary: announcing the primary, reattaching members,
+//! correcting the lead record, and holding back writes while another process moves the primary.
 
 use super::Action;
 use super::FailoverDriver;
@@ -10,15 +10,15 @@
 use crate::member_status::Role;
 use crate::version::objects::LeadRecord;
 
-/// How much more seldom a silent member is told to follow.
+/// The factor by which calls to a silent member are less frequent.
 const SILENT_BACKOFF_FACTOR: u64 = 10;
 
-/// How many driver's times a claim may stand without an effect before its record is corrected.
+/// The number of driver timeouts after which a claim without an effect is removed from the record.
 const DEAD_CLAIM_FACTOR: u64 = 4;
 
 impl FailoverDriver {
-    /// Announces the leader once its term is open: before a quorum confirmed a record of the term,
-    /// a write could wait for confirmations that another driver's fence already rules out.
+    /// Announces the leader once its term is open. Before a quorum confirmed a record of the term,
+    /// writes might wait for confirmations that another driver's fence already prevents.
     pub(super) fn announce(&mut self, actions: &mut Vec<Action>) {
         let Some(leader) = self.leader else { return };
         let open = self.reports.confirmed().term == leader.term;
@@ -44,8 +44,8 @@
         self.correct_record(now_us, actions);
     }
 
-    /// Tells members that follow nobody, or an older primary, whom to follow. This is how an old
-    /// primary rejoins. The order is right from whoever it comes, because a term has one primary.
+    /// Tells members that follow nobody, or an older primary, to follow the leader. This is how an
+    /// old primary rejoins. Any process may send the call, because a term has only one primary.
     fn reattach_members(&mut self, now_us: u64, leader: Leader, actions: &mut Vec<Action>) {
         let detached: Vec<usize> = (0..self.members().count())
             .filter(|&member| self.is_detached(member, leader))
@@ -65,8 +65,8 @@
         }
     }
 
-    /// How often a member is told to follow: seldom while it does not answer, so that calls to a
-    /// member that is gone do not pile up at its connection.
+    /// Returns the interval of follow calls to a member. It is long while the member does not
+    /// answer, so that calls to a failed member do not accumulate on its connection.
     fn follow_every_us(&self, member: usize) -> u64 {
         let sent_us = self.sent[member].map(|sent| sent.sent_us);
         let heard_us = self.reports.latest(member).map(|(at_us, _)| at_us);
@@ -84,7 +84,8 @@
             })
     }
 
-    /// The driver of the leader's term acts at once; others act in its place after a while.
+    /// Returns when this process may act: the driver of the leader's term immediately, others after
+    /// a delay.
     fn turn_us(&self, leader: Leader, since_us: u64) -> u64 {
         if self.driven_term == Some(leader.term) {
             return since_us;
@@ -92,7 +93,7 @@
         since_us.saturating_add(self.settings.driver_timeout_us).saturating_add(self.stagger_us())
     }
 
-    /// Writes the lead record where it lags behind what the members decided.
+    /// Updates the lead record if it differs from what the members decided.
     fn correct_record(&mut self, now_us: u64, actions: &mut Vec<Action>) {
         let Some(leader) = self.announced.filter(|&leader| self.leader == Some(leader)) else {
             return;
@@ -119,7 +120,8 @@
         self.awaits_platform(now_us);
     }
 
-    /// Whether a call to the platform is under way; one that takes too long is given up.
+    /// Returns whether a call to the platform is in progress. A call that takes too long is given
+    /// up.
     fn awaits_platform(&mut self, now_us: u64) -> bool {
         let Some(open) = &self.lead.open else { return false };
         let until_us = open.sent_us.saturating_add(self.settings.claim_timeout_us);
@@ -132,7 +134,7 @@
         false
     }
 
-    /// The record as it should be, if it is not.
+    /// Returns the correct record if it differs from the present one.
     fn corrected_record(&mut self, now_us: u64, leader: Leader) -> Option<LeadRecord> {
         let primary = self.member_name(leader.member);
         let driver = self.status(leader.member)?.raised_by.clone();
@@ -144,7 +146,7 @@
         let expected = LeadRecord { term: leader.term, driver, primary, wanted, plan };
         let Some(record) = known else { return Some(expected) };
         if record.term > leader.term && !abandoned {
-            // A claim under way is not to be disturbed; one that led to nothing is dead.
+            // A claim in progress must not be overwritten; one that had no effect for long is dead.
             let claim_expires_us = self
                 .lead
                 .seen_us()
@@ -160,8 +162,8 @@
         (!is_current).then_some(expected)
     }
 
-    /// Holds writes back while the record shows a planned move that is under way, whoever drives
-    /// it, and never longer than the bound: the driver may have died.
+    /// Holds back writes while the record shows a planned move in progress, whichever process
+    /// drives it, but never longer than the limit: the driver may have died.
     pub(super) fn update_hold(&mut self, now_us: u64, actions: &mut Vec<Action>) {
         let until_us = self.hold_until_us();
         let holds = until_us.is_some_and(|until_us| now_us < until_us);
@@ -177,8 +179,8 @@
     fn hold_until_us(&self) -> Option<u64> {
         let record = self.record()?;
         let announced_term = self.announced?.term;
-        // Once begun, holding lasts until the new primary is announced here, also when the record
-        // names it earlier: writes sent to the old one would only be refused.
+        // A hold lasts until this process announces the new primary, even if the record names it
+        // earlier: writes sent to the old primary would only be refused.
         let begins = record.primary.is_empty() && self.requested_member().is_some();
         let continues = self.holding && !record.primary.is_empty();
         let moving = record.term > announced_term && (begins || continues);
--- a/crates/core/src/process/failover/mod.rs
+++ b/crates/core/src/process/failover/mod.rs
@@ -1,37 +1,41 @@
-//! Replacing a group's primary, unplanned or by an operator's wish.
+//! Replacement of a group's primary, after a failure or at the request of an operator.
 //!
-//! Each home of a group runs a [`FailoverDriver`]. Events go in, [`Action`]s come out; the embedder
-//! makes the calls. A change of primary has these steps:
+//! Each home of a group runs a [`FailoverDriver`]. It takes in events and returns [`Action`]s,
+//! which the embedder carries out. A change of primary has these steps:
 //!
-//! 1. *Canvass.* The driver starts when it has a [`Cause`] and its turn has come: candidates wait by
-//!    rank, and longer when another driver was seen at work. A quorum of members must answer first,
-//!    so that a process cut off from the quorum does not raise terms on the few that it reaches.
-//! 2. *Claim.* A conditional update of the group's lead record names the driver. This keeps
-//!    candidates from duelling and has no part in safety, so a platform that doesn't answer within
-//!    a short bound is left aside. A lost answer is read back.
-//! 3. *Fence.* The driver raises a term above all that it has seen on a quorum of members. A member
-//!    gives one driver its vote of a term. A driver that loses backs off and takes a higher term.
-//! 4. *Promote.* The highest log of the fenced quorum leads: it holds every acknowledged record
-//!    (see [`acknowledgement`](super::acknowledgement)). A term is never used for a second member.
-//! 5. *Open.* The others follow. The new primary is announced once a quorum confirms the record that
-//!    opens its term.
+//! 1. *Quorum check.* The driver starts when it has a [`Cause`] and its turn has come: candidates
+//!    wait according to their rank, and longer after another driver was seen at work. A quorum of
+//!    members must answer first, so that a process without a path to a quorum does not raise terms
+//!    on the few members that it reaches.
+//! 2. *Claim.* A conditional update of the group's lead record names the driver. This prevents
+//!    candidates from competing and is not needed for safety, so a platform that doesn't answer
+//!    within a short time limit is skipped. After a lost answer the record is read.
+//! 3. *Fence.* The driver raises a term higher than all that it has seen on a quorum of members. A
+//!    member gives its vote of a term to one driver only. A driver that loses backs off and takes a
+//!    higher term.
+//! 4. *Promote.* The member of the fenced quorum with the highest log is promoted: it holds every
+//!    acknowledged record (see [`acknowledgement`](super::acknowledgement)). A term is never used
+//!    for a second member.
+//! 5. *Open.* The other members follow. The new primary is announced once a quorum has confirmed
+//!    the record that opens its term.
 //!
-//! The driver may die or pause anywhere. Nothing that it leaves behind needs to be taken over: any
-//! candidate completes the change in a higher term, and a call that comes late finds the term
-//! raised. A late promotion can succeed only at a member outside the later fence, which then leads
-//! a term in which no quorum will ever confirm.
+//! The driver may die or pause at any point. Its unfinished work needs no recovery: any candidate
+//! completes the change in a higher term, and a late call finds the term raised. A late promotion
+//! can succeed only at a member outside the later fence, which then leads a term in which no quorum
+//! will ever confirm a record.
 //!
-//! A planned move holds writes back at every process that sees the claim, waits until the wanted
-//! member's log equals the primary's, and goes on from step 3; past its bound it releases the writes
-//! and clears the wish.
+//! A planned move holds back writes at every process that sees the claim, waits until the log of
+//! the wanted member equals the primary's, and continues with step 3. If this exceeds its time
+//! limit, writes are released and the request is removed from the record.
 //!
-//! The driver's name is its vote's identity and must be unique to one [`FailoverDriver`], also among
-//! those that one process makes one after the other. Otherwise a driver that has forgotten its former
-//! self's promotion would take up its votes and could promote a second member in the same term.
+//! The driver's name identifies its votes and must be unique to one [`FailoverDriver`], also among
+//! those that one process creates one after the other. Otherwise a driver without knowledge of the
+//! promotion by its predecessor would take over the predecessor's votes and could promote a second
+//! member in the same term.
 //!
 //! The scheme is the leader change of Raft (Ongaro and Ousterhout 2014) and of Viewstamped
-//! Replication (Liskov and Cowling 2012), with the vote collected by a third party because members
-//! are databases that do not talk to each other about elections.
+//! Replication (Liskov and Cowling 2012), with the votes collected by a third party because members
+//! are databases that do not communicate about elections.
 
 use crate::log_position::Term;
 use crate::member_status::MemberStatus;
@@ -65,16 +69,16 @@
 
 use record::LeadView;
 
-/// Where a change of primary stands.
+/// The phase of a change of primary.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 enum Phase {
-    /// No change is under way here.
+    /// No change is in progress at this process.
     Idle,
-    /// Waiting for a quorum of members to answer.
+    /// Waiting for answers of a quorum of members.
     CheckingQuorum { cause: Cause, since_us: u64 },
     /// Waiting for the platform to name this driver.
     Claiming { cause: Cause, term: Term, deadline_us: u64 },
-    /// Writes are held back until the wanted member is level with the primary.
+    /// Holding back writes until the log of the wanted member equals the primary's.
     Holding { term: Term, wanted: usize, since_us: u64 },
     /// Collecting votes.
     Fencing { cause: Cause, term: Term, since_us: u64 },
@@ -82,58 +86,58 @@
     Promoting { term: Term, member: usize, since_us: u64 },
 }
 
-/// A call last made to a member, kept to space repeats.
+/// The last call to a member, kept to space repetitions.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct SentCall {
     call: MemberCall,
     sent_us: u64,
 }
 
-/// The driver of one group's changes of primary at one process.
+/// The failover driver of one group at one process.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct FailoverDriver {
     settings: FailoverSettings,
     name: String,
     rank: u32,
     profiles: Vec<MemberProfile>,
-    /// Where the back-off's randomness comes from.
+    /// The seed of the back-off's jitter.
     seed: u64,
-    /// The members' reports, and what they prove.
+    /// The reports of the members and the positions that they confirm.
     reports: Acknowledgement,
     leader: Option<Leader>,
     announced: Option<Leader>,
     suspected: Option<Term>,
     /// When another driver was last seen to raise a member's term.
     rival_seen_us: Option<u64>,
-    /// The present reason for a change, and since when it stands.
+    /// The present cause of a change, and the time since which it has existed.
     cause: Option<(Cause, u64)>,
-    /// No new change before this time.
+    /// The time before which no new change starts.
     not_before_us: u64,
     losses: u32,
-    /// The last promotion asked for, which no other of the same term may follow.
+    /// The last requested promotion. No other member may be promoted in the same term.
     promoted: Option<Leader>,
-    /// The term of the last change driven here, for its trace.
+    /// The term of the last change that this driver started.
     driven_term: Option<Term>,
     lead: LeadView,
     phase: Phase,
     sent: Vec<Option<SentCall>>,
     next_call: u64,
     holding: bool,
-    /// Since when the leader has been known here.
+    /// The time since which this process has known the leader.
     leader_since_us: u64,
-    /// The version of the lead record whose wish was given up.
+    /// The version of the lead record whose requested move was abandoned.
     abandoned_version: Option<u64>,
-    /// Since when the lead record has differed from what the members decided.
+    /// The time since which the lead record has differed from what the members decided.
     record_stale_since_us: Option<u64>,
-    /// The lead record is not corrected again before this time.
+    /// The time before which the lead record is not corrected again.
     platform_retry_us: u64,
     wake_us: Option<u64>,
     timer_us: Option<u64>,
 }
 
 impl FailoverDriver {
-    /// A driver that knows nothing yet. `name` must never have been used by another driver, and the
-    /// seed should differ between processes.
+    /// Creates a driver without any knowledge of the group. `name` must never have been used by
+    /// another driver, and the seed should differ between processes.
     pub fn new(
         settings: FailoverSettings,
         name: &str,
@@ -173,37 +177,37 @@
         }
     }
 
-    /// The name in which members are raised and promoted and the lead record is claimed.
+    /// Returns the name in which the driver raises and promotes members and claims the lead record.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// The member set that the driver works with.
+    /// Returns the member set that the driver works with.
     pub fn members(&self) -> &MemberSet {
         self.reports.members()
     }
 
-    /// The primary of the highest term that any member reported, announced or not.
+    /// Returns the primary of the highest term that any member reported, announced or not.
     pub fn leader(&self) -> Option<Leader> {
         self.leader
     }
 
-    /// The primary that was last announced.
+    /// Returns the primary that was last announced.
     pub fn announced(&self) -> Option<Leader> {
         self.announced
     }
 
-    /// What the reports given to this driver prove.
+    /// Returns the confirmation tracker, which holds the reports passed to this driver.
     pub fn acknowledgement(&self) -> &Acknowledgement {
         &self.reports
     }
 
-    /// Whether new writes are to be held back now.
+    /// Returns whether new writes must be held back now.
     pub fn holding(&self) -> bool {
         self.holding
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn on_event(&mut self, now_us: u64, event: &Event, actions: &mut Vec<Action>) {
         self.wake_us = None;
         if *event == Event::Timer {
@@ -224,7 +228,7 @@
                 self.record_report(now_us, *member, status);
                 self.clear_suspicion(*member, status);
             }
-            // The call is repeated when its time has come; nothing is known of its effect.
+            // The effect of the call is unknown; it is repeated after its interval.
             Event::MemberFailed { .. } => {}
             Event::LeadSeen { version, record } => {
                 self.lead.observe_version(now_us, *version, record.as_ref());
@@ -246,7 +250,7 @@
         }
     }
 
-    /// Goes through the steps as far as the known facts carry.
+    /// Moves through the phases as far as the known state allows.
     fn advance(&mut self, now_us: u64, actions: &mut Vec<Action>) {
         loop {
             let next = match self.phase.clone() {
@@ -274,7 +278,7 @@
         }
     }
 
-    /// Makes a call to a member unless the same call went out a moment ago.
+    /// Calls a member unless the same call was sent less than `every_us` ago.
     fn call_member(
         &mut self,
         now_us: u64,
@@ -329,7 +333,7 @@
         self.promoted = self.promoted.and_then(moved);
         self.reports.change_members(members.clone());
         self.sent = vec![None; members.count()];
-        // The votes and places of a change under way belong to the old set.
+        // The votes and member indexes of a change in progress belong to the old set.
         if self.phase != Phase::Idle {
             self.phase = Phase::Idle;
             self.not_before_us = now_us;
@@ -337,12 +341,12 @@
         self.update_leader(now_us);
     }
 
-    /// The latest report of a member.
+    /// Returns the latest report of a member.
     fn status(&self, member: usize) -> Option<&MemberStatus> {
         self.reports.latest(member).map(|(_, status)| status)
     }
 
-    /// A suspected primary that answers a call is not gone.
+    /// Drops the suspicion of a primary that answers a call as such during the quorum check.
     fn clear_suspicion(&mut self, member: usize, status: &MemberStatus) {
         let is_checking = matches!(self.phase, Phase::CheckingQuorum { .. });
         let leads = self
--- a/crates/core/src/process/failover/planned_move.rs
+++ b/crates/core/src/process/failover/planned_move.rs
@@ -1,4 +1,4 @@
-//! Moving the primary to the member that an operator wants.
+//! Moves the primary to the member that an operator requested.
 
 use super::Action;
 use super::Cause;
@@ -9,7 +9,8 @@
 use crate::log_position::Term;
 
 impl FailoverDriver {
-    /// The member that the lead record asks for, unless the wish was given up.
+    /// Returns the member that the lead record requests as primary, unless the request was
+    /// abandoned.
     pub(super) fn requested_member(&self) -> Option<usize> {
         if self.abandoned() {
             return None;
@@ -17,19 +18,20 @@
         self.members().index_of(&self.record()?.wanted)
     }
 
-    /// Whether the wish in the present version of the record was given up.
+    /// Returns whether the request in the present version of the record was abandoned.
     pub(super) fn abandoned(&self) -> bool {
         self.abandoned_version == Some(self.lead.seen_version())
     }
 
-    /// The member that is wished for and does not lead yet.
+    /// Returns the requested member if it does not lead yet.
     pub(super) fn wanted_member(&self) -> Option<usize> {
         let wanted = self.requested_member()?;
         let leads = self.leader.is_some_and(|leader| leader.member == wanted);
         (!leads).then_some(wanted)
     }
 
-    /// Whether the wanted member lacks so little that holding writes back will be short.
+    /// Returns whether the wanted member is so close behind the primary that writes need to be held
+    /// back only briefly.
     pub(super) fn is_close_to_primary(&self, wanted: usize) -> bool {
         let Some(leader) = self.leader else { return false };
         let (Some(target), Some(primary)) = (self.status(wanted), self.status(leader.member))
@@ -73,7 +75,7 @@
         None
     }
 
-    /// Whether reports of both members from after the settling time show equal logs.
+    /// Returns whether reports of both members from after the settling time show equal logs.
     fn logs_equal_since(&self, settled_us: u64, primary: usize, wanted: usize) -> bool {
         let (Some((primary_us, of_primary)), Some((wanted_us, of_wanted))) =
             (self.reports.latest(primary), self.reports.latest(wanted))
@@ -101,12 +103,12 @@
         }
     }
 
-    /// Forgets the wish: the record is corrected by the upkeep.
+    /// Abandons the request. The maintenance removes it from the record.
     pub(super) fn abandon_move(&mut self) {
         self.abandoned_version = Some(self.lead.seen_version());
     }
 
-    /// Gives up a wish whose member has not come near in time.
+    /// Abandons a request whose member has not come close to the primary in time.
     pub(super) fn enforce_move_deadline(&mut self, now_us: u64, actions: &mut Vec<Action>) {
         let begun = !matches!(self.phase, Phase::Idle | Phase::CheckingQuorum { .. });
         if begun || self.wanted_member().is_none() {
--- a/crates/core/src/process/failover/record.rs
+++ b/crates/core/src/process/failover/record.rs
@@ -4,16 +4,16 @@
 use crate::log_position::Term;
 use crate::version::objects::LeadRecord;
 
-/// What a call to the platform is for.
+/// The purpose of a call to the platform.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub(super) enum CallKind {
     /// A conditional update with this record.
     Update(LeadRecord),
-    /// Reading the record.
+    /// A read of the record.
     Read,
 }
 
-/// The call that is under way.
+/// The call in progress.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub(super) struct OpenCall {
     pub(super) call: PlatformCall,
@@ -21,15 +21,15 @@
     pub(super) sent_us: u64,
 }
 
-/// The newest version of the lead record, and the call about it.
+/// The newest known version of the lead record, and the call in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 pub(super) struct LeadView {
-    /// The version that an update would expect; unknown before the first sight of it and after
-    /// an update whose effect is not known.
+    /// The version that an update expects; unknown before the first observation and after an update
+    /// with an unknown result.
     pub(super) version: Option<u64>,
     record: Option<LeadRecord>,
     seen_version: u64,
-    /// When this version was first seen.
+    /// The time at which this version was first seen.
     seen_us: u64,
     pub(super) open: Option<OpenCall>,
 }
@@ -39,7 +39,7 @@
         self.record.as_ref()
     }
 
-    /// The newest version seen.
+    /// Returns the newest version that was seen.
     pub(super) fn seen_version(&self) -> u64 {
         self.seen_version
     }
@@ -48,7 +48,8 @@
         self.seen_us
     }
 
-    /// Takes in a version from the watch. Late sights of older versions change nothing.
+    /// Records a version of the record that was seen. Versions older than the newest one are
+    /// ignored.
     pub(super) fn observe_version(
         &mut self,
         now_us: u64,
@@ -67,7 +68,7 @@
         self.version = Some(version);
     }
 
-    /// When another driver's claim of a term above the leader's was seen.
+    /// Returns when another driver's claim of a term above the leader's was seen.
     pub(super) fn rival_claim_us(&self, name: &str, leader_term: Term) -> Option<u64> {
         let record = self.record.as_ref()?;
         let rival = record.term > leader_term && record.driver != name && record.primary.is_empty();
--- a/crates/core/src/process/failover/settings.rs
+++ b/crates/core/src/process/failover/settings.rs
@@ -1,38 +1,43 @@
-//! Bounds of the failover driver.
+//! The settings of the failover driver.
 
 use crate::process::acknowledgement::StallSettings;
 
-/// Bounds of the failover driver, in microseconds. The defaults are for zones about 1.5 ms apart.
+/// The settings of the failover driver. Times are in microseconds. The defaults are for zones about
+/// 1.5 ms apart.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct FailoverSettings {
-    /// How much longer each candidate waits than the one ranked before it.
+    /// The additional delay of each candidate relative to the one ranked before it.
     pub stagger_us: u64,
-    /// How long the platform may take to agree on the driver before the votes alone decide.
+    /// The time limit of the claim at the platform, after which the votes alone decide.
     pub claim_timeout_us: u64,
-    /// After how long an unanswered member call is sent again.
+    /// The time after which an unanswered call to a member is repeated.
     pub resend_interval_us: u64,
-    /// How long a driver may take from its claim to an open term before others take over.
+    /// The time that a driver may take from its claim to an open term before others take over.
     pub driver_timeout_us: u64,
-    /// How long after the start or a loss without any primary a candidate waits before it acts.
+    /// How long a candidate waits after the start, or after the loss of any known primary, before
+    /// it acts.
     pub no_leader_delay_us: u64,
-    /// How recent a report must be to show that a member is reachable.
+    /// The maximum age of a report that shows that a member is reachable.
     pub report_max_age_us: u64,
-    /// The shortest back-off after a lost vote; it doubles up to 16 times this.
+    /// The first back-off after a lost vote; it doubles up to 16 times this.
     pub backoff_us: u64,
-    /// How long writes may be held back for a planned move.
+    /// The time limit of holding back writes for a planned move.
     pub max_hold_us: u64,
-    /// How long writes must have been held back before the logs are compared: the time in which
-    /// the other processes learn of the move and the writes under way end.
+    /// How long writes must have been held back before the logs are compared: the time in which the
+    /// other processes learn of the move and the writes in progress end.
     pub hold_settle_us: u64,
-    /// How often the two members of a planned move are asked while writes are held back.
+    /// The interval at which the two members of a planned move are polled while writes are held
+    /// back.
     pub hold_poll_interval_us: u64,
-    /// How long an operator's wanted primary may take to come near before the move is given up.
+    /// The time that a requested primary may take to come close to the present one before the move
+    /// is abandoned.
     pub move_timeout_us: u64,
-    /// How many records the wanted primary may lack when writes begin to be held back.
+    /// The number of records by which the wanted primary may lag when writes begin to be held back.
     pub move_lag_records: u64,
-    /// How often the upkeep repeats: followers that must be sent again, a record that lags.
+    /// The interval at which maintenance repeats calls to detached members and corrections of the
+    /// lead record.
     pub maintenance_interval_us: u64,
-    /// The bounds of the confirmation tracker.
+    /// The time limits of the confirmation tracker.
     pub stall: StallSettings,
 }
 
--- a/crates/core/src/process/failover/verify.rs
+++ b/crates/core/src/process/failover/verify.rs
@@ -1,4 +1,4 @@
-//! Invariants of the failover driver.
+//! The invariants of the failover driver.
 
 use super::FailoverDriver;
 use super::Phase;
@@ -8,29 +8,29 @@
 /// A broken invariant of [`FailoverDriver`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum FailoverViolation {
-    /// The confirmation tracker is broken.
+    /// The confirmation tracker is inconsistent.
     Reports(AcknowledgementViolation),
-    /// The tables do not match the member set.
+    /// The length of a per-member table differs from the size of the member set.
     WrongNumberOfMembers,
-    /// A leader was announced in a term in which no quorum confirmed anything.
+    /// A leader was announced in a term in which no quorum confirmed a record.
     AnnouncedUnopened {
-        /// The term.
+        /// The term of the announced leader.
         term: Term,
     },
-    /// A change works in a term that it has not chosen as its own.
+    /// The change in progress has another term than the one that this driver started.
     ForeignTerm {
-        /// The term.
+        /// The term of the change.
         term: Term,
     },
-    /// A member is being promoted that is not the one noted for its term.
+    /// The member that is being promoted is not the one recorded for its term.
     SecondPromotion {
-        /// The term.
+        /// The term of the promotion.
         term: Term,
     },
 }
 
 impl FailoverDriver {
-    /// Every broken invariant.
+    /// Returns every broken invariant.
     pub fn verify(&self) -> Vec<FailoverViolation> {
         let mut violations: Vec<FailoverViolation> =
             self.reports.verify().into_iter().map(FailoverViolation::Reports).collect();
--- a/crates/core/src/process/failover/view.rs
+++ b/crates/core/src/process/failover/view.rs
@@ -1,4 +1,4 @@
-//! What the members' reports say about who leads.
+//! Derives the leader from the reports of the members.
 
 use super::FailoverDriver;
 use super::Leader;
@@ -7,7 +7,7 @@
 use crate::member_status::Role;
 
 impl FailoverDriver {
-    /// Takes in a report and derives the leader from it.
+    /// Records a report and updates the leader.
     pub(super) fn record_report(&mut self, now_us: u64, member: usize, status: &MemberStatus) {
         if member >= self.members().count() {
             return;
@@ -15,7 +15,7 @@
         let raised_before = self.status(member).map(|known| known.raised_term);
         self.reports.report(now_us, member, status);
         let raised_now = self.status(member).map(|known| known.raised_term);
-        // The first report shows a state, not an act.
+        // The first report of a member shows its state, not that it was raised just now.
         let raised = raised_before.is_some() && raised_now > raised_before;
         if raised && status.raised_by != self.name && status.role != Role::Primary {
             self.rival_seen_us = Some(now_us);
@@ -23,7 +23,7 @@
         self.update_leader(now_us);
     }
 
-    /// Finds the primary of the highest term.
+    /// Sets the leader to the primary of the highest term.
     pub(super) fn update_leader(&mut self, now_us: u64) {
         let leader = (0..self.members().count())
             .filter_map(|member| {
@@ -38,9 +38,9 @@
         }
     }
 
-    /// The leader by the lead record, for a process that starts and has not heard the primary yet:
-    /// the replicas are in its term. It is watched like any other, so that a process does not depose
-    /// a primary only because it never reached it.
+    /// Returns the leader according to the lead record, for a process that has started and has no
+    /// report of the primary yet, if the replicas are in its term. It is monitored like any other,
+    /// so that a process does not depose a primary only because it never reached it.
     fn recorded_leader(&self) -> Option<Leader> {
         let record = self.record()?;
         let member = self.members().index_of(&record.primary)?;
@@ -53,7 +53,7 @@
         (opened && in_term && !contradicts).then_some(Leader { term: record.term, member })
     }
 
-    /// The highest term that any report or the lead record shows.
+    /// Returns the highest term in any report, in the lead record, or of a change by this driver.
     pub(super) fn highest_term(&self) -> Term {
         let raised = (0..self.members().count())
             .filter_map(|member| self.status(member).map(|status| status.raised_term))
@@ -63,13 +63,13 @@
         raised.max(recorded).max(driven_term).unwrap_or_default()
     }
 
-    /// The term of the known leader, or zero.
+    /// Returns the term of the known leader, or zero.
     pub(super) fn leader_term(&self) -> Term {
         self.leader.map_or(Term::default(), |leader| leader.term)
     }
 
-    /// Whether a member promised itself to a higher term than the leader's: it will neither confirm
-    /// nor follow in the leader's term any more.
+    /// Returns whether a member promised itself to a higher term than the leader's. Such a member
+    /// neither confirms nor follows in the leader's term any more.
     pub(super) fn has_higher_term_member(&self) -> bool {
         (0..self.members().count()).any(|member| {
             self.status(member).is_some_and(|status| status.raised_term > self.leader_term())
@@ -77,8 +77,8 @@
     }
 }
 
-/// Whether a report shows a primary that opened its term. Nobody opens term zero: what a member says
-/// of itself before its first promotion was decided by no majority.
+/// Returns whether a report shows a primary that opened its term. Term zero is never open: the role
+/// of a member before its first promotion was decided by no majority.
 fn leads_open_term(status: &MemberStatus) -> bool {
     status.role == Role::Primary
         && status.log.term == status.raised_term
--- a/crates/core/src/process/homes.rs
+++ b/crates/core/src/process/homes.rs
@@ -1,13 +1,14 @@
-//! Which proxies are home to a target: the few that connect to it.
+//! Determines which VMs are home to a target, that is, connect to it.
 //!
-//! A target with 16 connections can't be dialled by hundreds of proxies. Each target has a few homes
-//! among the VMs of its own zone, ranked by rendezvous hashing (Thaler and Ravishankar, "Using
-//! name-based mappings to increase hit rates"): every proxy computes the same score for each pair of
-//! target and VM from their names alone, and the VMs with the highest scores are the homes. A VM
-//! that goes moves only the targets that it was home to. No proxy tells another about homes; two
-//! whose lists of VMs differ for a while differ only about the targets that the difference touches.
+//! A target with 16 connections can't be dialled by hundreds of proxies. Each target has a few
+//! homes among the VMs of its own zone, ranked by rendezvous hashing (Thaler and Ravishankar,
+//! "Using name-based mappings to increase hit rates"): every proxy computes the same score for each
+//! pair of target and VM from their names alone, and the VMs with the highest scores are the homes.
+//! The loss of a VM moves only the targets that it was home to. Proxies exchange no messages about
+//! homes; two whose lists of VMs differ for a while disagree only about the targets that the
+//! difference affects.
 //!
-//! When a zone has no usable VM, the VMs of the other zones take its targets over.
+//! If a zone has no usable VM, the VMs of the other zones become homes of its targets.
 
 use xxhash_rust::xxh3;
 
@@ -16,22 +17,23 @@
 use crate::ids::ZoneId;
 use crate::version::topology::Topology;
 
-/// How many homes a target has unless the settings say otherwise.
+/// The default number of homes per target.
 pub const DEFAULT_HOMES: usize = 2;
 
-/// How many VMs of a zone watch the platform for the others.
+/// The number of VMs of a zone that watch the platform on behalf of the others.
 pub const WATCHERS_PER_ZONE: usize = 2;
 
-/// Seeds of the hashes. They are part of the protocol: proxies with other seeds disagree.
+/// Seeds of the hashes. They are part of the protocol: proxies with different seeds compute
+/// different homes.
 const VM_SEED: u64 = 0x5b1d_03c7_9e42_a6f1;
 const TARGET_SEED: u64 = 0x2c94_7ae5_613b_d08f;
 const USER_SEED: u64 = 0x81f6_22d9_0c4b_e735;
 const PAIR_SEED: u64 = 0xd30f_86b2_47c9_51e4;
 
-/// The part of a target's connections that the home of this rank may open.
+/// Returns the share of a target's connections that the home of this rank may open.
 ///
-/// The parts of all ranks together are exactly `connections`. A rank beyond the connections gets
-/// none.
+/// The shares of all ranks add up to exactly `connections`. If there are fewer connections than
+/// homes, the highest-numbered ranks get none; a rank at or beyond `homes` gets none.
 pub fn connection_share(connections: u32, homes: usize, rank: usize) -> u32 {
     if rank >= homes {
         return 0;
@@ -41,7 +43,7 @@
     connections / homes + remainder
 }
 
-/// A place in the ranking: the score, and the name's hash and index to settle equal scores.
+/// An entry of a ranking: the score, with the hash of the VM's name and its index as tie-breakers.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 struct Ranked {
     score: u64,
@@ -49,7 +51,7 @@
     vm: VmId,
 }
 
-/// What the ranking knows of a VM.
+/// The attributes of a VM that the ranking uses.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     hash: u64,
@@ -57,7 +59,7 @@
     usable: bool,
 }
 
-/// What the ranking knows of a target.
+/// The attributes of a target that the ranking uses.
 #[derive(Clone, Copy, Debug)]
 struct TargetKey {
     hash: u64,
@@ -77,8 +79,8 @@
 }
 
 impl Homes {
-    /// Ranks the VMs of a version. `usable` says for each VM whether it gets work, indexed by
-    /// [`VmId`]; see `process/membership.rs`.
+    /// Ranks the VMs of a version for every target. `usable` says for each VM, indexed by [`VmId`],
+    /// whether it may receive work; see `process/membership.rs`.
     pub fn build(topology: &Topology, usable: &[bool], homes_per_target: usize) -> Homes {
         let zones = topology.zones.len();
         let mut homes = Homes {
@@ -106,22 +108,22 @@
         homes
     }
 
-    /// The homes of a target in order of rank.
+    /// Returns the homes of a target in order of rank.
     pub fn of(&self, target: TargetId) -> &[VmId] {
         &self.homes[target.index()]
     }
 
-    /// The homes of all targets, indexed by [`TargetId`].
+    /// Returns the homes of all targets, indexed by [`TargetId`].
     pub fn all(&self) -> &[Vec<VmId>] {
         &self.homes
     }
 
-    /// The rank of a VM among the homes of a target.
+    /// Returns the rank of a VM among the homes of a target, or `None` if it is not a home.
     pub fn rank_of(&self, target: TargetId, vm: VmId) -> Option<usize> {
         self.of(target).iter().position(|home| *home == vm)
     }
 
-    /// Changes whether a VM gets work, and ranks again only the targets that this touches.
+    /// Sets whether a VM may receive work, and recomputes only the affected targets.
     ///
     /// Returns the targets whose homes changed.
     pub fn set_usable(&mut self, vm: VmId, usable: bool) -> Vec<TargetId> {
@@ -131,8 +133,9 @@
         }
         candidate.usable = usable;
         let zone = candidate.zone;
-        // The last usable VM of a zone that goes, or the first that comes, moves the zone's targets
-        // to or from the other zones; and a zone without any depends on all the others.
+        // When the last usable VM of a zone is lost or the first one returns, the zone's targets
+        // move to or from the other zones. The homes of a zone without usable VMs depend on the VMs
+        // of all other zones.
         let mut changed = Vec::new();
         for index in 0..self.targets.len() {
             let target = TargetId(index as u32);
@@ -146,13 +149,13 @@
         changed
     }
 
-    /// The VMs of a zone that watch the platform for the others, in order of rank.
+    /// Returns the VMs of a zone that watch the platform on behalf of the others, in order of rank.
     pub fn watchers(&self, zone: ZoneId) -> Vec<VmId> {
         let vms = self.vms_by_zone[zone.index()].iter().copied();
         self.best(self.zone_hashes[zone.index()], vms, WATCHERS_PER_ZONE)
     }
 
-    /// Every violated invariant.
+    /// Returns every violated invariant.
     pub fn verify(&self) -> Vec<String> {
         let mut problems = Vec::new();
         for (index, homes) in self.homes.iter().enumerate() {
@@ -231,8 +234,8 @@
     }
 }
 
-/// The VMs that rank highest for a target, by name: the ranking of [`Homes`] where there is no
-/// topology. Returns their places in `vms`, the best first.
+/// Returns the indexes in `vms` of the VMs that rank highest for a target, best first. This is the
+/// ranking of [`Homes`] for uses without a topology.
 pub fn rank_names(target: &str, vms: &[&str], count: usize) -> Vec<usize> {
     let key = hash_name(target, TARGET_SEED);
     let mut indexes: Vec<usize> = (0..vms.len()).collect();
@@ -241,21 +244,21 @@
     indexes
 }
 
-/// How many of these VMs rank higher for a target than `own` does.
+/// Returns how many of `vms` rank higher for a target than `own`.
 pub fn rank_of(target: &str, vms: &[&str], own: &str) -> usize {
     let key = hash_name(target, TARGET_SEED);
     let own = name_score(key, own);
     vms.iter().filter(|vm| name_score(key, vm) > own).count()
 }
 
-/// The place of a VM in the ranking for a target: higher is better.
+/// Returns the ranking key of a VM for a target; the highest key ranks first.
 fn name_score(key: u64, vm: &str) -> (u64, u64) {
     let vm_hash = hash_name(vm, VM_SEED);
     (score(key, vm_hash), vm_hash)
 }
 
-/// The place of a home in the ranking of a target's homes for one user's connections: higher is better. All VMs
-/// find the same one, so that a user's connections to a target lie in one process.
+/// Returns the score of a home of a target for the connections of one user; the highest score wins.
+/// All VMs compute the same scores, so a user's connections to a target are in one process.
 pub fn user_score(target: &str, user: &str, vm: &str) -> u64 {
     let key = hash_name(target, TARGET_SEED) ^ hash_name(user, USER_SEED);
     score(key, hash_name(vm, VM_SEED))
--- a/crates/core/src/process/jitter.rs
+++ b/crates/core/src/process/jitter.rs
@@ -1,11 +1,13 @@
-//! Delays that differ between processes and tries, without a source of randomness.
+//! Deterministic jitter: delays that differ between processes and attempts without a source of
+//! randomness.
 //!
-//! Proxies that lost the same target at the same moment would come back at the same moment too.
-//! Each draws its delays from a seed of its own, such as a hash of its VM's name.
+//! Proxies that lose the same target at the same time would otherwise all retry at the same time.
+//! Each process derives its delays from its own seed, such as a hash of its VM's name.
 
 use xxhash_rust::xxh3;
 
-/// A delay below `span_us` (zero for a span of zero), the same for the same seed and step.
+/// Returns a delay below `span_us`, or zero if that is zero. It is the same for the same seed and
+/// step.
 pub fn below_us(seed: u64, step: u64, span_us: u64) -> u64 {
     match span_us {
         0 => 0,
@@ -13,13 +15,13 @@
     }
 }
 
-/// A delay between half of `delay_us` and all of it.
+/// Returns a delay between half of `delay_us` and all of it, both included.
 pub fn upper_half_us(seed: u64, step: u64, delay_us: u64) -> u64 {
     let fixed_us = delay_us / 2;
     fixed_us + below_us(seed, step, delay_us - fixed_us + 1)
 }
 
-/// A seed from a name.
+/// Returns the hash of a name, for use as a seed.
 pub fn seed_of(name: &str) -> u64 {
     xxh3::xxh3_64(name.as_bytes())
 }
--- a/crates/core/src/process/member_set.rs
+++ b/crates/core/src/process/member_set.rs
@@ -1,44 +1,44 @@
-//! The members of a group in one version, and which of them together make a quorum.
+//! The members of a group in one version, and the sets of members that form a quorum.
 //!
-//! Every safety argument of a group rests on one fact: the quorum that acknowledged a record and the
+//! The safety of a group rests on one property: the quorum that acknowledged a record and the
 //! quorum that fenced its term share a member. Within one version two majorities always do. Two
-//! neighbouring versions differ by one member at most, and majorities of `n` and of `n + 1` members
-//! share one too. Processes may be more than one version apart for a while, so a version that was
-//! entered by a change counts as joint until [`MemberSet::settle`]: its quorums are majorities of the
-//! version before as well. This bridges processes that are two versions apart.
+//! consecutive versions differ by at most one member, and majorities of `n` and of `n + 1` members
+//! share one as well. Processes may be more than one version apart for a while, so a version that
+//! follows another one is joint until [`MemberSet::settle`]: its quorums must also be majorities of
+//! the previous version. This covers processes that are two versions apart.
 //!
-//! The next version must not be accepted before two things hold of the present one: every process
-//! knows it, and a quorum of it has confirmed a record that was written after that. Without the
-//! first, a process that missed two changes counts quorums that share no member with the newest
-//! ones. Without the second, the writes that only the old members hold are lost once the set has
-//! moved away from them by two. Nothing here can check either; `skylark-spec` shows both failures
-//! (model `acknowledgement` without `known-set` and without `settled-record`).
+//! The next version must not be accepted before two conditions hold for the present one: every
+//! process knows it, and a quorum of it has confirmed a record that was written after that. Without
+//! the first condition, a process that missed two changes counts quorums that share no member with
+//! those of the newest version. Without the second, writes that only the old members hold are lost
+//! once the set has changed by two members. This module can check neither condition; `skylark-spec`
+//! shows both failures (model `acknowledgement` without `known-set` and without `settled-record`).
 
 use std::fmt;
 
-/// The most members that a group can have.
+/// The maximum number of members of a group.
 pub const MAX_MEMBERS: usize = 64;
 
-/// A set of members, by their places in the group's member list.
+/// A set of members, identified by their indexes in the group's member list.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct MemberMask(u64);
 
 impl MemberMask {
-    /// No member.
+    /// The empty set.
     pub const EMPTY: MemberMask = MemberMask(0);
 
-    /// Adds a member.
+    /// Adds a member, which must be below [`MAX_MEMBERS`].
     pub fn insert(&mut self, member: usize) {
-        debug_assert!(member < MAX_MEMBERS, "the member set bounds its length");
+        debug_assert!(member < MAX_MEMBERS, "the member index is out of range");
         self.0 |= 1 << member;
     }
 
-    /// Whether the member is in the set.
+    /// Returns whether the member is in the set.
     pub fn contains(self, member: usize) -> bool {
         member < MAX_MEMBERS && self.0 & (1 << member) != 0
     }
 
-    /// How many members are in the set.
+    /// Returns the number of members in the set.
     pub fn count(self) -> usize {
         self.0.count_ones() as usize
     }
@@ -61,14 +61,14 @@
     }
 }
 
-/// Why a version can't follow the present one.
+/// The reason for which a version can't follow the present one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MemberSetError {
-    /// The version is not newer.
+    /// The version number is not higher than the present one.
     NotNewer,
     /// More than one member was added or removed.
     ChangesMoreThanOne,
-    /// The set is empty, too large, or names a member twice.
+    /// The set is empty, has more than [`MAX_MEMBERS`] members, or names a member twice.
     BadMembers,
 }
 
@@ -84,12 +84,13 @@
     }
 }
 
-/// How the present version differs from the one before.
+/// The difference between the present version and the previous one.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 enum Change {
-    /// The member at this place is new.
+    /// The member at this index is new.
     Added(usize),
-    /// A member left. It is counted as confirming nothing, which is stricter than needed and safe.
+    /// A member was removed. It counts as confirming nothing, which is stricter than necessary but
+    /// safe.
     Removed,
 }
 
@@ -102,13 +103,14 @@
 }
 
 impl MemberSet {
-    /// The first version that this process knows.
+    /// Creates the first version that this process knows. It is not joint.
     pub fn new(version: u64, names: Vec<String>) -> Result<MemberSet, MemberSetError> {
         check_names(&names)?;
         Ok(MemberSet { version, names, unsettled: None })
     }
 
-    /// The next version. The members' places may move.
+    /// Creates the next version, which is joint if a member was added or removed. The indexes of
+    /// members may change.
     pub fn successor(&self, version: u64, names: Vec<String>) -> Result<MemberSet, MemberSetError> {
         check_names(&names)?;
         if version <= self.version {
@@ -126,37 +128,38 @@
         Ok(MemberSet { version, names, unsettled })
     }
 
-    /// Ends the joint phase: every process knows this version by now.
+    /// Ends the joint phase. Every process must know this version.
     pub fn settle(&mut self) {
         self.unsettled = None;
     }
 
-    /// The store's version of the group object.
+    /// Returns the store's version of the group object.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// How many members there are.
+    /// Returns the number of members.
     pub fn count(&self) -> usize {
         self.names.len()
     }
 
-    /// The members' names in order.
+    /// Returns the members' names in the order of their indexes.
     pub fn names(&self) -> &[String] {
         &self.names
     }
 
-    /// The place of the member with this name.
+    /// Returns the index of the member with this name.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.names.iter().position(|known| known == name)
     }
 
-    /// How many members make a majority of this version.
+    /// Returns the number of members that form a majority of this version.
     pub fn majority(&self) -> usize {
         majority(self.names.len())
     }
 
-    /// Whether these members make a quorum.
+    /// Returns whether these members form a quorum: a majority, and in a joint phase also a
+    /// majority of the previous version.
     pub fn is_quorum(&self, members: MemberMask) -> bool {
         let count = self.names.len();
         let of_present = members.count() >= majority(count);
--- a/crates/core/src/process/membership.rs
+++ b/crates/core/src/process/membership.rs
@@ -1,65 +1,67 @@
-//! Which VMs and targets get work: the platform's lagging list together with evidence of our own.
+//! Decides which VMs and targets receive work, from the platform's list and this process's own
+//! observations.
 //!
-//! The list goes on naming a VM for a while after it died or began to leave. Without evidence of
-//! our own, a request would be forwarded to it until the list catches up. So what this process sees
-//! itself counts at once: an answer that says "leaving" takes the VM or target out with one
-//! sighting, failures to connect after a few, since a single one may be a lost packet. Evidence
-//! expires, so that one that came back is tried again even if nobody told us; a healthy answer
-//! clears it before that. A VM that the list doesn't name is never used: evidence only takes away.
+//! The list keeps naming a VM for a while after the VM died or started to leave. Without local
+//! evidence, requests would be forwarded to it until the list catches up. So local evidence takes
+//! effect immediately: one "leaving" answer excludes a VM or target, and a few connection failures
+//! do, since a single one may be a lost packet. Evidence expires, so that a VM or target that came
+//! back is tried again without a notification; a healthy answer clears it earlier. A VM that is not
+//! in the list is never used: evidence can only exclude.
 
 use crate::FastMap;
 use crate::version::topology::Target;
 use crate::version::topology::Topology;
 use crate::version::topology::Vm;
 
-/// What this process saw of a VM or a target.
+/// An observation of a VM or a target by this process.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Evidence {
-    /// It answered, and takes work.
+    /// It answered and accepts work.
     Healthy,
     /// It answered that it is leaving, stopping or drained.
     Leaving,
-    /// Its machine refused or reset a connection: nothing listens there.
+    /// It refused or reset a connection: no process listens there.
     Refused,
-    /// It gave no answer in time.
+    /// It did not answer in time.
     Unreachable,
 }
 
-/// Whether a VM or a target gets work, and why not.
+/// Whether a VM or a target receives work, or the reason why not.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Standing {
-    /// It gets work.
+    /// It receives work.
     Usable,
-    /// The list or an operator says that it leaves.
+    /// It is leaving according to the list, or an operator drains it.
     ListedLeaving,
-    /// It said itself that it leaves.
+    /// It answered that it is leaving.
     ReportedLeaving,
-    /// It evidently does not answer.
+    /// It failed too often to be used.
     Unreachable,
     /// The list doesn't name it.
     Unknown,
 }
 
 impl Standing {
-    /// Whether it gets new work.
+    /// Returns whether new work may be sent to it.
     pub fn is_usable(self) -> bool {
         self == Standing::Usable
     }
 }
 
-/// How much evidence is needed, and how long it counts.
+/// The amount of evidence that is needed, and how long it counts.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct MembershipPolicy {
-    /// How long a "leaving" answer counts: longer than the platform's list lags.
+    /// How long a "leaving" answer counts, in microseconds. This must be longer than the platform's
+    /// list lags.
     pub leaving_expiry_us: u64,
-    /// How long failures count: long enough that they don't expire between two tries at a dead
-    /// VM, short enough that one that came back is soon found.
+    /// How long failures count, in microseconds: long enough that they don't expire between two
+    /// attempts to reach a dead VM, short enough that a VM that came back is soon used again.
     pub failure_expiry_us: u64,
-    /// How many points of failure take a VM or target out.
+    /// The number of failure points that exclude a VM or target.
     pub failure_limit: u32,
-    /// The points of a refused connection.
+    /// The failure points of a refused connection.
     pub refused_points: u32,
-    /// The points of a missing answer.
+    /// The failure points of a missing answer.
     pub unreachable_points: u32,
 }
 
@@ -75,7 +77,7 @@
     }
 }
 
-/// What was seen of one VM or target.
+/// The unexpired evidence about one VM or target.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 struct Record {
     leaving_until_us: u64,
@@ -114,7 +116,8 @@
     }
 }
 
-/// The evidence of this process, by name: names outlive the versions that number them.
+/// The evidence of this process. It is keyed by name because indexes change from version to
+/// version.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
     policy: MembershipPolicy,
@@ -123,29 +126,29 @@
 }
 
 impl Membership {
-    /// No evidence yet.
+    /// Creates a state without evidence.
     pub fn new(policy: MembershipPolicy) -> Membership {
         Membership { policy, ..Membership::default() }
     }
 
-    /// Takes evidence about a VM. Returns whether its standing may have changed.
+    /// Records evidence about a VM. Returns whether its standing may have changed.
     pub fn vm_seen(&mut self, vm: &str, evidence: Evidence, now_us: u64) -> bool {
         let policy = self.policy;
         apply_evidence(&mut self.vms, &policy, vm, evidence, now_us)
     }
 
-    /// Takes evidence about a target. Returns whether its standing may have changed.
+    /// Records evidence about a target. Returns whether its standing may have changed.
     pub fn target_seen(&mut self, target: &str, evidence: Evidence, now_us: u64) -> bool {
         let policy = self.policy;
         apply_evidence(&mut self.targets, &policy, target, evidence, now_us)
     }
 
-    /// The standing of a VM of a version.
+    /// Returns the standing of a listed VM.
     pub fn vm_standing(&self, vm: &Vm, now_us: u64) -> Standing {
         self.standing(self.vms.get(&vm.name), vm.leaving, now_us)
     }
 
-    /// The standing of a VM by name; one that the version doesn't list is unknown.
+    /// Returns the standing of a VM by name; [`Standing::Unknown`] if the version doesn't list it.
     pub fn vm_standing_by_name(&self, topology: &Topology, vm: &str, now_us: u64) -> Standing {
         match topology.vm_id(vm) {
             Some(id) => self.vm_standing(topology.vm(id), now_us),
@@ -153,19 +156,19 @@
         }
     }
 
-    /// The standing of a target of a version.
+    /// Returns the standing of a target.
     pub fn target_standing(&self, target: &Target, now_us: u64) -> Standing {
         self.standing(self.targets.get(&target.name), target.drain, now_us)
     }
 
-    /// Fills `usable` with one entry for each VM of the version, as `process/homes.rs` takes it.
+    /// Fills `usable` with one entry for each VM of the version, the input of `process/homes.rs`.
     pub fn usable_vms(&self, topology: &Topology, now_us: u64, usable: &mut Vec<bool>) {
         usable.clear();
         usable.extend(topology.vms.iter().map(|vm| self.vm_standing(vm, now_us).is_usable()));
     }
 
-    /// Drops what has expired and returns when the next evidence expires: standings change then
-    /// without any event.
+    /// Drops expired evidence and returns when the next evidence expires. A standing can change at
+    /// that time without any event.
     pub fn expire(&mut self, now_us: u64) -> Option<u64> {
         self.vms.retain(|_, record| record.expires_us() > now_us);
         self.targets.retain(|_, record| record.expires_us() > now_us);
@@ -174,17 +177,17 @@
         times.filter(|time| *time > now_us).min()
     }
 
-    /// How many VMs and targets there is evidence about.
+    /// Returns the number of VMs and targets with evidence.
     pub fn len(&self) -> usize {
         self.vms.len() + self.targets.len()
     }
 
-    /// Whether there is no evidence.
+    /// Returns whether there is no evidence.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Every violated invariant.
+    /// Returns every violated invariant.
     pub fn verify(&self) -> Vec<String> {
         let mut problems = Vec::new();
         for (name, record) in self.vms.iter().chain(self.targets.iter()) {
@@ -192,7 +195,7 @@
                 problems.push(format!("`{name}` has an empty record"));
             }
             if record.failure_points > 0 && record.failures_until_us == 0 {
-                problems.push(format!("the failures of `{name}` never counted"));
+                problems.push(format!("the failures of `{name}` have no expiry"));
             }
         }
         problems
@@ -220,7 +223,8 @@
     if evidence == Evidence::Healthy {
         return records.remove(name).is_some();
     }
-    // The name is copied only when it is new: a dead VM is reported again and again.
+    // The name is copied only for the first evidence: failures of a dead VM are reported
+    // repeatedly.
     if let Some(record) = records.get_mut(name) {
         let before = (record.is_leaving(now_us), record.is_unreachable(policy, now_us));
         record.take(policy, evidence, now_us);
--- a/crates/core/src/process/mod.rs
+++ b/crates/core/src/process/mod.rs
@@ -1,4 +1,5 @@
-//! What lives as long as one process.
+//! Algorithms whose state lives as long as one process. They do no I/O and read no clock: the
+//! embedder passes in events and times and carries out the results.
 
 mod accounted;
 pub mod acknowledgement;
--- a/crates/core/src/process/quota.rs
+++ b/crates/core/src/process/quota.rs
@@ -1,60 +1,64 @@
-//! Limits of organisations over all VMs, strict whatever is cut off, killed or late.
+//! Enforces rate limits of organisations over all VMs, also during partitions, crashes and delays.
 //!
-//! The limit of an organisation is divided among a few VMs, its allocators, which rendezvous hashing over the
-//! list of VMs gives to each organisation anew. Each allocator grants its own part by a token bucket and never
-//! more, so the grants of all of them keep the limit though they exchange nothing. A VM asks the allocator
-//! nearest to it for each operation, and the next one where that has nothing left or can't be reached.
+//! The limit of an organisation is divided among a few VMs, its allocators, which are chosen by
+//! rendezvous hashing over the list of VMs. Each allocator grants at most its own part, by a token
+//! bucket, so all grants together keep the limit without any communication between allocators. For
+//! each operation a VM asks the nearest allocator, and the next one if that has no tokens left or
+//! can't be reached.
 //!
-//! Three things keep the sum below the limit. An operation is granted after the caller sent it and before a target
-//! has it, so that no grant is carried into another window. A process that starts again doesn't know what it
-//! granted before, so its bucket starts with no more than a part of the tolerance, which is kept free for that.
-//! And an allocator that is lost is not replaced while it is listed: its part is not granted meanwhile.
+//! Three rules keep the sum within the limit. An operation is granted after the caller sent it and
+//! before a target receives it, so that no grant is used in a later window. A restarted process
+//! doesn't know what it granted before, so its bucket starts with at most a reserved part of the
+//! tolerance. And a failed allocator is not replaced while it is listed: its part is not granted in
+//! the meantime.
 //!
-//! Token buckets: Turner, "New directions in communications" (1986). Dividing one limit among many limiters:
-//! Raghavan et al., "Cloud control with distributed rate limiting" (2007), where parts follow demand; here
-//! demand goes to the parts instead, which needs no agreement.
+//! Token buckets: Turner, "New directions in communications" (1986). Dividing one limit among many
+//! limiters: Raghavan et al., "Cloud control with distributed rate limiting" (2007), where the
+//! parts follow the demand; here requests go to the parts instead, which needs no agreement.
 
 use crate::version::organisations::RateLimit;
 
-/// Allocators of one organisation in each availability zone at most, so that one of them may be lost.
+/// The maximum number of allocators of one organisation per availability zone. With two, one of
+/// them may fail.
 pub const ALLOCATORS_PER_ZONE: usize = 2;
 
-/// How many operations an allocator's bucket holds at least. A small limit has fewer allocators: parts below
-/// one operation would never be granted.
+/// The minimum burst of an allocator's bucket, in operations. A small limit has fewer allocators: a
+/// part below one operation would never be granted.
 const MIN_BURST: u64 = 2;
 
-/// What one operation costs, in thousandths of a token.
+/// The cost of one operation, in thousandths of a token.
 pub const OPERATION_MILLI: u64 = 1_000;
 
-/// Microseconds in a second.
 const SECOND_US: u64 = 1_000_000;
 
-/// By how much the operations of one window may exceed what the limit says. The platform's settings give it.
+/// How much the operations of one window may exceed the limit. It comes from the platform's
+/// settings.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct QuotaTolerance {
-    /// The length of the window.
+    /// The length of the window in milliseconds.
     pub window_ms: u64,
-    /// The part of the window's limit that may come on top, in thousandths.
+    /// The permitted excess relative to the window's limit, in thousandths.
     pub excess_milli: u64,
-    /// How many operations may come on top beyond that.
+    /// The permitted excess beyond that, in operations.
     pub slack: u64,
 }
 
 impl Default for QuotaTolerance {
-    /// No tolerance: a limit is kept as it is written.
+    /// Returns no tolerance: the limit is exact.
     fn default() -> QuotaTolerance {
         QuotaTolerance { window_ms: 1_000, excess_milli: 0, slack: 0 }
     }
 }
 
-/// The parts of the tolerance, in sixths: what widens the buckets, since an operation may be refused by one
-/// allocator while another has tokens left, and what buckets start with. All allocators may start again twice in
-/// one window; the sixth that is left is for operations that reach targets more than once.
+/// The use of the tolerance, in sixths. One part enlarges the buckets, since an operation may be
+/// refused by one allocator while another one has tokens left; another part is the initial content
+/// of buckets. All allocators may restart twice in one window; the remaining sixth is for
+/// operations that reach targets more than once.
 const BURST_SIXTHS: u64 = 1;
 const START_SIXTHS: u64 = 2;
 
 impl QuotaTolerance {
-    /// How many operations of a limit may come on top in one window, in thousandths.
+    /// Returns the permitted excess of a limit in one window, in thousandths of an operation.
     fn allowance_milli(&self, limit: RateLimit) -> u64 {
         let in_window_milli = limit.rate_milli_per_s.saturating_mul(self.window_ms) / 1_000;
         let window_milli = in_window_milli.saturating_add(limit.burst_milli);
@@ -63,22 +67,22 @@
     }
 }
 
-/// The burst of all allocators together, in thousandths of an operation.
+/// Returns the burst of all allocators together, in thousandths of an operation.
 fn total_burst_milli(limit: RateLimit, tolerance: QuotaTolerance) -> u64 {
     limit.burst_milli.saturating_add(tolerance.allowance_milli(limit) * BURST_SIXTHS / 6)
 }
 
-/// Among how many allocators a limit is divided.
+/// The number of allocators among which a limit is divided.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Division {
-    /// How many availability zones have some.
+    /// The number of availability zones with allocators.
     pub zones: usize,
-    /// How many each of these has.
+    /// The number of allocators in each of these zones.
     pub per_zone: usize,
 }
 
 impl Division {
-    /// Among how many a limit is divided where there are so many availability zones.
+    /// Returns the division of a limit for a fleet in this number of availability zones.
     pub fn of(limit: RateLimit, tolerance: QuotaTolerance, zones: usize) -> Division {
         let zones = zones.max(1);
         let burst = total_burst_milli(limit, tolerance) / OPERATION_MILLI;
@@ -89,7 +93,7 @@
         }
     }
 
-    /// How many there are in all.
+    /// Returns the total number of allocators.
     pub fn allocators(&self) -> usize {
         self.zones * self.per_zone
     }
@@ -98,16 +102,16 @@
 /// The part of a limit that one allocator grants.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct LimitPart {
-    /// What the bucket earns, and holds at most.
+    /// The refill rate and the capacity of the bucket.
     pub limit: RateLimit,
-    /// What the bucket of a process that has just started holds, in thousandths of an operation.
+    /// The initial content of the bucket of a restarted process, in thousandths of an operation.
     pub start_milli: u64,
-    /// How many allocators there are.
+    /// The total number of allocators.
     pub allocators: u64,
 }
 
 impl LimitPart {
-    /// The part of one of `allocators`.
+    /// Returns the part of one of `allocators`.
     pub fn of(limit: RateLimit, tolerance: QuotaTolerance, allocators: usize) -> LimitPart {
         let allocators = allocators.max(1) as u64;
         let burst_milli = total_burst_milli(limit, tolerance) / allocators;
@@ -121,29 +125,29 @@
     }
 }
 
-/// What an allocator answers.
+/// The answer of an allocator.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Grant {
-    /// How many operations may run.
+    /// The number of operations that may run.
     pub granted: u32,
-    /// When the next one can be granted if fewer were than were asked for, in microseconds from now.
+    /// When the next operation can be granted, in microseconds from now; zero if all were granted.
     pub retry_after_us: u64,
 }
 
-/// The bucket of one organisation at one of its allocators.
+/// The token bucket of one organisation at one of its allocators.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct TokenBucket {
     part: LimitPart,
     tokens_milli: u64,
-    /// Until when tokens were earned.
+    /// The time up to which the bucket was refilled.
     refilled_us: u64,
-    /// What was asked for in vain and is expected to be asked for again, in thousandths of a token. It is worked
-    /// off at the rate.
+    /// Refused operations that are expected to be requested again, in thousandths of a token. It
+    /// decreases at the refill rate.
     refused_milli: u64,
 }
 
 impl TokenBucket {
-    /// The bucket of a process that may grant from `since_us` on, and nothing before.
+    /// Creates the bucket of a process that may grant operations from `since_us` on.
     pub fn starting(part: LimitPart, since_us: u64) -> TokenBucket {
         TokenBucket {
             part,
@@ -153,7 +157,7 @@
         }
     }
 
-    /// Brings the bucket to another limit. Tokens above a lowered burst are gone.
+    /// Changes the part of the limit. Tokens beyond the new burst are dropped.
     pub fn set_part(&mut self, part: LimitPart, now_us: u64) {
         if self.part != part {
             self.refill(now_us);
@@ -174,15 +178,16 @@
             return Grant { granted: wanted, retry_after_us: 0 };
         }
         let retry_after_us = self.retry_after_us_for_next();
-        // Whoever is turned away here asks the other allocators as well.
+        // A refused VM asks the other allocators as well, so each counts only its fraction of the
+        // refusals.
         let most_milli = self.part.limit.rate_milli_per_s.max(OPERATION_MILLI);
         let missed_milli = (u64::from(wanted) - granted) * OPERATION_MILLI / self.part.allocators;
         self.refused_milli = (self.refused_milli + missed_milli).min(most_milli);
         Grant { granted: granted as u32, retry_after_us }
     }
 
-    /// How long until one operation more can be granted, after those that were turned away before; a second where
-    /// none ever can.
+    /// Returns the time in microseconds until one more operation can be granted, counting the
+    /// operations that were refused before; one second if no operation can ever be granted.
     fn retry_after_us_for_next(&self) -> u64 {
         let missing_milli = OPERATION_MILLI.saturating_sub(self.tokens_milli);
         if self.part.limit.rate_milli_per_s == 0 || self.part.limit.burst_milli < OPERATION_MILLI {
@@ -194,7 +199,7 @@
 
     fn refill(&mut self, now_us: u64) {
         let passed_us = now_us.saturating_sub(self.refilled_us);
-        // A remainder below a thousandth of a token stays to be earned.
+        // A remainder below a thousandth of a token is left for the next refill.
         let earned_milli = (u128::from(passed_us) * u128::from(self.part.limit.rate_milli_per_s)
             / u128::from(SECOND_US)) as u64;
         let counted_us = match self.part.limit.rate_milli_per_s {
--- a/crates/core/src/process/read_age.rs
+++ b/crates/core/src/process/read_age.rs
@@ -1,17 +1,18 @@
-//! How old the data of each member can be, shown without synchronised clocks.
+//! Bounds the age of the data of each member without synchronised clocks.
 //!
 //! A sample is a pair of a time `t` of this process's monotonic clock and the end of the primary's
-//! log read after `t`. All that was acknowledged by `t` is at or below the sample's position, so a
+//! log read after `t`. Everything acknowledged by `t` is at or below the sample's position, so a
 //! member whose applied position covers it is at most `now - t` old.
 //!
-//! A primary that is isolated and still believes it leads would yield samples too, while another
-//! one acknowledges writes that it never sees. So a sample's time is not the time of the primary's
-//! probe alone: it is the latest `t` such that the primary and members that together make a
-//! quorum answered probes *sent* at `t` or later without having promised themselves to a later
-//! term. A promise is never taken back, a newer primary needs promises of a quorum before it
+//! An isolated primary that still believes it leads would yield samples too, while another primary
+//! acknowledges writes that it never receives. So the time of a sample is not the time of the probe
+//! of the primary alone: it is the latest `t` such that the primary and members that together form
+//! a quorum answered probes *sent* at `t` or later without having promised themselves to a later
+//! term. A promise is never withdrawn, a newer primary needs the promises of a quorum before it
 //! acknowledges anything, and two quorums share a member: at `t` there was no newer primary.
 //!
-//! The time of sending counts, not that of the answer: the answer may have been under way for long.
+//! The time at which a probe was sent counts, not the time of its answer: the answer may have been
+//! delayed for long.
 
 use std::collections;
 
@@ -21,62 +22,64 @@
 use crate::process::member_set::MemberMask;
 use crate::process::member_set::MemberSet;
 
-/// How many samples are kept for a group.
+/// The maximum number of samples of a group.
 pub const MAX_SAMPLES: usize = 64;
 
-/// How many of the primary's positions are kept for telling how fast members follow.
+/// The number of positions of the primary that are kept to measure how fast members catch up.
 const MAX_PRIMARY_POSITIONS: usize = 16;
 
-/// The weight of the newest observation in the average lag, as one part in this many.
+/// The divisor of the moving averages of lags: a new observation has the weight 1/8.
 const LAG_DIVISOR: u64 = 8;
 
-/// The primary's log end at a time.
+/// The end of the primary's log at a time.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Sample {
-    /// All that was acknowledged by this time is at or below `position`.
+    /// The time by which everything acknowledged is at or below `position`, in microseconds.
     pub taken_us: u64,
     /// The end of the primary's log, read after `taken_us`.
     pub position: LogPosition,
 }
 
-/// What is known of one member.
+/// The state of one member.
 #[derive(Clone, Debug, Default)]
 struct MemberAge {
-    /// The newest answered probe: when it was sent, and the report.
+    /// The answered probe that was sent last: its sending time and the status in the answer.
     probe: Option<(u64, MemberStatus)>,
     applied: LogPosition,
     lag_us: Option<u64>,
     catch_up_us: Option<u64>,
-    /// The last of the primary's positions by which catching up was measured.
+    /// The newest position of the primary for which the catch-up time was measured.
     last_measured: LogPosition,
 }
 
-/// The samples of one group and what its members have applied.
+/// The samples of one group and the applied positions of its members.
 #[derive(Clone, Debug, Default)]
 pub struct ReadAge {
-    /// The member set where versions are known; otherwise a majority of the members counts.
+    /// The member set if versions are known; otherwise a plain majority of the members is a quorum.
     set: Option<MemberSet>,
     members: Vec<MemberAge>,
     samples: collections::VecDeque<Sample>,
-    /// When the primary's latest positions were first seen here.
+    /// The latest positions of the primary, each with the time at which this process first saw it.
     primary_positions: collections::VecDeque<(LogPosition, u64)>,
 }
 
 impl ReadAge {
-    /// A group of this many members, about which nothing is known.
+    /// Creates the state of a group with this many members and no samples.
     pub fn new(members: usize) -> ReadAge {
         let members = vec![MemberAge::default(); members];
         ReadAge { members, ..ReadAge::default() }
     }
 
-    /// A group with this member set, whose quorums count also in a joint phase.
+    /// Creates the state of a group with this member set, whose quorums include those of a joint
+    /// phase.
     pub fn for_set(set: MemberSet) -> ReadAge {
         let age = ReadAge::new(set.count());
         ReadAge { set: Some(set), ..age }
     }
 
-    /// Ends the joint phase of the member set, see [`MemberSet::settle`]. Answers from before
-    /// prove nothing for the settled set: a member that left may have been part of what they say.
+    /// Ends the joint phase of the member set; see [`MemberSet::settle`]. Earlier answers prove
+    /// nothing for the settled set, since a removed member may have been part of their quorum, so
+    /// they are dropped.
     pub fn settle_members(&mut self) {
         if let Some(set) = &mut self.set {
             set.settle();
@@ -86,9 +89,10 @@
         }
     }
 
-    /// Takes a member's answer to a probe that was sent at `sent_us` and answered at `now_us`.
+    /// Records a member's answer to a probe that was sent at `sent_us` and answered at `now_us`.
     ///
-    /// Answers of one member may come out of order; an older one than the newest is ignored.
+    /// Answers of one member may arrive out of order; an answer to an older probe than the newest
+    /// answered one is ignored.
     pub fn probe_answered(
         &mut self,
         member: usize,
@@ -106,43 +110,45 @@
         self.update_averages(member, now_us);
     }
 
-    /// Takes a notice that a member sent on its own after a change.
+    /// Records a status notice that a member sent on its own after a change.
     ///
-    /// It carries no time of sending, so it moves the applied position and proves nothing of terms.
+    /// It carries no sending time, so it updates the applied position and proves nothing about
+    /// terms.
     pub fn notified(&mut self, member: usize, now_us: u64, applied: LogPosition) {
         self.members[member].applied = applied;
         self.update_averages(member, now_us);
     }
 
-    /// The time up to which reads at the member see all that was acknowledged.
+    /// Returns the time by which everything acknowledged is visible to reads at the member.
     pub fn fresh_as_of_us(&self, member: usize) -> Option<u64> {
         let applied = self.members[member].applied;
         let covered = self.samples.iter().rev().find(|sample| applied.covers(sample.position));
         covered.map(|sample| sample.taken_us)
     }
 
-    /// How old the member's data usually is when it reports: its replication delay together with
-    /// the time between probes.
+    /// Returns the average age of the member's data when it reports: its replication delay plus the
+    /// time between probes.
     pub fn lag_us(&self, member: usize) -> Option<u64> {
         self.members[member].lag_us
     }
 
-    /// How long after the primary's records are seen here the member usually reports them as applied:
-    /// what a read that needs the primary's newest record has to wait.
+    /// Returns the average time between the arrival of a record of the primary at this process and
+    /// the member's report that it applied the record. A read that needs the primary's newest
+    /// record waits for about as long.
     pub fn catch_up_us(&self, member: usize) -> Option<u64> {
         self.members[member].catch_up_us
     }
 
-    /// The samples, oldest first.
+    /// Returns the samples, oldest first.
     pub fn samples(&self) -> impl Iterator<Item = &Sample> {
         self.samples.iter()
     }
 
-    /// Every violated invariant.
+    /// Returns every violated invariant.
     pub fn verify(&self) -> Vec<String> {
         let mut problems = Vec::new();
         if self.samples.len() > MAX_SAMPLES {
-            problems.push(format!("{} samples pass the bound", self.samples.len()));
+            problems.push(format!("{} samples exceed the limit", self.samples.len()));
         }
         for (older, newer) in self.samples.iter().zip(self.samples.iter().skip(1)) {
             if older.taken_us >= newer.taken_us || older.position >= newer.position {
@@ -152,7 +158,8 @@
         problems
     }
 
-    /// Adds the best sample that the newest probes prove, if it says more than the last one.
+    /// Adds the best sample that the newest probes prove, unless it proves no more than the last
+    /// one.
     fn add_sample(&mut self) {
         let Some((primary_sent_us, position)) = self.primary_report() else { return };
         let Some(quorum_us) = self.quorum_sent_us(position) else { return };
@@ -174,7 +181,7 @@
         self.samples.push_back(Sample { taken_us, position });
     }
 
-    /// The probe time and log end of the primary of the highest term.
+    /// Returns the sending time of the probe and the log end of the primary of the highest term.
     fn primary_report(&self) -> Option<(u64, LogPosition)> {
         let probes = self.members.iter().filter_map(|member| member.probe.as_ref());
         // A primary whose log does not end in its own term has not opened the term yet.
@@ -185,8 +192,8 @@
         reports.max_by_key(|(_, log)| log.term)
     }
 
-    /// The latest time such that probes sent then or later found a quorum that had promised itself to
-    /// no later term than the position's.
+    /// Returns the latest time such that probes sent at that time or later found a quorum that had
+    /// promised itself to no later term than the position's.
     fn quorum_sent_us(&self, position: LogPosition) -> Option<u64> {
         let bound = |member: &MemberAge| {
             let (sent_us, status) = member.probe.as_ref()?;
@@ -207,10 +214,9 @@
         }
     }
 
-    /// Drops the sample whose loss matters least: the one between neighbours that are close together
-    /// for their age. So the samples stand ever wider apart the older they are, and the ring covers a
-    /// long lag with a claim that is too old by a small part of it. A missing sample makes claims
-    /// older, never wrong.
+    /// Drops the least useful sample: the one with the smallest gap between its neighbours relative
+    /// to its age. The gaps thus grow with the age, and the samples cover a long lag with an error
+    /// that is a small part of it. A missing sample makes the bound on the age higher, never wrong.
     fn thin_out(&mut self, now_us: u64) {
         let gap_to_age = |index: &usize| {
             let gap_us = self.samples[index + 1].taken_us - self.samples[index - 1].taken_us;
--- a/crates/core/src/process/session_floors.rs
+++ b/crates/core/src/process/session_floors.rs
@@ -1,28 +1,30 @@
-//! The floors of sessions that roam without a token, as a home of the group's primary knows them.
+//! The floors of sessions that move between proxies without a token, kept by a home of the group's
+//! primary.
 //!
-//! A session that wrote through any proxy must see its write at the next read through any other. The
-//! holder records the writes that pass it and those that its co-homes report, but never claims to
-//! know them all: home sets differ between proxies for a while, holders restart, reports get lost.
-//! Instead it knows which positions of the log it can *account* for, and answers for a session with
-//! the highest position that it can't:
+//! The floor of a session is the log position that its next read must cover. A session that wrote
+//! through any proxy must see its write in the next read through any other. The holder of the
+//! floors records the writes that pass through it and those that the other homes report, but never
+//! relies on knowing all of them: sets of homes differ between proxies for a while, holders
+//! restart, and reports get lost. Instead it knows which log positions it can *account* for, and
+//! answers for a session with the highest position that it can't account for:
 //!
-//! 1. A lookup is answered by a barrier begun after it arrived: statuses, read from a quorum of
-//!    members that are all in one term `T`, with `T`'s primary among them. Let `N` be the end of
-//!    the primary's log there.
+//! 1. A lookup is answered by a barrier that began after the lookup arrived: statuses read from a
+//!    quorum of members that are all in one term `T`, including `T`'s primary. Let `N` be the end
+//!    of the primary's log in its status.
 //! 2. The answer is the maximum of the session's recorded floor and the highest position at or
-//!    below `N` that is not accounted for. Everything at or before the point where the holder
-//!    began in `T` is not accounted for.
+//!    below `N` that is not accounted for. Nothing at or before the holder's start in `T`, the
+//!    position at which it began to record, is accounted for.
 //!
 //! Why this covers a write `w` that was acknowledged before the lookup arrived: `w` is of no later
-//! term than `T`, because its quorum and the barrier's share a member that would have reported the
-//! later term. If `w` is of term `T`, it is at or below `N`; it is accounted for, and then recorded
-//! under its session, or it is not, and then covered by 2. If `w` is of an older term, it is covered
-//! by any position of `T`, and the holder's beginning in `T` is one.
+//! term than `T`, because its quorum and the barrier's share a member, which would have reported
+//! the later term. If `w` is of term `T`, it is at or below `N`; either it is accounted for, and
+//! then recorded for its session, or it is not, and then covered by rule 2. If `w` is of an older
+//! term, it is covered by any position of `T`, including the holder's start in `T`.
 //!
-//! So records only make answers lower, and reads at replicas likelier; a missing one costs
-//! freshness and never safety, and they need not be synchronous. What every member has applied needs
-//! no floor, so the table is bounded by the replication lag; where its bound is hit, records are
-//! dropped by letting the beginning move up past them.
+//! So records can only lower answers, which makes reads at replicas more likely; a missing record
+//! costs performance but never safety, and records need not be synchronous. Positions that every
+//! member has applied need no floor, so the replication lag bounds the table. If the table reaches
+//! its limits, records are dropped by raising the start past them.
 
 use std::mem;
 
@@ -35,12 +37,12 @@
 use crate::process::member_set::MemberMask;
 use crate::process::member_set::MemberSet;
 
-/// Bounds of the table.
+/// The limits of the table.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct SessionFloorsSettings {
-    /// The most sessions on record.
+    /// The maximum number of recorded sessions.
     pub max_sessions: usize,
-    /// The most separate ranges of positions that are accounted for.
+    /// The maximum number of separate ranges of accounted positions.
     pub max_ranges: usize,
 }
 
@@ -50,33 +52,34 @@
     }
 }
 
-/// How many sessions may be on record before those that need no floor are looked for.
+/// The number of recorded sessions below which no sweep takes place.
 const MIN_SWEEP_SIZE: usize = 64;
 
-/// A write that this process or a co-home executed.
+/// A write that was executed by this process or another home.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct SessionWrite<'a> {
-    /// The session's identity; none for a session that has none, whose write is accounted for all
-    /// the same.
+    /// The identity of the session; `None` for a session without one, whose write is accounted for
+    /// all the same.
     pub session: Option<&'a str>,
-    /// The commit's position.
+    /// The position of the commit.
     pub position: LogPosition,
 }
 
-/// The number of a barrier.
+/// The identifier of a barrier.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct BarrierId(pub u64);
 
-/// The number of a lookup, chosen by the caller.
+/// The identifier of a lookup, chosen by the user of this type.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct LookupId(pub u64);
 
 /// The answer to a lookup.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct FloorAnswer {
-    /// The lookup.
+    /// The identifier of the lookup.
     pub lookup: LookupId,
-    /// What reads of the session must cover; the lowest position when every member does.
+    /// The position that reads of the session must cover; the lowest position if every member
+    /// covers the floor.
     pub floor: LogPosition,
 }
 
@@ -86,7 +89,7 @@
     session: String,
 }
 
-/// A barrier under way: the lookups it answers and what was read since it began.
+/// A barrier in progress: the lookups that it answers and the statuses read since it began.
 #[derive(Clone, Debug)]
 struct Barrier {
     id: BarrierId,
@@ -94,21 +97,21 @@
     statuses: Vec<Option<MemberStatus>>,
 }
 
-/// The floors of one group's sessions at one holder.
+/// The floors of one group's sessions, as one holder knows them.
 #[derive(Clone, Debug)]
 pub struct SessionFloors {
     settings: SessionFloorsSettings,
     members: MemberSet,
-    /// The term of the positions that are accounted for.
+    /// The term of the accounted positions.
     term: Term,
     accounted: Accounted,
-    /// Whether the holder has begun since the member set last changed.
+    /// Whether the holder has a valid start since the last change of the member set.
     started: bool,
     sessions: FastMap<String, LogPosition>,
-    /// The number of sessions at which those that need no floor are dropped. It doubles what the
-    /// last sweep left, so that a sweep costs little for each record.
+    /// The number of sessions that triggers a sweep. It is twice the number that the last sweep
+    /// left, so the cost of a sweep per record is constant.
     sweep_at: usize,
-    /// The last applied position that each member reported.
+    /// The highest applied position that each member reported.
     applied: Vec<LogPosition>,
     waiting: Vec<Lookup>,
     barrier: Option<Barrier>,
@@ -116,7 +119,7 @@
 }
 
 impl SessionFloors {
-    /// A holder that begins now and knows nothing of earlier writes.
+    /// Creates a holder that knows nothing of earlier writes.
     pub fn new(settings: SessionFloorsSettings, members: MemberSet) -> SessionFloors {
         let count = members.count();
         SessionFloors {
@@ -134,7 +137,8 @@
         }
     }
 
-    /// Records a write executed here, before it is acknowledged, or one that a co-home reported.
+    /// Records a write that was executed here, before it is acknowledged, or that another home
+    /// reported.
     pub fn record(&mut self, write: SessionWrite<'_>) {
         self.enter_term(write.position);
         if let Some(session) = write.session {
@@ -144,20 +148,20 @@
         self.enforce_limits();
     }
 
-    /// Accounts for the record that opens a term: no session wrote it.
+    /// Accounts for the record that opens a term, which no session wrote.
     pub fn record_opening(&mut self, position: LogPosition) {
         self.enter_term(position);
         self.account(position);
     }
 
-    /// Asks for a session's floor. The answer comes from a barrier that begins later.
+    /// Requests a session's floor. The answer comes from a barrier that begins later.
     pub fn look_up(&mut self, id: LookupId, session: &str) {
         self.waiting.push(Lookup { id, session: session.to_owned() });
     }
 
-    /// Begins a barrier for all lookups that wait, unless none waits or one is under way. The
-    /// embedder then reads the status of every member and passes it to [`Self::barrier_status`].
-    /// Only reads *sent* after this call may be passed.
+    /// Begins a barrier for all waiting lookups, unless there are none or another barrier is in
+    /// progress. The embedder then reads the status of every member and passes it to
+    /// [`Self::barrier_status`]. Only statuses whose read was *sent* after this call may be passed.
     pub fn begin_barrier(&mut self) -> Option<BarrierId> {
         if self.waiting.is_empty() || self.barrier.is_some() {
             return None;
@@ -170,8 +174,8 @@
         Some(id)
     }
 
-    /// Takes in a status that was read for a barrier. Returns the answers when it is complete, and
-    /// nothing before.
+    /// Records a status that was read for a barrier. Returns the answers to its lookups if this
+    /// completes the barrier.
     pub fn barrier_status(
         &mut self,
         id: BarrierId,
@@ -188,12 +192,12 @@
         let lookups = mem::take(&mut barrier.lookups);
         self.barrier = None;
         self.enter_term(end);
-        // A holder that has heard of a later term meanwhile answers with its beginning there.
+        // A holder that entered a later term in the meantime answers with its start in that term.
         let end = end.max(self.start());
         self.answer(&lookups, end)
     }
 
-    /// Gives up a barrier that did not complete in its time. Its lookups wait for the next one.
+    /// Ends a barrier that did not complete in time. Its lookups wait for the next barrier.
     pub fn abandon_barrier(&mut self, id: BarrierId) {
         if let Some(barrier) = self.barrier.take_if(|barrier| barrier.id == id) {
             let later = mem::replace(&mut self.waiting, barrier.lookups);
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Forgets a lookup whose caller has gone or whose time has passed.
+    /// Drops a lookup whose caller disconnected or whose deadline passed.
     pub fn cancel_lookup(&mut self, id: LookupId) {
         self.waiting.retain(|lookup| lookup.id != id);
         if let Some(barrier) = &mut self.barrier {
@@ -209,7 +213,8 @@
         }
     }
 
-    /// Takes in any report of a member, so that what all members applied can be dropped.
+    /// Records any report of a member, so that positions which all members have applied can be
+    /// dropped.
     pub fn note_status(&mut self, member: usize, status: &MemberStatus) {
         if status.role == Role::Primary && status.log.term == status.raised_term {
             self.enter_term(status.log);
@@ -222,8 +227,8 @@
         }
     }
 
-    /// Replaces the member set. What was dropped because all old members had applied it may be
-    /// missing at a new one, so the holder begins anew.
+    /// Replaces the member set. A new member may lack positions that were dropped because all old
+    /// members had applied them, so the holder needs a new start.
     pub fn change_members(&mut self, members: MemberSet) {
         let mut applied = vec![LogPosition::default(); members.count()];
         for (old_index, name) in self.members.names().iter().enumerate() {
@@ -239,27 +244,27 @@
         self.started = false;
     }
 
-    /// Ends the joint phase of the member set.
+    /// Ends the joint phase of the member set; see [`MemberSet::settle`].
     pub fn settle_members(&mut self) {
         self.members.settle();
     }
 
-    /// How many sessions are on record.
+    /// Returns the number of recorded sessions.
     pub fn session_count(&self) -> usize {
         self.sessions.len()
     }
 
-    /// How many ranges of positions are accounted for.
+    /// Returns the number of ranges of accounted positions.
     pub fn range_count(&self) -> usize {
         self.accounted.range_count()
     }
 
-    /// The position that every member has applied.
+    /// Returns the position that every member has applied.
     pub fn applied_everywhere(&self) -> LogPosition {
         self.applied.iter().copied().min().unwrap_or_default()
     }
 
-    /// Every broken invariant.
+    /// Returns every broken invariant.
     pub fn verify(&self) -> Vec<SessionFloorsViolation> {
         let mut violations = Vec::new();
         if self.applied.len() != self.members.count() {
@@ -288,23 +293,23 @@
             .collect()
     }
 
-    /// A floor that every member covers asks for nothing.
+    /// Returns the floor, or the lowest position if every member covers the floor.
     fn effective_floor(&self, floor: LogPosition) -> LogPosition {
         if floor <= self.applied_everywhere() { LogPosition::default() } else { floor }
     }
 
-    /// The highest position at or below `end` that is not accounted for.
+    /// Returns the highest position at or below `end` that is not accounted for.
     fn highest_unaccounted(&self, end: LogPosition) -> LogPosition {
         LogPosition { term: self.term, index: self.accounted.highest_gap(end.index) }
     }
 
-    /// Everything at or below is not accounted for.
+    /// Returns the start: no position at or below it is accounted for.
     fn start(&self) -> LogPosition {
         LogPosition { term: self.term, index: self.accounted.start() }
     }
 
-    /// Begins in a later term, or for the first time, at a position seen there. Writes of the term
-    /// before that position may have gone unseen.
+    /// Sets the start to a position seen in a later term, or in any term if there is no valid
+    /// start. Earlier writes of that term may be unknown.
     fn enter_term(&mut self, seen: LogPosition) {
         let known = self.started && seen.term <= self.term;
         if known || seen < self.start() {
@@ -333,8 +338,7 @@
         }
     }
 
-    /// Drops sessions that need no floor of their own: every member covers it, or the beginning is
-    /// answered for all of them.
+    /// Drops sessions that need no floor of their own, because every member or the start covers it.
     fn sweep(&mut self) {
         let covered = self.applied_everywhere().max(self.start());
         self.sessions.retain(|_, floor| *floor > covered);
@@ -356,7 +360,7 @@
         }
     }
 
-    /// Lets the beginning cover everything up to a position, so that its records can go.
+    /// Raises the start to a position and drops the records at or below it.
     fn drop_up_to(&mut self, position: LogPosition) {
         if position.term == self.term {
             self.accounted.drop_up_to(position.index);
@@ -365,8 +369,8 @@
     }
 }
 
-/// The end of the primary's log, if these statuses make a barrier: a quorum in one term, with the
-/// primary of that term among it.
+/// Returns the end of the primary's log if these statuses complete a barrier: a quorum in one term
+/// that includes the primary of that term.
 fn barrier_end(statuses: &[Option<MemberStatus>], members: &MemberSet) -> Option<LogPosition> {
     let primaries = statuses
         .iter()
@@ -386,15 +390,15 @@
 /// A broken invariant of [`SessionFloors`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SessionFloorsViolation {
-    /// The tables do not match the member set.
+    /// The number of applied positions differs from the size of the member set.
     WrongNumberOfMembers,
-    /// There are more sessions on record than the bound.
+    /// The number of recorded sessions exceeds the limit.
     TooManySessions,
-    /// There are more ranges than the bound.
+    /// The number of ranges exceeds the limit.
     TooManyRanges,
-    /// A range is empty, reaches below the beginning, or touches the one before.
+    /// A range is empty, reaches below the start, or touches the range before it.
     BadRange {
-        /// Its first index.
+        /// The first index of the range.
         first: u64,
     },
 }
--- a/crates/core/src/process/sharing/class_queue.rs
+++ b/crates/core/src/process/sharing/class_queue.rs
@@ -1,31 +1,32 @@
-//! The waiting requests of one class, in arrival order, with a count for each caller.
+//! The waiting requests of one class, in arrival order, with a count per caller.
 //!
-//! A bound on what one caller may have waiting keeps it from filling the queue of its class. An order
-//! that takes turns between callers was measured too (`docs/design/sharing-in-a-surge.md`): later
-//! requests of other callers then pass a waiting one without end, so that no wait can be predicted.
+//! A limit on the waiting requests of one caller keeps it from filling the queue of its class.
+//! Round-robin order between callers is not used: later requests of other callers could then
+//! overtake a waiting one indefinitely, so that no wait could be predicted (see
+//! `docs/design/sharing-in-a-surge.md`).
 
 use std::collections;
 
 use crate::FastMap;
 
-/// The identity of a waiting request, increasing with its arrival.
+/// The identifier of a waiting request, increasing with its arrival.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Ticket(pub u64);
 
-/// Whom a request comes from, such as a hash of the caller's identity.
+/// The identifier of the caller that a request comes from, such as a hash of its identity.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct CallerId(pub u64);
 
 /// A waiting request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Waiting {
-    /// The identity of the request.
+    /// The identifier of the request.
     pub ticket: Ticket,
-    /// Whom it comes from.
+    /// The caller that the request comes from.
     pub caller: CallerId,
-    /// When it was queued.
+    /// The time at which it was queued, in microseconds.
     pub queued_us: u64,
-    /// When the caller gives up.
+    /// The time at which the caller stops waiting, in microseconds.
     pub deadline_us: u64,
 }
 
@@ -37,45 +38,45 @@
 }
 
 impl ClassQueue {
-    /// How many requests wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// The request that goes next.
+    /// Returns the request that is served next.
     pub fn head(&self) -> Option<&Waiting> {
         self.waiting.front()
     }
 
-    /// How many requests of the caller wait.
+    /// Returns the number of waiting requests of the caller.
     pub fn queued_of(&self, caller: CallerId) -> usize {
         self.callers.get(&caller).copied().unwrap_or(0)
     }
 
-    /// Whether a request of another caller waits.
+    /// Returns whether a request of another caller waits.
     pub fn has_others(&self, caller: CallerId) -> bool {
         self.queued_of(caller) < self.len()
     }
 
-    /// Adds a request. Tickets increase.
+    /// Appends a request. Its ticket must be higher than those of all earlier requests.
     pub fn push(&mut self, request: Waiting) {
         *self.callers.entry(request.caller).or_default() += 1;
         self.waiting.push_back(request);
     }
 
-    /// Takes the request that goes next.
+    /// Removes and returns the request that is served next.
     pub fn pop(&mut self) -> Option<Waiting> {
         let request = self.waiting.pop_front()?;
         self.remove_from_caller(request.caller);
         Some(request)
     }
 
-    /// Takes a request out that no longer waits. Returns whether it was there.
+    /// Removes a request that no longer waits. Returns whether it was in the queue.
     pub fn remove(&mut self, ticket: Ticket) -> bool {
         let index = self.waiting.binary_search_by_key(&ticket, |waiting| waiting.ticket);
         let removed = index.ok().and_then(|index| self.waiting.remove(index));
@@ -85,7 +86,7 @@
         removed.is_some()
     }
 
-    /// Takes out every request whose deadline has come, and adds them to `expired`.
+    /// Removes every request whose deadline has passed, and appends their tickets to `expired`.
     pub fn expire(&mut self, now_us: u64, expired: &mut Vec<Ticket>) {
         let first = expired.len();
         let passed = self.waiting.iter().filter(|waiting| waiting.deadline_us <= now_us);
@@ -95,12 +96,12 @@
         }
     }
 
-    /// Every violated invariant.
+    /// Returns every violated invariant.
     pub fn verify(&self) -> Vec<String> {
         let mut problems = Vec::new();
         for (earlier, later) in self.waiting.iter().zip(self.waiting.iter().skip(1)) {
             if earlier.ticket >= later.ticket {
-                problems.push(format!("{later:?} stands behind {earlier:?}"));
+                problems.push(format!("{later:?} is queued behind {earlier:?}"));
             }
         }
         for (caller, counted) in &self.callers {
@@ -111,7 +112,8 @@
         }
         let counted: usize = self.callers.values().sum();
         if counted != self.waiting.len() {
-            problems.push(format!("{counted} requests are counted of {}", self.waiting.len()));
+            problems
+                .push(format!("{counted} requests are counted, but {} wait", self.waiting.len()));
         }
         problems
     }
--- a/crates/core/src/process/sharing/queue.rs
+++ b/crates/core/src/process/sharing/queue.rs
@@ -1,20 +1,20 @@
-//! The queue in front of one target: what runs, what waits, and what is refused at once.
+//! The request queue of one target: admission, waiting and refusal.
 //!
-//! A statement that is sent to a target whose slots are taken waits inside the target, in arrival
-//! order, where no strategy can reach it. So the queue lets only about as many statements run as
-//! the target has slots, and keeps the others here. A transaction holds its connection between its
-//! statements and takes a slot only while one runs; its next statement goes at once, since waiting
-//! would lengthen the time for which its locks and its connection are held.
+//! A statement that is sent to a target without a free slot waits inside the target, in arrival
+//! order, where no scheduling strategy applies. So the queue lets only about as many statements run
+//! as the target has slots, and keeps the others here. A transaction holds its connection between
+//! its statements and takes a slot only while a statement runs; its next statement is sent without
+//! waiting, since a wait would prolong the time for which its locks and its connection are held.
 //!
-//! A request that can't be served before its deadline is refused when it arrives, while "not run" is
-//! plainly true and the caller still has time for something else.
+//! A request that can't be served before its deadline is refused when it arrives, while it is
+//! certain that it did not run and the caller still has time for an alternative.
 //!
-//! A queue that is allowed to fill up to the deadlines stays full throughout an overload, and every
-//! request that is served has waited for almost its whole time limit, though no more are served than
-//! from a short queue. So when the predicted wait of a class has stood above half of its goal for a
-//! while, its requests beyond that are refused until the queue has been short again. A burst passes
-//! before that and is queued. (The idea of telling a standing queue from a burst is that of Nichols
-//! and Jacobson, "Controlling queue delay".)
+//! A queue that may grow until requests reach their deadlines stays full throughout an overload:
+//! every served request has waited for almost its whole time limit, although a short queue would
+//! have the same throughput. So when the predicted wait of a class has been above half of its goal
+//! for a while, its requests beyond that are refused until the queue has been short again. A burst
+//! ends before that and is queued. (The distinction between a standing queue and a burst is that of
+//! Nichols and Jacobson, "Controlling queue delay".)
 
 use crate::ids::ClassId;
 use crate::process::sharing::ClassShare;
@@ -26,33 +26,34 @@
 use crate::process::sharing::class_queue::Waiting;
 use crate::request::error_kind::ErrorKind;
 
-/// The weight of the newest observation in an average, as one part in this many.
+/// The divisor of the moving averages: a new observation has the weight 1/16.
 const AVERAGE_DIVISOR: u64 = 16;
 
-/// The shortest time after which a refused caller is asked to come back.
+/// The shortest time after which a refused caller is told to retry, in microseconds.
 const MIN_RETRY_AFTER_US: u64 = 20_000;
 
-/// The shortest wait that counts as standing.
+/// The minimum wait that counts as a standing queue, in microseconds.
 const MIN_STANDING_BOUND_US: u64 = 100_000;
 
-/// The bounds of a queue.
+/// The limits of a queue.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct QueueLimits {
-    /// How many statements run at once: this home's part of the slots, and one more so that a
-    /// slot is not idle while an answer travels.
+    /// The number of statements that may run at the same time: this home's share of the slots, and
+    /// one more to keep a slot busy while an answer is in transit.
     pub running: u32,
-    /// How many connections are given out at once: this home's part.
+    /// The number of connections that may be in use at the same time: this home's share.
     pub connections: u32,
-    /// How many requests wait in all.
+    /// The maximum total number of waiting requests.
     pub queued: usize,
-    /// How many requests of one class wait.
+    /// The maximum number of waiting requests of one class.
     pub queued_per_class: usize,
-    /// How many requests of one caller wait in one class while others wait there too.
+    /// The maximum number of waiting requests of one caller in one class while others wait there
+    /// too.
     pub queued_per_caller: usize,
-    /// How long the predicted wait of a class may stand above half of its goal before requests
-    /// beyond that are refused.
+    /// How long the predicted wait of a class may be above half of its goal before requests beyond
+    /// that are refused, in microseconds.
     pub standing_us: u64,
-    /// The run time reckoned with before any was seen.
+    /// The assumed run time before any was measured, in microseconds.
     pub initial_run_us: u64,
 }
 
@@ -70,56 +71,56 @@
     }
 }
 
-/// What happens to a request that arrives.
+/// The outcome of the arrival of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Admission {
-    /// It may take a connection and run now.
+    /// The request may take a connection and run now.
     Granted,
-    /// It waits under this ticket.
+    /// The request waits.
     Queued {
-        /// The identity under which it is granted, expires or is abandoned.
+        /// The ticket under which it is granted, expires or is abandoned.
         ticket: Ticket,
-        /// How long it is expected to wait.
+        /// The predicted wait in microseconds.
         predicted_wait_us: u64,
     },
-    /// It is refused: nothing was run.
+    /// The request is refused and was not run.
     Refused {
-        /// The answer.
+        /// The error that the caller receives.
         kind: ErrorKind,
-        /// When coming back can help.
+        /// The time after which a retry may succeed, in microseconds.
         retry_after_us: u64,
     },
 }
 
-/// A request that waited and may run now.
+/// A waiting request that may run now.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Grant {
-    /// The request.
+    /// The ticket of the request.
     pub ticket: Ticket,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// How long it waited.
+    /// The time for which it waited, in microseconds.
     pub waited_us: u64,
 }
 
-/// What happens to a request that waited.
+/// The outcome for a waiting request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Turn {
-    /// It may take a connection and run now.
+    /// The request may take a connection and run now.
     Granted(Grant),
-    /// It waited for so long that its answer would come after its deadline, so it was not run: it
-    /// is answered [`ErrorKind::WaitTimedOut`].
+    /// The request waited for so long that its answer would come after its deadline. It was not run
+    /// and is answered with [`ErrorKind::WaitTimedOut`].
     TimedOut(Ticket),
 }
 
-/// The averages of one class.
+/// The moving averages of one class, in microseconds.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 struct Averages {
     run_us: u64,
     held_us: u64,
 }
 
-/// The queue in front of one target.
+/// The request queue of one target.
 #[derive(Clone, Debug)]
 pub struct TargetQueue<S> {
     limits: QueueLimits,
@@ -127,7 +128,7 @@
     queues: Vec<ClassQueue>,
     averages: Vec<Averages>,
     views: Vec<ClassView>,
-    /// Since when the predicted wait of each class stands above half of its goal.
+    /// For each class, the time since which its predicted wait has been above half of its goal.
     standing_since_us: Vec<Option<u64>>,
     running: u32,
     connections: u32,
@@ -138,7 +139,7 @@
 where
     S: SharingStrategy,
 {
-    /// An empty queue for these classes, in the order of [`ClassId`].
+    /// Creates an empty queue for these classes, in the order of [`ClassId`].
     pub fn new(limits: QueueLimits, classes: &[ClassShare]) -> TargetQueue<S> {
         let initial = Averages { run_us: limits.initial_run_us, held_us: limits.initial_run_us };
         let mut queue = TargetQueue {
@@ -158,8 +159,8 @@
         queue
     }
 
-    /// Changes the bounds, for instance when this home's part of the connections changes. What runs
-    /// or waits already is left alone.
+    /// Changes the limits, for instance when this home's share of the connections changes. Running
+    /// and waiting requests are not affected.
     pub fn set_limits(&mut self, limits: QueueLimits) {
         self.limits = limits;
         for class in 0..self.queues.len() {
@@ -167,8 +168,8 @@
         }
     }
 
-    /// Changes the classes, in the order of [`ClassId`]. A class that went keeps its settings until
-    /// the queue is dropped, so that what waits in it is still served.
+    /// Changes the classes, in the order of [`ClassId`]. A removed class keeps its settings until
+    /// the queue is dropped, so that its waiting requests are still served.
     pub fn set_classes(&mut self, classes: &[ClassShare]) {
         let initial_us = self.limits.initial_run_us;
         for (class, share) in classes.iter().enumerate() {
@@ -185,7 +186,7 @@
         self.strategy = S::new(&shares);
     }
 
-    /// Takes a request that arrives.
+    /// Admits, queues or refuses a new request.
     pub fn arrive(
         &mut self,
         class: ClassId,
@@ -217,8 +218,8 @@
         Admission::Queued { ticket, predicted_wait_us }
     }
 
-    /// Takes the request that goes next, if there is room for one. To be called until it returns
-    /// `None` after each release.
+    /// Removes the request that is served next, if there is room to run it. Must be called after
+    /// each release until it returns `None`.
     pub fn next_turn(&mut self, now_us: u64) -> Option<Turn> {
         if !self.has_room() {
             return None;
@@ -226,7 +227,7 @@
         let class = self.strategy.choose(&self.views, now_us)?;
         let request = self.queues[class].pop()?;
         self.refresh(class);
-        // What would be answered after the deadline takes a slot from what would not.
+        // A request that would be answered after its deadline must not take a slot from others.
         if request.deadline_us <= now_us + self.views[class].run_us {
             return Some(Turn::TimedOut(request.ticket));
         }
@@ -236,7 +237,7 @@
         Some(Turn::Granted(Grant { ticket: request.ticket, class, waited_us }))
     }
 
-    /// Takes out every waiting request whose deadline has come.
+    /// Removes every waiting request whose deadline has passed.
     pub fn expire(&mut self, now_us: u64, expired: &mut Vec<Ticket>) {
         for class in 0..self.queues.len() {
             self.queues[class].expire(now_us, expired);
@@ -244,29 +245,32 @@
         }
     }
 
-    /// Takes out a request whose caller went away. Returns whether it was still waiting.
+    /// Removes a request whose caller disconnected. Returns whether it was still waiting.
     pub fn abandon(&mut self, class: ClassId, ticket: Ticket) -> bool {
         let removed = self.queues[class.index()].remove(ticket);
         self.refresh(class.index());
         removed
     }
 
-    /// A statement ended, and its transaction keeps the connection: the slot is free.
+    /// Records that a statement ended and its transaction keeps the connection. Its slot is free.
     pub fn statement_ended(&mut self) {
         assert!(self.running > 0, "a statement ended that was not counted as running");
         self.running -= 1;
     }
 
-    /// A transaction that holds a connection runs its next statement.
+    /// Records that a transaction that holds a connection runs its next statement.
     pub fn statement_started(&mut self) {
         self.running += 1;
         assert!(self.running <= self.connections, "more statements run than connections are held");
     }
 
-    /// A connection was given back, after all statements on it ended. `run_us` is the time in which
-    /// its statements ran, `held_us` the time for which it was held.
+    /// Records that a connection was returned after all statements on it ended. `run_us` is the
+    /// time for which its statements ran, `held_us` the time for which it was held.
     pub fn released(&mut self, class: ClassId, run_us: u64, held_us: u64) {
-        assert!(self.connections > self.running, "a connection was given back while it runs");
+        assert!(
+            self.connections > self.running,
+            "a connection was returned while a statement runs on it"
+        );
         self.connections -= 1;
         let averages = &mut self.averages[class.index()];
         averages.run_us = moving_average(averages.run_us, run_us);
@@ -274,7 +278,7 @@
         self.refresh(class.index());
     }
 
-    /// How long a new request would wait.
+    /// Returns how long a new request of the class would wait.
     pub fn predicted_wait_us(&self, class: ClassId, now_us: u64) -> u64 {
         if self.has_room() && self.queued() == 0 {
             return 0;
@@ -283,34 +287,37 @@
         self.strategy.busy_ahead_us(class, &self.views, now_us) + self.views[class].busy_us
     }
 
-    /// How many requests wait.
+    /// Returns the number of waiting requests.
     pub fn queued(&self) -> usize {
         self.queues.iter().map(ClassQueue::len).sum()
     }
 
-    /// How many requests of a class wait.
+    /// Returns the number of waiting requests of a class.
     pub fn queued_of(&self, class: ClassId) -> usize {
         self.queues[class.index()].len()
     }
 
-    /// How many statements run.
+    /// Returns the number of running statements.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// How many connections are given out.
+    /// Returns the number of connections in use.
     pub fn connections(&self) -> u32 {
         self.connections
     }
 
-    /// Every violated invariant.
+    /// Returns every violated invariant.
     pub fn verify(&self) -> Vec<String> {
         let mut problems: Vec<String> = self.queues.iter().flat_map(ClassQueue::verify).collect();
         if self.running > self.connections {
-            problems.push(format!("{} run on {} connections", self.running, self.connections));
+            problems.push(format!(
+                "{} statements run on {} connections",
+                self.running, self.connections
+            ));
         }
         if self.queued() > self.limits.queued {
-            problems.push(format!("{} wait, more than the bound", self.queued()));
+            problems.push(format!("{} requests wait, more than the limit", self.queued()));
         }
         for (class, queue) in self.queues.iter().enumerate() {
             let view = &self.views[class];
@@ -352,10 +359,11 @@
         full.then_some(ErrorKind::QueueFull)
     }
 
-    /// Whether the caller has as many requests waiting as the others of its class can bear.
+    /// Returns whether the caller has reached its limit of waiting requests in the class.
     ///
-    /// A caller that has the queue to itself harms nobody, and may be a whole application that
-    /// connects under one name. It still leaves places for others that come.
+    /// A caller whose requests are the only ones in the queue does not delay others, and may be a
+    /// whole application that connects under one name. Its limit is therefore higher, but leaves
+    /// room for requests of other callers.
     fn exceeds_caller_limit(&self, class: usize, caller: CallerId) -> bool {
         let queue = &self.queues[class];
         let per_caller = self.limits.queued_per_caller;
@@ -366,8 +374,9 @@
         queue.queued_of(caller) >= bound
     }
 
-    /// Notes since when the wait stands. It counts as short again only well below the bounds: while
-    /// requests are refused the wait stays close to them, and must not end that.
+    /// Updates the time since which the wait has been standing. The wait counts as short again only
+    /// well below the bounds: while requests are refused, it stays close to the bounds, and this
+    /// must not end the refusals.
     fn track_standing_wait(&mut self, class: usize, predicted_wait_us: u64, now_us: u64) {
         let bound_us = self.standing_bound_us(class);
         let since = &mut self.standing_since_us[class];
@@ -393,16 +402,17 @@
         stands && predicted_wait_us > bound_us
     }
 
-    /// A class with a tight goal keeps room for the random ups and downs of its arrivals.
+    /// Returns the wait above which requests are refused: half of the goal of the class. The
+    /// minimum leaves room for random fluctuations of the arrivals of a class with a short goal.
     fn standing_bound_us(&self, class: usize) -> u64 {
         (self.views[class].share.goal_us / 2).max(MIN_STANDING_BOUND_US)
     }
 
-    /// Whether the bound in all leaves a place for the class.
+    /// Returns whether the total limit leaves room for a request of the class.
     ///
-    /// Half of the places are divided evenly among the classes, and the rest is for whoever comes.
-    /// Without that, a surge of one class would fill the whole queue and the requests of the others
-    /// would be refused for lack of a place, however high their weight.
+    /// Half of the total is reserved in equal parts for the classes, and the rest is shared.
+    /// Without the reservation, a surge of one class would fill the whole queue, and requests of
+    /// the other classes would be refused regardless of their weight.
     fn has_queue_space(&self, class: usize) -> bool {
         let reserved = self.limits.queued / (2 * self.queues.len().max(1));
         if self.queues[class].len() < reserved {
