--- a/crates/core/src/process/sharing/weighted.rs
+++ b/crates/core/src/process/sharing/weighted.rs
@@ -1,20 +1,21 @@
 //! Weighted max-min sharing by start-time fair queueing (Goyal, Vin and Cheng, "Start-time fair
 //! queueing").
 //!
-//! Each class has a tag in virtual time. The class with the lowest tag goes next; its tag then moves
-//! on by the time for which its request keeps the target busy, divided by its weight. So classes
-//! that always have requests waiting get time in proportion to their weights, what one leaves is
-//! divided among the others, and a class that asks for less than its share is served almost at once.
+//! Each class has a tag in virtual time. The class with the lowest tag is served next; its tag then
+//! increases by the time for which the request keeps the target busy, divided by the weight of the
+//! class. So classes that always have waiting requests get time in proportion to their weights,
+//! what one class does not use is divided among the others, and a class that asks for less than its
+//! share is served almost without waiting.
 
 use crate::process::sharing::ClassShare;
 use crate::process::sharing::ClassView;
 use crate::process::sharing::SharingStrategy;
 
-/// Virtual time has this many units in a microsecond of a class of weight one, so that dividing by
-/// a large weight doesn't round to nothing.
+/// The units of virtual time in a microsecond of a class of weight one. The resolution keeps the
+/// division by a large weight from rounding to zero.
 const UNITS_PER_US: u64 = 1_024;
 
-/// The tags of the classes.
+/// The scheduling state: the weight and the tag of each class, and the virtual time.
 #[derive(Clone, Debug)]
 pub struct WeightedMaxMin {
     weights: Vec<u64>,
@@ -29,7 +30,7 @@
     }
 
     fn became_busy(&mut self, class: usize) {
-        // A class that was idle must not use up afterwards what it left to the others.
+        // An idle class must not accumulate credit.
         self.tags[class] = self.tags[class].max(self.virtual_time);
     }
 
@@ -45,8 +46,8 @@
 
     fn busy_ahead_us(&self, class: usize, classes: &[ClassView], _now_us: u64) -> u64 {
         let own_us = classes[class].queued_busy_us();
-        // The new request goes when the class's tag has passed what waits before it. Until then
-        // each other class is served up to the same tag, as far as it has requests.
+        // The new request is served when the tag of the class has passed the requests before it.
+        // Until then each other class is served up to the same tag, as far as it has requests.
         let tag = self.tags[class].max(self.virtual_time);
         let until = tag + own_us * UNITS_PER_US / self.weights[class];
         let others = (0..classes.len()).filter(|other| *other != class);
--- a/crates/core/src/process/store_calls.rs
+++ b/crates/core/src/process/store_calls.rs
@@ -1,79 +1,86 @@
-//! Which VMs ask the platform's store, and at what pace while it does not answer.
+//! Decides which VMs call the platform's store, and how often while it does not answer.
 //!
-//! A few VMs of each availability zone ask the store and tell the others, so what a fleet asks of it
-//! follows from zones and changes and not from the number of VMs. The same has to hold while the store
-//! does not answer: VMs that then asked by themselves would keep an outage alive, and would all be there
-//! at the moment of its return. So those that ask go on trying, and the others are told that the store is
-//! away as well, and that it is back.
+//! A few VMs of each availability zone poll the store and pass its contents on to the others, so
+//! the load of a fleet on the store depends on zones and changes, not on the number of VMs. The
+//! same must hold while the store does not answer: if all other VMs then called it directly, they
+//! would prolong the outage, and would all call at the moment of recovery. So the polling VMs keep
+//! trying, and the others learn from them that the store is unavailable, and that it is available
+//! again.
 //!
-//! Somebody has to ask where that is not enough: a VM that nobody tells asks by itself, and one whose
-//! tellers have no answer looks now and then whether it has a better path. Both take their part of a
-//! bound for the whole fleet, reckoned from the number of VMs that they know. Their pauses have a limit,
-//! because a VM that can reach the store alone must have a new version in time.
+//! Some other VMs must call the store as well: a VM that no peer serves calls it directly, and a VM
+//! whose peers get no answer checks from time to time whether it has a better path itself. Both
+//! share a limit on the calls of the whole fleet, computed from the number of VMs that they know.
+//! Their pauses are bounded, because a VM that is the only one to reach the store must still
+//! receive a new version in time.
 //!
-//! A VM that is told passes nothing on, but for one that asks for others and is told while the store turns
-//! it away. It is told only by VMs that the store itself answers. So what is told passes two VMs at most,
-//! and no two that lost the store can tell each other that it answers.
+//! A VM that is served by a peer passes nothing on, except for a polling VM that the store refuses
+//! and that a peer serves meanwhile. Such a VM is served only by VMs that the store itself answers.
+//! So information passes through at most two VMs, and no two VMs that lost the store can tell each
+//! other that it answers.
 
 use crate::process::jitter;
 
-/// The calls a second of all VMs together that do not ask for others, while the store does not answer.
+/// The limit on the calls per second of all non-polling VMs together while the store does not
+/// answer.
 const FLEET_CALLS_PER_S: u64 = 40;
 
-/// The longest pause of a VM whose tellers say that the store is away, in microseconds. It learns a version
-/// late by as much if the store answers only itself; versions have to be in force within 6 s in fleets that
-/// are large enough to come near this.
+/// The longest pause of a VM whose peers report that the store is unavailable, in microseconds. If
+/// the store answers only this VM, it receives a version late by this much; versions must be in
+/// force within 6 s in fleets that are large enough to reach this limit.
 const UNAVAILABLE_LIMIT_US: u64 = 4_000_000;
 
-/// The longest pause of a VM that nobody tells, in microseconds: for it there is no other way to learn
-/// that the store is back.
+/// The longest pause of a VM without a peer, in microseconds: it has no other way to learn that the
+/// store is available again.
 const NO_PEER_LIMIT_US: u64 = 2_500_000;
 
-/// The same while the number of VMs is not known, as after a start.
+/// The longest pause of a VM without a peer while the number of VMs is unknown, as after a start,
+/// in microseconds.
 const START_LIMIT_US: u64 = 1_200_000;
 
-/// The pause after the first calls without an answer, in microseconds: most failures are over then.
+/// The pause after the first unanswered calls, in microseconds. Most failures are over by then.
 const INITIAL_PAUSE_US: u64 = 60_000;
 
-/// How often the first pause of a VM that nobody tells is doubled at most. In a large fleet the first one is
-/// longer, because all of its VMs may be alone at the same moment.
+/// The maximum number of times that the first pause of a VM without a peer doubles. In a large
+/// fleet the first pause is longer, because all of its VMs may be without a peer at the same time.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// How many calls in a row are tried again after the first pause by a VM that asks for others.
+/// The number of consecutive failed calls that a polling VM retries after the initial pause.
 const QUICK_RETRIES: u32 = 3;
 
-/// The pause of a VM that asks for others, in microseconds: all learn from it that the store is back.
+/// The pause of a polling VM, in microseconds. It is short because all other VMs learn from the
+/// polling VMs that the store is available again.
 const DIRECT_PAUSE_US: u64 = 300_000;
 
-/// For how long a VM that is told no longer looks for another one that tells before it asks by itself,
-/// in microseconds: a start of all VMs, or the loss of one that told many, is over by then.
+/// How long a VM that lost its peer looks for another one before it calls the store directly, in
+/// microseconds. A start of all VMs, or the loss of a peer that served many VMs, is over by then.
 const PEER_SEARCH_US: u64 = 600_000;
 
-/// How a VM comes by what the store says.
+/// The way in which a VM receives the contents of the store.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StoreAccess {
-    /// It asks the store, for itself and for those that it tells.
+    /// It polls the store, for itself and for the VMs that it serves.
     Direct,
-    /// Another VM tells it.
+    /// Another VM serves it.
     ViaPeer,
-    /// Another VM tells it that the store does not answer.
+    /// Another VM serves it and reports that the store does not answer.
     ViaPeerUnavailable,
-    /// Nobody tells it.
+    /// No VM serves it.
     NoPeer,
 }
 
-/// What one VM tells another of the store.
+/// What one VM reports to another about the store.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StoreStatus {
-    /// The store answers the teller.
+    /// The store answers the reporting VM.
     Answers,
-    /// The store turns the teller away, and answers one that tells it.
+    /// The store refuses the reporting VM, but answers a VM that serves it.
     Relayed,
-    /// Neither.
+    /// The store answers neither.
     Unavailable,
 }
 
-/// How a VM stands that asks for others, or else has this from the one that tells it.
+/// Returns how a VM receives the contents of the store, given whether it polls and what its peer
+/// reports, if it has one.
 pub fn store_access(polls_store: bool, peer_status: Option<StoreStatus>) -> StoreAccess {
     match peer_status {
         _ if polls_store => StoreAccess::Direct,
@@ -83,31 +90,33 @@
     }
 }
 
-/// What a VM tells others, given whether the store answers it, and what one says that helps it meanwhile.
+/// Returns what a VM reports to the VMs that it serves. `store_answers` says whether the store
+/// answers it, and `helper` is the report of a peer that serves it meanwhile.
 pub fn status_for_peers(store_answers: bool, helper: Option<StoreStatus>) -> StoreStatus {
     match helper {
         _ if store_answers => StoreStatus::Answers,
         Some(StoreStatus::Answers) => StoreStatus::Relayed,
-        // What a helper has from others might come from this VM itself.
+        // A helper's second-hand information might come from this VM itself.
         Some(StoreStatus::Relayed | StoreStatus::Unavailable) | None => StoreStatus::Unavailable,
     }
 }
 
-/// How long a VM that is told no longer waits before it asks by itself, in microseconds.
+/// Returns how long a VM that lost its peer waits before it calls the store directly, in
+/// microseconds.
 pub fn direct_call_delay_us(store_access: StoreAccess, vms: usize, seed: u64) -> u64 {
     let direct_call_delay_us = jitter::upper_half_us(seed, 0, PEER_SEARCH_US);
     match store_access {
         StoreAccess::Direct => 0,
         StoreAccess::ViaPeer | StoreAccess::NoPeer => direct_call_delay_us,
-        // All of them are told at the same moment.
+        // All of these VMs learn of the outage at the same time, so their calls are spread.
         StoreAccess::ViaPeerUnavailable => {
             direct_call_delay_us + jitter::below_us(seed, 1, unavailable_pause_us(vms))
         }
     }
 }
 
-/// The pause after so many calls in a row that were not answered, in microseconds. `vms` is zero while
-/// the number of VMs is not known.
+/// Returns the pause after this number of consecutive unanswered calls, in microseconds. `vms` is
+/// zero while the number of VMs is unknown.
 pub fn retry_pause_us(store_access: StoreAccess, vms: usize, failures: u32, seed: u64) -> u64 {
     let step = u64::from(failures);
     match store_access {
@@ -135,7 +144,7 @@
     fleet_pause_us(vms).min(NO_PEER_LIMIT_US)
 }
 
-/// The pause with which so many VMs together make [`FLEET_CALLS_PER_S`] calls.
+/// Returns the pause with which this number of VMs together make [`FLEET_CALLS_PER_S`] calls.
 fn fleet_pause_us(vms: usize) -> u64 {
     (vms as u64 * 1_000_000 / FLEET_CALLS_PER_S).max(DIRECT_PAUSE_US)
 }
--- a/crates/core/src/process/takeover.rs
+++ b/crates/core/src/process/takeover.rs
@@ -1,69 +1,70 @@
-//! Which replica may take over from a primary, and what has to happen before.
+//! Decides which replica may take over from a primary, and which steps must come first.
 //!
-//! Here a target acknowledges a commit as soon as one replica has received it, and a promoted replica
-//! leads with what it had received and nothing more. So a promote loses an acknowledged commit
-//! wherever another replica had received more.
+//! These targets acknowledge a commit as soon as one replica has received it, and a promoted
+//! replica leads with exactly what it had received. So a promotion loses an acknowledged commit if
+//! another replica had received more.
 //!
-//! Invariant: when a replica is promoted, it holds all that any other member of the group received
-//! and that may have been acknowledged. To get there all other replicas are paused first: a paused
-//! replica receives nothing, so each commit that is acknowledged from then on was received by the one
-//! that is left. Once that one has received at least what each paused one holds, it stays ahead,
-//! however long the old primary goes on acknowledging until the promote takes effect. A planned move
-//! made this way has hardly any gap, because the old primary leads until the new one does.
+//! Invariant: a replica that is promoted holds everything that any other member of the group
+//! received and that may have been acknowledged. To get there, all other replicas are paused first:
+//! a paused replica receives nothing, so each commit that is acknowledged from then on was received
+//! by the remaining replica. Once that one has received at least what each paused one holds, it
+//! stays ahead, however long the old primary keeps acknowledging until the promotion takes effect.
+//! A planned move in this way hardly interrupts writes, because the old primary leads until the new
+//! one does.
 //!
 //! A replica that doesn't answer may be the only one that holds a commit, so nothing is promoted
-//! without it. A vote of the members, as in `process/failover`, is not to be had: these targets
-//! accept a later pause with a lower term, and anybody's resume.
+//! without it. A vote of the members, as in `process/failover`, is not possible: these targets
+//! accept a later pause with a lower term, and a resume by anybody.
 
 use crate::log_position::LogPosition;
 
-/// How long a replica that is behind may take to catch up while the old primary still answers. Half
-/// a second is some ten times the usual time to receive; after it all replicas are paused instead,
-/// which costs a gap but ends.
+/// How long a replica that is behind may take to catch up while the old primary still answers. This
+/// is some ten times the usual time to receive a record. After it all replicas are paused instead,
+/// which interrupts writes but ends.
 pub const CATCH_UP_LIMIT_US: u64 = 500_000;
 
-/// What the driver of a takeover knows of one replica.
+/// The state of one replica, as the driver of a takeover knows it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct ReplicaView {
-    /// Whether it answered the last question.
+    /// Whether it answered the last status query.
     pub reachable: bool,
-    /// The end of its log when it last answered.
+    /// The end of its log in its last answer.
     pub received: LogPosition,
     /// Whether it confirmed that it is paused.
     pub paused: bool,
-    /// Whether it will stop soon, and take its log with it.
+    /// Whether it will stop soon, and its log will be lost.
     pub leaving: bool,
 }
 
-/// The next thing to do.
+/// The next step of a takeover. Replicas are identified by their index.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TakeoverStep {
-    /// Ask this replica to receive nothing more.
+    /// Pause this replica, so that it receives nothing more.
     Pause(usize),
-    /// Ask this replica again how far its log goes.
+    /// Query the log position of this replica again.
     AskAgain(usize),
-    /// Promote this replica: it holds all that was acknowledged.
+    /// Promote this replica: it holds everything that was acknowledged.
     Promote(usize),
     /// Nothing can be done now.
     Wait(WaitReason),
 }
 
-/// Why a takeover can't go on.
+/// The reason for which a takeover can't proceed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum WaitReason {
-    /// There is no replica.
+    /// The group has no replica.
     NoReplica,
     /// This replica does not answer and may be the only one that holds a commit.
     ReplicaSilent(usize),
-    /// No replica has what a departed one may have been alone with.
+    /// No replica has everything that only a departed member may have held.
     LogIncomplete,
 }
 
-/// Decides the next step over all replicas of the group.
+/// Returns the next step, given the state of all replicas of the group.
 ///
-/// `floor` is what the new primary must have received to do without members that are gone.
-/// `primary_answers` tells whether the old primary may still be sending its log, and `waited_us` how
-/// long the chosen replica has been waited for.
+/// `floor` is the position that the new primary must have received to make departed members
+/// dispensable. `primary_answers` says whether the old primary may still be sending its log, and
+/// `waited_us` how long the chosen replica has had to catch up.
 pub fn next_step(
     replicas: &[ReplicaView],
     floor: LogPosition,
@@ -87,11 +88,12 @@
     if has_all(chosen) {
         return TakeoverStep::Promote(chosen);
     }
-    // Only the old primary can send what is missing.
+    // Only the old primary can send the missing records.
     if primary_answers && !replicas[chosen].paused && waited_us < CATCH_UP_LIMIT_US {
         return TakeoverStep::AskAgain(chosen);
     }
-    // Pausing it as well would stop all commits and bring nothing: none of them is complete.
+    // Pausing the chosen replica as well would stop all commits without a benefit: no replica is
+    // complete.
     let is_incomplete = replicas.iter().all(|replica| replica.received < floor);
     if primary_answers && is_incomplete {
         return TakeoverStep::Wait(WaitReason::LogIncomplete);
@@ -99,8 +101,8 @@
     if !replicas[chosen].paused {
         return TakeoverStep::Pause(chosen);
     }
-    // All are paused, so nothing more is acknowledged and the longest log is final. If only a
-    // replica that is leaving has it, the group is better led by that one than losing commits.
+    // All replicas are paused, so nothing more is acknowledged and the longest log is final. If
+    // only a leaving replica has it, that one is promoted: this is better than losing commits.
     let longest = longest(replicas);
     match has_all(longest) {
         true => TakeoverStep::Promote(longest),
@@ -108,14 +110,14 @@
     }
 }
 
-/// The replica to promote: one that stays, with the longest log; of equal ones the first that still
-/// receives, so that no pause has to be undone.
+/// Returns the replica to promote: one that is not leaving, with the longest log; among equal ones
+/// the first that is not paused, so that no pause has to be undone.
 fn choose(replicas: &[ReplicaView]) -> Option<usize> {
     let rank = |index: &usize| {
         let replica = &replicas[*index];
         let fallback = std::cmp::Reverse(*index);
-        // Once it alone receives, it stays the choice: a paused one may still be a little ahead of
-        // it, and pausing by turns would end in no replica that receives.
+        // A replica that is the only one not paused stays the choice: a paused one may still be
+        // slightly ahead of it, and pausing them in turn would leave no replica that receives.
         let receives_alone = !replica.paused && has_paused_other(replicas, *index);
         (!replica.leaving, receives_alone, replica.received, !replica.paused, fallback)
     };
--- a/crates/core/src/process/takeover_claim.rs
+++ b/crates/core/src/process/takeover_claim.rs
@@ -1,80 +1,84 @@
-//! Who may drive a takeover of a group, until when, and whom it may promote.
+//! Decides which proxy may drive a takeover of a group, for how long, and which target it may
+//! promote.
 //!
-//! Several proxies see a primary fail at about the same time. Two drivers at once would undo each
-//! other's pauses, so a driver first writes its claim into the platform's store, under the revision
-//! that it has read: of two claims one is refused. Each claim has a higher token than the one before
-//! it.
+//! Several proxies detect the failure of a primary at about the same time. Two concurrent drivers
+//! would undo each other's pauses, so a driver first writes its claim to the platform's store,
+//! conditional on the revision that it has read: of two concurrent claims one is refused. Each
+//! claim has a higher token than the previous one.
 //!
-//! A platform that checks tokens refuses a promote with a lower one than it has seen. One that does
-//! not would carry out the call of a driver that was overtaken, for instance because the store lost
-//! its answers: two targets would be promoted in turn. So a claim is a lease. Its holder renews it
-//! and promotes nothing once [`LEASE_US`] have passed since it sent the last write that was answered;
-//! a successor waits for [`DRIVER_SILENCE_US`] since it saw that write. The holder's clock counts
-//! suspension, so one that froze finds its lease over when it wakes.
+//! A platform that checks tokens refuses a promotion with a lower token than one it has already
+//! received. One that does not check them would execute the call of a driver that was superseded,
+//! for instance because the answers of the store to that driver were lost: two targets would be
+//! promoted in turn. So a claim is a lease. Its holder renews it, and promotes nothing once
+//! [`LEASE_US`] have passed since it sent the last write that was answered; a successor waits for
+//! [`DRIVER_SILENCE_US`] since it saw that write. The holder's clock includes suspended time, so a
+//! holder that was frozen finds its lease expired when it resumes.
 //!
-//! The last driver goes first the next time, and others only step in when it does nothing: a driver
-//! that changes with every failure would let two of them act shortly after each other.
+//! The last driver may claim first the next time, and others claim only if it does nothing: if the
+//! driver changed with every failure, two drivers could act shortly after each other.
 //!
-//! A promote without an answer may be carried out seconds later. Where tokens are checked, a call with a
-//! higher one settles it. Where they are not, nothing calls it back: until it can have no effect any
-//! more, only the same target may be promoted, for which a late call changes nothing. So the target is
-//! written into the claim before the call, and stays there for whoever drives next.
+//! A promotion without an answer may be executed seconds later. If tokens are checked, a call with
+//! a higher token makes it ineffective. If they are not, it can't be cancelled: until it can have
+//! no effect any more, only the same target may be promoted, for which a late call changes nothing.
+//! So the target is written to the claim before the call, and kept for the next driver.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How long another holder that sees the same failure is given before its claim is taken over. It
-/// needs a probe and a write to the store, some 100 ms; a second more covers a busy VM.
+/// How long another VM that detects the same failure leaves the takeover to the last driver, in
+/// microseconds. The last driver needs a probe and a write to the store, some 100 ms; one second
+/// covers a busy VM.
 pub const HOLDER_GRACE_US: u64 = 1_000_000;
 
-/// How long a holder may act after it sent the last write of its claim that was answered. A promote
-/// takes 600 ms at most to take effect, and each step of a driver is bounded by 700 ms.
+/// How long a holder may act after it sent the last answered write of its claim, in microseconds. A
+/// promotion takes at most 600 ms to take effect, and each step of a driver is limited to 700 ms.
 pub const LEASE_US: u64 = 2_000_000;
 
-/// How long a takeover that is under way may stand without a change before its driver counts as
-/// gone: a lease, and a quarter of one for clocks that run at different rates and for a call that is
-/// under way when the lease ends.
+/// How long a takeover in progress may be without a change before its driver counts as failed, in
+/// microseconds: the lease, and a quarter of it for clocks that run at different rates and for a
+/// call that is in progress when the lease ends.
 pub const DRIVER_SILENCE_US: u64 = 2_500_000;
 
-/// When a holder that is still at work renews its claim, in microseconds after the last write.
+/// When an active holder renews its claim, in microseconds after the last write.
 pub const RENEW_US: u64 = 800_000;
 
-/// How much of the lease has to be left for a call that promotes, in microseconds: the call's own
-/// time limit, so that its connection is given up before the lease ends.
+/// How much of the lease must be left for a promotion call, in microseconds. This is the time limit
+/// of the call, so that its connection is closed before the lease ends.
 pub const PROMOTE_CALL_US: u64 = 700_000;
 
-/// For how long a promote without an answer may still be carried out, in microseconds. The users say
-/// "seconds later"; what their platform does late it does within 6 s.
+/// How long a promotion without an answer may still be executed, in microseconds. The operators of
+/// the platform say "seconds later"; the platform executes late calls within 6 s.
 pub const LATE_EFFECT_US: u64 = 10_000_000;
 
-/// How far a takeover has come.
+/// The progress of a takeover.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// Its driver is at work: replicas may be paused, and a promote may be under way.
+    /// The driver is active: replicas may be paused, and a promotion may be in progress.
     Moving,
-    /// It has ended, and no replica is paused.
+    /// The takeover has ended, and no replica is paused.
     Settled,
 }
 
-/// The claim of one group as it lies in the store.
+/// The claim of one group, as stored.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Claim {
-    /// The VM that drives, or drove last.
+    /// The name of the VM that is the driver, or was the last one.
     pub holder: String,
-    /// Grows with each claim.
+    /// The token of the claim, which increases with each claim.
     pub token: u64,
-    /// How far it has come.
+    /// The progress of the takeover.
     pub state: ClaimState,
-    /// The target of the last call that promotes; empty before the first one.
+    /// The target of the last promotion call; empty before the first one.
     pub chosen: String,
-    /// Whether a call for that target got no answer, or may be under way.
+    /// Whether a promotion call for that target got no answer or may be in progress.
     #[serde(default)]
     pub unsettled: bool,
 }
 
 impl Claim {
-    /// The claim that a VM writes over `before`.
+    /// Returns the claim that a VM writes over `before`. It keeps the target of the last promotion
+    /// call.
     pub fn next(before: Option<&Claim>, holder: &str, token: u64) -> Claim {
         Claim {
             holder: holder.to_owned(),
@@ -86,70 +90,71 @@
     }
 }
 
-/// A claim and when it was seen first.
+/// A claim read from the store, and when it was first seen.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct SeenClaim {
     /// The claim.
     pub claim: Claim,
-    /// The store's revision of it, under which it can be replaced.
+    /// The store's revision of the claim, on which replacing it is conditional.
     pub revision: u64,
-    /// When this process first saw this revision.
+    /// The time at which this process first saw this revision.
     pub seen_us: u64,
 }
 
 /// A claim that this process holds.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct HeldClaim {
-    /// The claim.
+    /// The claim as last written.
     pub claim: Claim,
-    /// The store's revision of it.
+    /// The store's revision of the claim.
     pub revision: u64,
-    /// When the last write of it was sent that was answered.
+    /// The time at which the last answered write of the claim was sent.
     pub written_us: u64,
-    /// Since when no call for the chosen target can have been made by anybody else; it matters while
-    /// the claim is unsettled.
+    /// The time since which no other process can have made a call for the chosen target; used only
+    /// while the claim is unsettled.
     pub unsettled_since_us: u64,
 }
 
 impl HeldClaim {
-    /// Whether it has to be written again before the driver goes on.
+    /// Returns whether the claim must be renewed before the driver proceeds.
     pub fn must_renew(&self, now_us: u64) -> bool {
         now_us >= self.written_us + RENEW_US
     }
 
-    /// Whether a call that promotes may be sent now. Looked at once more when the connection stands,
-    /// right before the call is written: a driver may freeze while it connects.
+    /// Returns whether a promotion call may be sent now. This must be checked again after
+    /// connecting, immediately before the call is written: the driver may have been frozen while it
+    /// connected.
     pub fn may_send_promote(&self, now_us: u64) -> bool {
         now_us + PROMOTE_CALL_US <= self.written_us + LEASE_US
     }
 
-    /// Whether a call for the chosen target may still be carried out.
+    /// Returns whether a call for the chosen target may still be executed.
     pub fn may_take_effect_late(&self, now_us: u64) -> bool {
         self.claim.unsettled && now_us < self.unsettled_since_us + LATE_EFFECT_US
     }
 
-    /// Whether `target` may be promoted, given that the platform checks tokens or does not.
+    /// Returns whether `target` may be promoted, depending on whether the platform checks tokens.
     pub fn may_promote(&self, target: &str, checks_tokens: bool, now_us: u64) -> bool {
         checks_tokens || !self.may_take_effect_late(now_us) || self.claim.chosen == target
     }
 }
 
-/// What a proxy that wants a takeover does about the claim.
+/// What a proxy that wants to drive a takeover does about the claim.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ClaimStep {
-    /// Write a claim with this token.
+    /// Write a new claim.
     Write {
         /// The token of the new claim.
         token: u64,
     },
-    /// Leave it to the present holder for now, and look again at this time.
+    /// Leave the takeover to the present holder, and check again later.
     WaitUntil {
-        /// The time to look again.
+        /// The time of the next check.
         at_us: u64,
     },
 }
 
-/// Decides what VM `own` does about the claim, if it has wanted a takeover since `wanted_us`.
+/// Returns the next step of the VM `own`, which has wanted a takeover since `wanted_us`.
 pub fn next_claim(seen: Option<&SeenClaim>, own: &str, wanted_us: u64, now_us: u64) -> ClaimStep {
     let Some(seen) = seen else {
         return ClaimStep::Write { token: 1 };
--- a/crates/core/src/process/timer.rs
+++ b/crates/core/src/process/timer.rs
@@ -1,38 +1,41 @@
-//! The timer service of the control thread: parts subscribe to a period and are told when it is due.
+//! The timer service of the control thread: components subscribe to a period and are notified when
+//! it is due.
 //!
 //! Nothing here reads a clock or sleeps. The embedder sleeps until [`Timers::next_deadline_us`] and
-//! asks [`Timers::take_due`]. Jitter spreads the ticks of many processes; it is drawn from a seed, so
-//! a run can be repeated. A process that was paused gets one tick of each subscription, not all that
-//! it missed: a burst of overdue probes and calls is what a machine that just woke needs least.
+//! calls [`Timers::take_due`]. Jitter spreads the ticks of many processes; it is derived from a
+//! seed, so a run is reproducible. A process that was paused gets one tick of each subscription,
+//! not all that it missed: a burst of overdue probes and calls would load a machine that has just
+//! resumed.
 
 use std::cmp;
 use std::collections;
 
 use crate::process::jitter;
 
-/// A subscription.
+/// The identifier of a subscription.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct TimerId(u32);
 
 impl TimerId {
-    /// The position of this subscription in a dense table.
+    /// Returns the index of this subscription, for use in a dense table.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// How often a subscription is due.
+/// The period of a subscription.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Period {
-    /// The time between two ticks, at least 1.
+    /// The time between two ticks in microseconds, at least 1.
     pub every_us: u64,
-    /// Each tick comes up to this much later.
+    /// The maximum additional delay of each tick, in microseconds.
     pub jitter_us: u64,
-    /// The seed of the jitter.
+    /// The seed of the jitter; it should differ between processes.
     pub seed: u64,
 }
 
-/// When a subscription is next due, and what makes it move.
+/// The state of a subscription. The period is `None` for a single tick; `step` changes with each
+/// tick, reset and cancellation.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 struct Subscription {
     period: Option<Period>,
@@ -41,10 +44,11 @@
     active: bool,
 }
 
-/// An entry of the heap. It counts only while the subscription still has this due time and step.
+/// A heap entry: due time, timer and step. It is current only while the subscription has the same
+/// step.
 type Entry = cmp::Reverse<(u64, TimerId, u64)>;
 
-/// All subscriptions.
+/// The set of all subscriptions.
 #[derive(Clone, Debug, Default)]
 pub struct Timers {
     subscriptions: Vec<Subscription>,
@@ -53,13 +57,13 @@
 }
 
 impl Timers {
-    /// No subscription.
+    /// Creates a set without subscriptions.
     pub fn new() -> Timers {
         Timers::default()
     }
 
-    /// Subscribes to a period. The first tick comes after a part of it that depends on the seed, so
-    /// that processes that start together don't tick together.
+    /// Subscribes to a period. The first tick comes after a part of the period that depends on the
+    /// seed, so that processes that start together don't tick together.
     pub fn subscribe(&mut self, period: Period, now_us: u64) -> TimerId {
         let first_us = jitter::below_us(period.seed, 0, period.every_us + period.jitter_us + 1);
         self.insert(Some(period), now_us + first_us)
@@ -70,17 +74,19 @@
         self.insert(None, due_us)
     }
 
-    /// Moves the next tick. An ended single tick must not be moved.
+    /// Moves the next tick of an active subscription to `due_us`.
+    ///
+    /// Panics if the subscription has ended.
     pub fn reset(&mut self, timer: TimerId, due_us: u64) {
         let subscription = &mut self.subscriptions[timer.index()];
-        assert!(subscription.active, "a timer that ended can't be moved");
+        assert!(subscription.active, "an ended timer can't be reset");
         subscription.step += 1;
         subscription.due_us = due_us;
         self.heap.push(cmp::Reverse((due_us, timer, subscription.step)));
         self.compact();
     }
 
-    /// Ends a subscription. Its id may be given out again.
+    /// Ends a subscription. Its identifier may be reused.
     pub fn cancel(&mut self, timer: TimerId) {
         let subscription = &mut self.subscriptions[timer.index()];
         if subscription.active {
@@ -90,8 +96,8 @@
         }
     }
 
-    /// Adds each subscription that is due to `due`, in the order of their times. Periods move on; a
-    /// single tick ends.
+    /// Appends each due subscription to `due`, in the order of their due times. Periodic ones are
+    /// scheduled again; single ticks end.
     pub fn take_due(&mut self, now_us: u64, due: &mut Vec<TimerId>) {
         while let Some(&cmp::Reverse((due_us, timer, step))) = self.heap.peek() {
             if due_us > now_us {
@@ -105,7 +111,7 @@
         }
     }
 
-    /// When the next subscription is due.
+    /// Returns when the next subscription is due.
     pub fn next_deadline_us(&mut self) -> Option<u64> {
         while let Some(&cmp::Reverse((due_us, timer, step))) = self.heap.peek() {
             if self.is_current(timer, step) {
@@ -116,7 +122,7 @@
         None
     }
 
-    /// Every violated invariant.
+    /// Returns every violated invariant.
     pub fn verify(&self) -> Vec<String> {
         let mut problems = Vec::new();
         for (index, subscription) in self.subscriptions.iter().enumerate() {
@@ -166,8 +172,8 @@
         self.heap.push(entry);
     }
 
-    /// Drops entries that no longer count once they outnumber those that do, so that timers that are
-    /// moved often don't make the heap grow.
+    /// Removes outdated heap entries once they outnumber the current ones, so that the heap does
+    /// not grow with frequently moved timers.
     fn compact(&mut self) {
         if self.heap.len() <= 2 * self.subscriptions.len() + 16 {
             return;
