--- a/crates/core/tests/connection_plan.rs
+++ b/crates/core/tests/connection_plan.rs
@@ -23,17 +23,17 @@
 }
 
 plans! {
-    the_small_site_of_sfax_connects: 16, 6 => ConnectionPlan::Direct { primary: 2, replica: 1 },
-    with_its_spare_vms_too: 16, 9 => ConnectionPlan::Direct { .. },
-    the_small_site_of_mittelland_connects: 32, 8 => ConnectionPlan::Direct { primary: 4, replica: 2 },
-    the_grown_site_of_sfax_has_homes: 26, 86 => ConnectionPlan::Homes { share: 4, fallbacks: 3 },
-    the_large_site_of_sfax_has_homes: 88, 295 => ConnectionPlan::Homes { share: 16, fallbacks: 10 },
-    the_grown_site_of_mittelland_has_homes: 98, 68 => ConnectionPlan::Homes { share: 18, fallbacks: 11 },
-    a_vm_that_knows_no_other_connects: 16, 0 => ConnectionPlan::Direct { .. },
+    few_vms_connect_directly: 16, 6 => ConnectionPlan::Direct { primary: 2, replica: 1 },
+    spare_vms_connect_directly: 16, 9 => ConnectionPlan::Direct { .. },
+    few_vms_share_more_connections: 32, 8 => ConnectionPlan::Direct { primary: 4, replica: 2 },
+    many_vms_have_homes: 26, 86 => ConnectionPlan::Homes { share: 4, fallbacks: 3 },
+    large_fleet_has_homes: 88, 295 => ConnectionPlan::Homes { share: 16, fallbacks: 10 },
+    many_vms_with_more_connections_have_homes: 98, 68 => ConnectionPlan::Homes { share: 18, fallbacks: 11 },
+    vm_without_known_peers_connects_directly: 16, 0 => ConnectionPlan::Direct { .. },
 }
 
 #[test]
-fn homes_never_pass_a_targets_connections() {
+fn homes_never_exceed_the_connection_limit() {
     fn property(connections: u16, vms: u16) -> bool {
         match connection_plan::plan(demand(u32::from(connections), usize::from(vms))) {
             ConnectionPlan::Direct { .. } => true,
@@ -50,7 +50,7 @@
 /// VMs that reach no home stand in for them, while the homes go on serving the others. Each has one connection
 /// more than its share, for questions that pass its queue.
 #[test]
-fn homes_and_stand_ins_together_pass_no_targets_connections() {
+fn homes_and_fallbacks_never_exceed_the_connection_limit() {
     fn property(connections: u16, vms: u16) -> bool {
         match connection_plan::plan(demand(u32::from(connections), usize::from(vms))) {
             ConnectionPlan::Direct { .. } => true,
@@ -70,7 +70,7 @@
 /// A VM that finds no way to a target for long connects by itself, and one that ranks low later than one that
 /// ranks high.
 #[test]
-fn those_without_a_way_connect_one_after_the_other() {
+fn fallbacks_double_with_the_time_without_a_path() {
     assert_eq!(connection_plan::fallback_count(10, 2_900_000), 0);
     assert_eq!(connection_plan::fallback_count(10, 3_000_000), 20);
     assert_eq!(connection_plan::fallback_count(10, 13_000_000), 160);
--- a/crates/core/tests/departures.rs
+++ b/crates/core/tests/departures.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_departed_member_is_needed_while_nothing_shows_that_the_primary_led_on() {
+fn departed_member_is_required_without_a_later_position() {
     let mut departures = departed_at(1_000);
     departures.update_floors(|_| None, 2_000);
     assert_eq!(departures.required().count(), 1);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_later_position_of_the_primary_takes_its_place() {
+fn later_position_makes_the_member_dispensable() {
     let mut departures = departed_at(1_000);
     departures.update_floors(|left_us| (left_us <= 1_500).then(|| LogPosition::new(2, 40)), 2_000);
     assert_eq!(departures.required().count(), 0);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_member_that_is_listed_again_never_left() {
+fn member_listed_again_is_not_departed() {
     let mut departures = departed_at(1_000);
     departures.member_returned("i-3");
     assert_eq!(departures.required().count(), 0);
@@ -37,7 +37,7 @@
 
 /// One that is needed is remembered for as long as it takes.
 #[test]
-fn only_what_is_not_needed_is_forgotten() {
+fn only_dispensable_members_are_forgotten() {
     let mut departures = departed_at(1_000);
     departures.update_floors(|_| None, u64::MAX);
     assert_eq!(departures.required().count(), 1);
@@ -48,7 +48,7 @@
 /// A replica that died before the process started took commits along, and the other one receives
 /// nothing. What the primary had after the start takes the place of what the process can't know.
 #[test]
-fn what_left_before_the_start_is_covered_by_the_primarys_next_position() {
+fn later_position_covers_departures_before_the_start() {
     let mut departures = Departures::<&str>::started_at(1_000);
     assert!(!departures.may_promote(2_000));
     departures.update_floors(|left_us| (left_us <= 1_500).then(|| LogPosition::new(2, 40)), 2_000);
@@ -58,7 +58,7 @@
 
 /// The primary died with all processes, so nobody has a position of it. The group is led again in the end.
 #[test]
-fn a_process_that_hears_nothing_of_the_primary_waits_for_a_while_only() {
+fn process_without_a_position_waits_for_a_limited_time() {
     let mut departures = Departures::<&str>::started_at(1_000);
     departures.update_floors(|_| None, 2_000);
     assert!(!departures.may_promote(999 + UNKNOWN_PRIMARY_WAIT_US));
--- a/crates/core/tests/detection.rs
+++ b/crates/core/tests/detection.rs
@@ -67,7 +67,7 @@
 /// The primary stays silent and nobody can replace it, as in a zone that is cut off. The timer must
 /// not fire again and again at a time that has passed: the control thread would do nothing else.
 #[test]
-fn timer_rests_while_the_silence_lasts() {
+fn timer_is_spaced_while_the_silence_lasts() {
     let mut detector = detector();
     let due_us = detector.due_us();
     detector.timer(due_us, due_us);
@@ -93,7 +93,7 @@
 /// The proxy itself is paused for five seconds. All primaries look silent to it when it wakes up;
 /// without regard to its own late timer it would depose every one of them.
 #[test]
-fn own_pause_suspects_nobody() {
+fn own_pause_causes_no_suspicion() {
     let mut detector = detector();
     detector.evidence(100 * MS, Evidence::Heard);
     detector.timer(5_150 * MS, 150 * MS);
@@ -106,7 +106,7 @@
 /// This proxy alone is cut off from the primary, whose replicas go on taking records. Deposing it
 /// would stop writes for everyone. When the records stop as well, the primary is gone.
 #[test]
-fn primary_that_others_reach_is_kept() {
+fn primary_that_others_reach_is_not_suspected() {
     let mut detector = detector();
     detector.evidence(0, Evidence::Heard);
     for step in 0..50 {
@@ -120,7 +120,7 @@
 /// Records that were on their way when the primary died arrive at a replica after the connections
 /// broke. They are no sign that the primary works.
 #[test]
-fn records_under_way_are_no_sign_of_life() {
+fn records_in_transit_are_no_evidence() {
     let mut detector = detector();
     detector.report(0, 1, &replica(1));
     detector.evidence(10 * MS, Evidence::Heard);
--- a/crates/core/tests/failover/cases.rs
+++ b/crates/core/tests/failover/cases.rs
@@ -114,7 +114,7 @@
         assert_eq!(self.driver.verify(), [], "{line}");
         let mut text = format!("{}\n", line.trim_end());
         for action in &actions {
-            self.note_call(action);
+            self.remember_call(action);
             if let Some(action) = print(action) {
                 text.push_str(&format!("  {action}\n"));
             }
@@ -122,7 +122,7 @@
         text
     }
 
-    fn note_call(&mut self, action: &Action) {
+    fn remember_call(&mut self, action: &Action) {
         if let Action::UpdateLead { call, .. } | Action::ReadLead { call } = action {
             self.last_call = *call;
         }
@@ -156,11 +156,11 @@
 fn answer(member: usize, words: &[&str]) -> Event {
     let (call, rest) = match *words {
         ["status:", ref rest @ ..] => (MemberCall::ReadStatus, rest),
-        ["raise", term, ref rest @ ..] => (MemberCall::Raise { term: colon(term) }, rest),
-        ["promote", term, ref rest @ ..] => (MemberCall::Promote { term: colon(term) }, rest),
+        ["raise", term, ref rest @ ..] => (MemberCall::Raise { term: parse_term(term) }, rest),
+        ["promote", term, ref rest @ ..] => (MemberCall::Promote { term: parse_term(term) }, rest),
         ["follow", term, primary, ref rest @ ..] => {
-            let primary = colon(primary).0 as usize;
-            (MemberCall::Follow { term: colon(term), primary }, rest)
+            let primary = parse_term(primary).0 as usize;
+            (MemberCall::Follow { term: parse_term(term), primary }, rest)
         }
         _ => panic!("unknown answer {words:?}"),
     };
@@ -171,7 +171,7 @@
     word.parse().unwrap_or_else(|_| panic!("`{word}` is no number"))
 }
 
-fn colon(word: &str) -> Term {
+fn parse_term(word: &str) -> Term {
     Term(number(word.trim_end_matches(':')))
 }
 
--- a/crates/core/tests/failover/faults.rs
+++ b/crates/core/tests/failover/faults.rs
@@ -14,9 +14,9 @@
 fn started() -> Group {
     let mut group = Group::new(3, 3);
     group.run(1_000);
-    group.want(2);
+    group.request_primary(2);
     group.run(500);
-    assert_eq!(group.works_in(&[0, 1, 2]), Ok(()));
+    assert_eq!(group.check_writes_in(&[0, 1, 2]), Ok(()));
     assert_eq!(group.processes[0].driver.announced(), Some(leader(2, 2)));
     group
 }
@@ -27,7 +27,7 @@
 
 fn suspect(group: &mut Group, process: usize) {
     let term = group.processes[process].driver.leader().expect("a leader").term;
-    group.tell(process, Event::Suspected { term });
+    group.pass_event(process, Event::Suspected { term });
 }
 
 /// Runs until a process in the zone announces a primary of a later term, for `most_ms` at most.
@@ -42,7 +42,7 @@
     None
 }
 
-fn no_faults(group: &Group) {
+fn assert_no_faults(group: &Group) {
     assert_eq!(group.faults, Vec::<String>::new());
 }
 
@@ -53,7 +53,7 @@
         fn $name() {
             let mut $group = started();
             $body
-            no_faults(&$group);
+            assert_no_faults(&$group);
         }
     };
 }
@@ -65,19 +65,19 @@
     isolated_primary_acknowledges_nothing_and_rejoins, group => {
         group.cut[2] = true;
         suspect(&mut group, 0);
-        let stray = group.write(2).expect("the old primary still takes writes");
+        let unconfirmed = group.write(2).expect("the old primary still takes writes");
         let gap_ms = run_until_replaced(&mut group, 0, 200).expect("a new primary");
         assert!(gap_ms <= GAP_MS, "{gap_ms} ms");
-        assert_eq!(group.works_in(&[0, 1]), Ok(()));
+        assert_eq!(group.check_writes_in(&[0, 1]), Ok(()));
         assert!(group.write(2).is_some());
         group.run(500);
-        assert!(!group.acked.contains(&stray));
+        assert!(!group.acked.contains(&unconfirmed));
         group.cut[2] = false;
         group.run(500);
         assert_eq!(group.members[2].role, Role::Replica);
         assert_eq!(group.members[2].log, group.members[0].log);
-        assert_eq!(group.works_in(&[0, 1, 2]), Ok(()));
-        assert!(!group.acked.contains(&stray));
+        assert_eq!(group.check_writes_in(&[0, 1, 2]), Ok(()));
+        assert!(!group.acked.contains(&unconfirmed));
     }
 }
 
@@ -107,11 +107,11 @@
         group.platform_up = false;
         group.members[2].down = true;
         for process in [0, 1, 2] {
-            group.tell(process, Event::Rank { rank: 0 });
+            group.pass_event(process, Event::Rank { rank: 0 });
             suspect(&mut group, process);
         }
         group.run(1_500);
-        assert_eq!(group.works_in(&[0, 1]), Ok(()));
+        assert_eq!(group.check_writes_in(&[0, 1]), Ok(()));
     }
 }
 
@@ -119,7 +119,7 @@
     /// The driver pauses after it has fenced and before it promotes. Another completes the change
     /// in a higher term. The first wakes up and promotes the member that it chose: whether or not
     /// that takes, no write of its term is acknowledged, and one primary remains.
-    driver_that_wakes_up_late_does_no_harm, group => {
+    late_driver_does_no_harm, group => {
         group.cut[2] = true;
         suspect(&mut group, 0);
         while group.members[1].raised_term == Term(2) {
@@ -131,10 +131,10 @@
         group.write(1);
         group.resume(0);
         group.run(1_000);
-        assert_eq!(group.works_in(&[0, 1]), Ok(()));
+        assert_eq!(group.check_writes_in(&[0, 1]), Ok(()));
         group.cut[2] = false;
         group.run(1_000);
-        assert_eq!(group.works_in(&[0, 1, 2]), Ok(()));
+        assert_eq!(group.check_writes_in(&[0, 1, 2]), Ok(()));
     }
 }
 
@@ -152,7 +152,7 @@
         let gap_ms = run_until_replaced(&mut group, 1, 2_000).expect("a new primary");
         assert!(gap_ms <= 250 + 60 + 100 + GAP_MS, "{gap_ms} ms");
         group.run(500);
-        assert_eq!(group.works_in(&[0, 1]), Ok(()));
+        assert_eq!(group.check_writes_in(&[0, 1]), Ok(()));
     }
 }
 
@@ -160,7 +160,7 @@
     /// An operator asks for another primary while callers write. Every process holds writes back,
     /// the wanted member gets all records, and the hold is short.
     planned_move_hands_over_all_records, group => {
-        group.want(0);
+        group.request_primary(0);
         let mut held_ms = 0;
         let mut written = Vec::new();
         for _ in 0..300 {
@@ -178,7 +178,7 @@
         assert!(written.iter().all(|position| group.acked.contains(position)));
         group.run(500);
         assert_eq!(group.record.as_ref().map(|record| record.wanted.as_str()), Some(""));
-        assert_eq!(group.works_in(&[0, 1, 2]), Ok(()));
+        assert_eq!(group.check_writes_in(&[0, 1, 2]), Ok(()));
     }
 }
 
@@ -187,13 +187,13 @@
     /// cleared after its bound.
     move_to_a_dead_member_is_given_up, group => {
         group.members[0].down = true;
-        group.want(0);
+        group.request_primary(0);
         for _ in 0..120 {
             group.run(100);
             assert!(!group.processes[1].driver.holding());
         }
         assert_eq!(group.record.as_ref().map(|record| record.wanted.as_str()), Some(""));
-        assert_eq!(group.works_in(&[1, 2]), Ok(()));
+        assert_eq!(group.check_writes_in(&[1, 2]), Ok(()));
         assert_eq!(group.processes[1].driver.announced(), Some(leader(2, 2)));
     }
 }
@@ -202,7 +202,7 @@
     /// The wanted member stops right when writes are held back. The hold ends at its bound with the
     /// old primary, and the wish is cleared.
     move_that_stops_midway_releases_writes, group => {
-        group.want(0);
+        group.request_primary(0);
         while !group.processes[1].driver.holding() {
             group.run(1);
         }
@@ -210,7 +210,7 @@
         group.run(1_500);
         assert!(!group.processes[1].driver.holding());
         assert_eq!(group.record.as_ref().map(|record| record.wanted.as_str()), Some(""));
-        assert_eq!(group.works_in(&[1, 2]), Ok(()));
+        assert_eq!(group.check_writes_in(&[1, 2]), Ok(()));
     }
 }
 
@@ -241,6 +241,6 @@
         group.run(1_500);
         assert_eq!(group.members[0].role, Role::Replica);
         assert_eq!(group.members[2].role, Role::Primary);
-        assert_eq!(group.works_in(&[0, 1, 2]), Ok(()));
+        assert_eq!(group.check_writes_in(&[0, 1, 2]), Ok(()));
     }
 }
--- a/crates/core/tests/failover/group.rs
+++ b/crates/core/tests/failover/group.rs
@@ -11,8 +11,8 @@
 use skylark_core::version::objects::LeadRecord;
 
 use crate::member::FakeMember;
+use crate::network::Message;
 use crate::network::Payload;
-use crate::network::Wire;
 
 /// How many processes there are; process `i` and member `i` are in zone `i`.
 pub const PROCESSES: usize = 3;
@@ -30,7 +30,7 @@
     pub pending: Vec<LogPosition>,
 }
 
-pub struct Reign {
+pub struct Leadership {
     term: Term,
     member: usize,
     log: Vec<Term>,
@@ -48,9 +48,9 @@
     first_count: usize,
     /// Whether the version with all members was accepted.
     grown: bool,
-    pub wires: Vec<Wire>,
+    pub messages: Vec<Message>,
     pub acked: Vec<LogPosition>,
-    pub reigns: Vec<Reign>,
+    pub leaderships: Vec<Leadership>,
     /// What went wrong; empty in a correct run.
     pub faults: Vec<String>,
     runs: u64,
@@ -68,16 +68,16 @@
             cut: vec![false; count.max(PROCESSES)],
             first_count,
             grown: false,
-            wires: Vec::new(),
+            messages: Vec::new(),
             acked: Vec::new(),
-            reigns: Vec::new(),
+            leaderships: Vec::new(),
             faults: Vec::new(),
             runs: 0,
         };
         for process in 0..PROCESSES {
             let fresh = group.start(process);
             group.processes.push(fresh);
-            group.tell(process, Event::LeadSeen { version: 0, record: None });
+            group.pass_event(process, Event::LeadSeen { version: 0, record: None });
         }
         group
     }
@@ -117,14 +117,14 @@
         self.processes[process] = self.start(process);
         let seen = Event::LeadSeen { version: self.record_version, record: self.record.clone() };
         if self.platform_up && !self.cut[process] {
-            self.tell(process, seen);
+            self.pass_event(process, seen);
         }
     }
 
     pub fn resume(&mut self, process: usize) {
         self.processes[process].paused = false;
         for event in std::mem::take(&mut self.processes[process].inbox) {
-            self.tell(process, event);
+            self.pass_event(process, event);
         }
     }
 
@@ -135,12 +135,12 @@
         if known.count() < self.members.len() {
             let grown = names(self.members.len());
             let members = known.successor(2, grown).expect("one member more");
-            self.tell(process, Event::Members { members, profiles: Vec::new() });
+            self.pass_event(process, Event::Members { members, profiles: Vec::new() });
         }
     }
 
     /// Gives an event to a process at once.
-    pub fn tell(&mut self, process: usize, event: Event) {
+    pub fn pass_event(&mut self, process: usize, event: Event) {
         let target = &mut self.processes[process];
         if target.paused {
             target.inbox.push(event);
@@ -179,27 +179,31 @@
         let pending = std::mem::take(&mut self.processes[process].pending);
         for position in pending {
             if position.term == confirmed.term && position <= confirmed {
-                self.note_acked(position);
+                self.record_acknowledged(position);
             } else if position.term >= confirmed.term {
                 self.processes[process].pending.push(position);
             }
         }
     }
 
-    fn note_acked(&mut self, position: LogPosition) {
+    fn record_acknowledged(&mut self, position: LogPosition) {
         self.acked.push(position);
-        let lost = self.reigns.iter().filter(|reign| reign.term > position.term);
-        for reign in lost.filter(|reign| !holds(&reign.log, position)) {
+        let lost = self.leaderships.iter().filter(|leadership| leadership.term > position.term);
+        for leadership in lost.filter(|leadership| !holds(&leadership.log, position)) {
             self.faults.push(format!(
                 "{position} was acknowledged after target{} began term {} without it",
-                reign.member, reign.term
+                leadership.member, leadership.term
             ));
         }
     }
 
-    pub fn note_reign(&mut self, member: usize) {
+    pub fn record_leadership(&mut self, member: usize) {
         let term = self.members[member].raised_term;
-        if self.reigns.iter().any(|reign| reign.term == term && reign.member != member) {
+        if self
+            .leaderships
+            .iter()
+            .any(|leadership| leadership.term == term && leadership.member != member)
+        {
             self.faults.push(format!("two members led term {term}"));
         }
         let log = self.members[member].log.clone();
@@ -212,7 +216,7 @@
         for position in lost {
             self.faults.push(format!("target{member} began term {term} without {position}"));
         }
-        self.reigns.push(Reign { term, member, log });
+        self.leaderships.push(Leadership { term, member, log });
     }
 
     /// A caller writes through a process, at the primary that the process last announced.
@@ -252,7 +256,7 @@
             let due = self.processes[process].timer_us.is_some_and(|at_us| at_us <= self.now_us);
             if due && !self.processes[process].paused {
                 self.processes[process].timer_us = None;
-                self.tell(process, Event::Timer);
+                self.pass_event(process, Event::Timer);
             }
         }
     }
@@ -269,7 +273,7 @@
     }
 
     /// An operator asks for a primary.
-    pub fn want(&mut self, member: usize) {
+    pub fn request_primary(&mut self, member: usize) {
         if let Some(record) = self.record.clone() {
             self.set_record(LeadRecord { wanted: format!("target{member}"), ..record });
         }
@@ -284,12 +288,12 @@
                 self.probe();
             }
             let due_us = self.now_us.saturating_sub(STEP_US);
-            let wires = std::mem::take(&mut self.wires);
-            let (due, later): (Vec<Wire>, Vec<Wire>) =
-                wires.into_iter().partition(|wire| wire.sent_us <= due_us);
-            self.wires = later;
-            for wire in due {
-                self.arrive(wire);
+            let messages = std::mem::take(&mut self.messages);
+            let (due, later): (Vec<Message>, Vec<Message>) =
+                messages.into_iter().partition(|message| message.sent_us <= due_us);
+            self.messages = later;
+            for message in due {
+                self.arrive(message);
             }
             for member in 0..self.members.len() {
                 self.replicate(member);
@@ -310,13 +314,13 @@
             }) else {
                 continue;
             };
-            self.tell(process, Event::Suspected { term: leader.term });
+            self.pass_event(process, Event::Suspected { term: leader.term });
         }
     }
 
     /// Whether every process in these zones announced one primary, holds nothing back, and gets a
     /// write acknowledged.
-    pub fn works_in(&mut self, zones: &[usize]) -> Result<(), String> {
+    pub fn check_writes_in(&mut self, zones: &[usize]) -> Result<(), String> {
         let first = self.processes[zones[0]].driver.announced();
         for &process in zones {
             let driver = &self.processes[process].driver;
@@ -346,5 +350,5 @@
     position
         .index
         .checked_sub(1)
-        .is_some_and(|place| log.get(place as usize) == Some(&position.term))
+        .is_some_and(|offset| log.get(offset as usize) == Some(&position.term))
 }
--- a/crates/core/tests/failover/network.rs
+++ b/crates/core/tests/failover/network.rs
@@ -17,7 +17,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Wire {
+pub struct Message {
     pub process: usize,
     pub run: u64,
     pub sent_us: u64,
@@ -27,38 +27,38 @@
 impl Group {
     pub fn send(&mut self, process: usize, payload: Payload) {
         let run = self.processes[process].run;
-        self.wires.push(Wire { process, run, sent_us: self.now_us, payload });
+        self.messages.push(Message { process, run, sent_us: self.now_us, payload });
     }
 
     pub fn lose(&mut self, pick: usize) {
-        if !self.wires.is_empty() {
-            self.wires.swap_remove(pick % self.wires.len());
+        if !self.messages.is_empty() {
+            self.messages.swap_remove(pick % self.messages.len());
         }
     }
 
     pub fn repeat(&mut self, pick: usize) {
-        if !self.wires.is_empty() {
-            self.wires.push(self.wires[pick % self.wires.len()].clone());
+        if !self.messages.is_empty() {
+            self.messages.push(self.messages[pick % self.messages.len()].clone());
         }
     }
 
     pub fn deliver(&mut self, pick: usize) {
-        if !self.wires.is_empty() {
-            let wire = self.wires.remove(pick % self.wires.len());
-            self.arrive(wire);
+        if !self.messages.is_empty() {
+            let message = self.messages.remove(pick % self.messages.len());
+            self.arrive(message);
         }
     }
 
-    pub fn arrive(&mut self, wire: Wire) {
-        let process = wire.process;
-        if let Payload::ToMember { name, member, call } = &wire.payload {
-            self.call_member(&wire, name, *member, *call);
+    pub fn arrive(&mut self, message: Message) {
+        let process = message.process;
+        if let Payload::ToMember { name, member, call } = &message.payload {
+            self.call_member(&message, name, *member, *call);
             return;
         }
-        if self.processes[process].run != wire.run {
+        if self.processes[process].run != message.run {
             return;
         }
-        match wire.payload {
+        match message.payload {
             Payload::ToProcess(event) => {
                 let reached = match &event {
                     Event::Report { member, .. } | Event::MemberAnswer { member, .. } => {
@@ -67,7 +67,7 @@
                     _ => !self.cut[process],
                 };
                 if reached {
-                    self.tell(process, event);
+                    self.pass_event(process, event);
                 }
             }
             Payload::Update { call, expected_version, record } => {
@@ -84,8 +84,8 @@
         }
     }
 
-    fn call_member(&mut self, wire: &Wire, name: &str, member: usize, call: MemberCall) {
-        if !self.linked(wire.process, member) || self.members[member].down {
+    fn call_member(&mut self, message: &Message, name: &str, member: usize, call: MemberCall) {
+        if !self.linked(message.process, member) || self.members[member].down {
             return;
         }
         let led_before = self.members[member].leads(self.members[member].raised_term);
@@ -93,14 +93,14 @@
         self.members[member].call(name, call);
         let status = self.members[member].status();
         if !led_before && self.members[member].leads(status.raised_term) {
-            self.note_reign(member);
+            self.record_leadership(member);
         }
         if status != before {
             self.notify(member);
         }
-        if self.processes[wire.process].run == wire.run {
+        if self.processes[message.process].run == message.run {
             let event = Event::MemberAnswer { member, call, status };
-            self.send(wire.process, Payload::ToProcess(event));
+            self.send(message.process, Payload::ToProcess(event));
         }
     }
 
--- a/crates/core/tests/failover/random.rs
+++ b/crates/core/tests/failover/random.rs
@@ -88,13 +88,13 @@
         Op::Up(pick) => group.members[pick % members].down = false,
         Op::PlatformUp(up) => group.platform_up = up,
         Op::Grow(pick) => group.grow(pick % PROCESSES),
-        Op::Want(pick) => group.want(pick % members),
+        Op::Want(pick) => group.request_primary(pick % members),
     }
 }
 
 fn suspect(group: &mut Group, process: usize) {
     if let Some(leader) = group.processes[process].driver.leader() {
-        group.tell(process, Event::Suspected { term: leader.term });
+        group.pass_event(process, Event::Suspected { term: leader.term });
     }
 }
 
@@ -106,8 +106,8 @@
     for process in 0..PROCESSES {
         group.resume(process);
         group.grow(process);
-        group.tell(process, Event::MembersSettled);
-        group.tell(process, Event::Trusted);
+        group.pass_event(process, Event::MembersSettled);
+        group.pass_event(process, Event::Trusted);
     }
     group.platform_up = true;
 }
@@ -134,7 +134,7 @@
     }
     end_faults(&mut group);
     group.run(4_000);
-    if let Err(reason) = group.works_in(&[0, 1, 2]) {
+    if let Err(reason) = group.check_writes_in(&[0, 1, 2]) {
         return TestResult::error(format!("no work after the faults: {reason}"));
     }
     check(&group)
--- a/crates/core/tests/floors_sessions.rs
+++ b/crates/core/tests/floors_sessions.rs
@@ -42,7 +42,7 @@
         session: usize,
     },
     /// A lookup whose barrier reads all members without a delay.
-    Ask {
+    LookUpNow {
         holder: usize,
         session: usize,
     },
@@ -67,7 +67,7 @@
             36..38 => Op::Replace(a),
             38..42 => Op::Follow(a),
             42..48 => Op::LookUp { holder: a, session: b },
-            48..54 => Op::Ask { holder: a, session: b },
+            48..54 => Op::LookUpNow { holder: a, session: b },
             54..60 => Op::Begin(a),
             60..78 => Op::Read { holder: a, member: b },
             78..95 => Op::Arrive(a),
@@ -84,7 +84,7 @@
 }
 
 /// A lookup under way, with the last acknowledged write of its session when it arrived.
-struct Asked {
+struct PendingLookup {
     holder: usize,
     id: LookupId,
     last_write: Option<LogPosition>,
@@ -99,7 +99,7 @@
     messages: Vec<Message>,
     unacknowledged: Vec<(usize, LogPosition)>,
     last_write: [Option<LogPosition>; SESSIONS],
-    asked: Vec<Asked>,
+    pending: Vec<PendingLookup>,
     next_lookup: u64,
     answered: usize,
     last_floor: LogPosition,
@@ -126,7 +126,7 @@
             messages: Vec::new(),
             unacknowledged: Vec::new(),
             last_write: [None; SESSIONS],
-            asked: Vec::new(),
+            pending: Vec::new(),
             next_lookup: 0,
             answered: 0,
             last_floor: LogPosition::default(),
@@ -144,7 +144,9 @@
             Op::Replace(first) => self.replace(first % MEMBERS),
             Op::Follow(member) => self.follow(member % MEMBERS),
             Op::LookUp { holder, session } => self.look_up(holder % HOLDERS, session % SESSIONS),
-            Op::Ask { holder, session } => self.ask(holder % HOLDERS, session % SESSIONS),
+            Op::LookUpNow { holder, session } => {
+                self.look_up_now(holder % HOLDERS, session % SESSIONS)
+            }
             Op::Begin(holder) => self.begin(holder % HOLDERS),
             Op::Read { holder, member } => self.read(holder % HOLDERS, member % MEMBERS),
             Op::Arrive(pick) => self.arrive(pick),
@@ -158,10 +160,10 @@
                     self.holders[holder % HOLDERS].abandon_barrier(barrier);
                 }
             }
-            Op::Restart(place) => {
-                self.holders[place % HOLDERS] = holder(self.settings);
-                self.barriers[place % HOLDERS] = None;
-                self.asked.retain(|asked| asked.holder != place % HOLDERS);
+            Op::Restart(pick) => {
+                self.holders[pick % HOLDERS] = holder(self.settings);
+                self.barriers[pick % HOLDERS] = None;
+                self.pending.retain(|pending| pending.holder != pick % HOLDERS);
             }
         }
         self.acknowledge();
@@ -225,7 +227,7 @@
         self.next_lookup += 1;
         let id = LookupId(self.next_lookup);
         self.holders[holder].look_up(id, &name(session));
-        self.asked.push(Asked { holder, id, last_write: self.last_write[session] });
+        self.pending.push(PendingLookup { holder, id, last_write: self.last_write[session] });
     }
 
     fn begin(&mut self, holder: usize) {
@@ -233,7 +235,7 @@
         self.barriers[holder] = begun.or(self.barriers[holder]);
     }
 
-    fn ask(&mut self, holder: usize, session: usize) {
+    fn look_up_now(&mut self, holder: usize, session: usize) {
         if let Some(barrier) = self.barriers[holder] {
             self.holders[holder].abandon_barrier(barrier);
         }
@@ -273,12 +275,13 @@
 
     /// A read goes to any member that covers the floor: it must find the session's last write there.
     fn check(&mut self, holder: usize, answer: FloorAnswer) {
-        let found = |asked: &Asked| asked.holder == holder && asked.id == answer.lookup;
-        let Some(place) = self.asked.iter().position(found) else { return };
-        let asked = self.asked.swap_remove(place);
+        let found =
+            |pending: &PendingLookup| pending.holder == holder && pending.id == answer.lookup;
+        let Some(position) = self.pending.iter().position(found) else { return };
+        let pending = self.pending.swap_remove(position);
         self.answered += 1;
         self.last_floor = answer.floor;
-        let Some(write) = asked.last_write else { return };
+        let Some(write) = pending.last_write else { return };
         for (member, state) in self.members.iter().enumerate() {
             let index = write.index as usize - 1;
             if state.end().covers(answer.floor) && state.log.get(index) != Some(&write.term) {
@@ -372,23 +375,23 @@
 #[test]
 fn known_writes_leave_other_sessions_free() {
     let mut world = World::new(SessionFloorsSettings::default());
-    let ask = |world: &mut World, session: usize| {
-        world.ask(0, session);
+    let look_up_now = |world: &mut World, session: usize| {
+        world.look_up_now(0, session);
         world.last_floor
     };
-    assert_eq!(ask(&mut world, 0), LogPosition::new(1, 1));
+    assert_eq!(look_up_now(&mut world, 0), LogPosition::new(1, 1));
     (0..MEMBERS).for_each(|member| world.replicate(member));
-    assert_eq!(ask(&mut world, 0), LogPosition::new(1, 1));
-    assert_eq!(ask(&mut world, 0), LogPosition::default());
+    assert_eq!(look_up_now(&mut world, 0), LogPosition::new(1, 1));
+    assert_eq!(look_up_now(&mut world, 0), LogPosition::default());
     world.write(1, 0);
     world.write(2, 1);
     // The write through the co-home is not known yet.
-    assert_eq!(ask(&mut world, 0), LogPosition::new(1, 3));
+    assert_eq!(look_up_now(&mut world, 0), LogPosition::new(1, 3));
     world.arrive(1);
-    assert_eq!(ask(&mut world, 0), LogPosition::default());
-    assert_eq!(ask(&mut world, 1), LogPosition::new(1, 2));
-    assert_eq!(ask(&mut world, 2), LogPosition::new(1, 3));
+    assert_eq!(look_up_now(&mut world, 0), LogPosition::default());
+    assert_eq!(look_up_now(&mut world, 1), LogPosition::new(1, 2));
+    assert_eq!(look_up_now(&mut world, 2), LogPosition::new(1, 3));
     (0..MEMBERS).for_each(|member| world.replicate(member));
-    ask(&mut world, 0);
-    assert_eq!(ask(&mut world, 2), LogPosition::default());
+    look_up_now(&mut world, 0);
+    assert_eq!(look_up_now(&mut world, 2), LogPosition::default());
 }
--- a/crates/core/tests/isolation.rs
+++ b/crates/core/tests/isolation.rs
@@ -19,7 +19,7 @@
     OtherZoneTarget { answered_us: NOW_US - 1_000, failed_since_us: None }
 }
 
-fn unasked() -> OtherZoneTarget {
+fn unused() -> OtherZoneTarget {
     OtherZoneTarget { answered_us: 0, failed_since_us: None }
 }
 
@@ -35,16 +35,16 @@
 }
 
 verdicts! {
-    nobody_outside_is_no_isolation: [], "zone" => false;
+    no_other_zone_is_no_isolation: [], "zone" => false;
     all_fail: [fails(MIN_FAILURE_US), fails(MIN_FAILURE_US)], "zone" => true;
     not_yet_for_long: [fails(MIN_FAILURE_US - 1), fails(MIN_FAILURE_US)], "zone" => false;
-    one_alone_says_nothing: [fails(MIN_FAILURE_US), unasked()], "zone" => false;
+    one_failing_target_is_not_enough: [fails(MIN_FAILURE_US), unused()], "zone" => false;
     one_answers: [fails(MIN_FAILURE_US), fails(MIN_FAILURE_US), answers()], "zone" => false;
-    unasked_ones_don_t_count: [fails(MIN_FAILURE_US), fails(MIN_FAILURE_US), unasked()], "zone" => true;
+    unused_targets_do_not_count: [fails(MIN_FAILURE_US), fails(MIN_FAILURE_US), unused()], "zone" => true;
     /// It serves nobody and so knows nothing by itself.
-    its_zone_is_cut_off: [unasked(), unasked()], "cut zone" => true;
+    its_zone_is_cut_off: [unused(), unused()], "cut zone" => true;
     /// Those that watch for its zone may be cut off by themselves.
-    it_reaches_others_itself: [answers(), fails(MIN_FAILURE_US)], "cut zone" => false;
+    process_reaches_other_zones_itself: [answers(), fails(MIN_FAILURE_US)], "cut zone" => false;
 }
 
 /// What a watcher sees of two other zones, asked at these times before now; none if they answer.
@@ -94,7 +94,7 @@
 
 /// The silence counts from the first question without an answer.
 #[test]
-fn asking_again_does_not_begin_anew() {
+fn repeated_probe_keeps_the_start_of_the_silence() {
     let mut reach = reach([Some(CUT_OFF_US), Some(CUT_OFF_US)]);
     reach.asked("a", NOW_US);
     assert!(reach.is_cut_off(NOW_US));
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -25,7 +25,7 @@
 }
 
 /// How many operations may run in one window.
-fn most_in_window(limit: RateLimit) -> u64 {
+fn max_in_window(limit: RateLimit) -> u64 {
     let window_milli = limit.rate_milli_per_s * TOLERANCE.window_ms / 1_000 + limit.burst_milli;
     (window_milli + window_milli / 10) / OPERATION_MILLI + TOLERANCE.slack
 }
@@ -80,7 +80,7 @@
 /// Callers ask without pause for 20 s, and the whole fleet loses power twice within one window: no window has
 /// more operations than the limit allows.
 #[test]
-fn no_window_passes_the_limit_though_all_start_again_twice() {
+fn limit_holds_when_all_allocators_restart_twice() {
     fn property(per_s: u16, allocators: u8, first_ms: u16, second_ms: u16) -> bool {
         let limit = limit(u64::from(per_s) % 400 + 1);
         let mut fleet = Fleet::new(limit, usize::from(allocators) % 20 + 1);
@@ -95,7 +95,7 @@
             }
             fleet.ask_all(now_us);
         }
-        fleet.busiest_window() <= most_in_window(limit)
+        fleet.busiest_window() <= max_in_window(limit)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 1))
@@ -105,7 +105,7 @@
 
 /// Single allocators start again one after the other, each up to twice in a window.
 #[test]
-fn no_window_passes_the_limit_while_allocators_roll() {
+fn limit_holds_during_rolling_restarts() {
     fn property(per_s: u16, allocators: u8, gap_ms: u16) -> bool {
         let limit = limit(u64::from(per_s) % 400 + 1);
         let allocators = usize::from(allocators) % 20 + 1;
@@ -122,7 +122,7 @@
             fleet.restart(|index| is_turn && index == turn % allocators, now_us);
             fleet.ask_all(now_us);
         }
-        fleet.busiest_window() <= most_in_window(limit)
+        fleet.busiest_window() <= max_in_window(limit)
     }
     let property = property as fn(u16, u8, u16) -> bool;
     assert!(property(1, 22, 0), "three allocators that start without pause");
@@ -131,7 +131,7 @@
 
 /// A calm day on which an organisation asks for half as much again as its limit.
 #[test]
-fn a_limit_is_served_up_to_it() {
+fn nearly_the_whole_limit_is_granted() {
     fn property(per_s: u16, zones: u8) -> bool {
         let limit = limit(u64::from(per_s) % 400 + 4);
         let zones = usize::from(zones) % 5 + 1;
@@ -151,7 +151,7 @@
 
 /// Those who are turned away are told apart: each comes back when its own turn is there, not all at once.
 #[test]
-fn whoever_is_turned_away_later_comes_back_later() {
+fn later_refusals_are_retried_later() {
     let mut bucket =
         TokenBucket::starting(LimitPart::of(limit(10), QuotaTolerance::default(), 1), 0);
     let waits: Vec<u64> = (0..3).map(|_| bucket.take(1, 0).retry_after_us).collect();
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_limit_of_nothing_grants_nothing() {
+fn zero_limit_grants_nothing() {
     let mut bucket =
         TokenBucket::starting(LimitPart::of(limit(0), QuotaTolerance::default(), 2), 0);
     let grant = bucket.take(1, 100 * SECOND_US);
--- a/crates/core/tests/read_age.rs
+++ b/crates/core/tests/read_age.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_time_of_sending_counts() {
+fn sending_time_of_the_probe_counts() {
     let mut age = ReadAge::new(1);
     age.probe_answered(0, 100, 9_000, &primary(1, 5));
     assert_eq!(age.fresh_as_of_us(0), Some(100));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn catching_up_is_told_apart_from_the_age_that_is_shown() {
+fn catch_up_time_differs_from_the_lag() {
     let mut age = ReadAge::new(2);
     age.probe_answered(0, 100, 101, &primary(1, 5));
     age.probe_answered(1, 100, 101, &replica(1, 5));
@@ -245,7 +245,7 @@
     }
 }
 
-fn claims_are_true(steps: Vec<Step>) -> bool {
+fn claims_hold(steps: Vec<Step>) -> bool {
     let mut group = Group::new();
     let mut age = ReadAge::new(3);
     for (index, step) in steps.into_iter().enumerate() {
@@ -272,11 +272,11 @@
 }
 
 #[test]
-fn no_claim_is_younger_than_the_truth() {
+fn claimed_age_is_never_too_low() {
     for seed in 1..=4 {
         QuickCheck::new()
             .tests(500)
             .rng(Gen::from_size_and_seed(60, seed))
-            .quickcheck(claims_are_true as fn(Vec<Step>) -> bool);
+            .quickcheck(claims_hold as fn(Vec<Step>) -> bool);
     }
 }
--- a/crates/core/tests/sharing.rs
+++ b/crates/core/tests/sharing.rs
@@ -122,7 +122,7 @@
 
 // A class that was idle for an hour must not hold the target for itself afterwards.
 #[test]
-fn an_idle_class_saves_up_nothing() {
+fn idle_class_accumulates_no_credit() {
     let mut queue = queue(QueueLimits { queued_per_caller: 256, ..limits() });
     arrive(&mut queue, LOOKUP, 1, 0);
     for _ in 0..200 {
@@ -281,7 +281,7 @@
 }
 
 /// Random events against the invariants of the queue.
-fn queue_stays_sound(steps: Vec<(u8, u8)>) -> bool {
+fn queue_keeps_its_invariants(steps: Vec<(u8, u8)>) -> bool {
     let bounds = QueueLimits {
         running: 2,
         connections: 4,
@@ -354,11 +354,11 @@
 }
 
 #[test]
-fn the_queue_stays_sound_through_any_events() {
+fn queue_keeps_its_invariants_for_random_events() {
     for seed in 1..=4 {
         QuickCheck::new()
             .tests(400)
             .rng(Gen::from_size_and_seed(80, seed))
-            .quickcheck(queue_stays_sound as fn(Vec<(u8, u8)>) -> bool);
+            .quickcheck(queue_keeps_its_invariants as fn(Vec<(u8, u8)>) -> bool);
     }
 }
--- a/crates/core/tests/sharing_connections.rs
+++ b/crates/core/tests/sharing_connections.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn some_are_open_before_anybody_asks() {
+fn spare_connections_are_opened_ahead_of_demand() {
     let mut budget = budget(8, 1);
     assert_eq!(open_all(&mut budget, 0), BudgetPolicy::default().spare);
     assert!(budget.take(1));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_home_stays_within_its_part() {
+fn home_stays_within_its_share() {
     let mut budget = budget(3, 1);
     budget.set_waiting(50);
     assert_eq!(open_all(&mut budget, 0), 3);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn connections_beyond_the_need_are_given_back() {
+fn connections_beyond_the_demand_are_closed() {
     let mut budget = budget(16, 1);
     budget.set_waiting(10);
     assert_eq!(open_all(&mut budget, 0), 12);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_smaller_part_closes_idle_connections_and_cuts_none_in_use() {
+fn smaller_share_closes_only_idle_connections() {
     let mut budget = budget(8, 1);
     budget.set_waiting(6);
     open_all(&mut budget, 0);
@@ -69,15 +69,15 @@
 }
 
 /// The times of all tries within `until_us` against a target that refuses each.
-fn tries_at_a_dead_target(seed: u64, until_us: u64) -> Vec<u64> {
+fn attempts_at_a_dead_target(seed: u64, until_us: u64) -> Vec<u64> {
     let mut budget = budget(8, seed);
     budget.set_waiting(8);
-    let mut tries = Vec::new();
+    let mut attempts = Vec::new();
     let mut now_us = 0;
     while now_us < until_us {
         let plan = budget.plan(now_us);
         for _ in 0..plan.open {
-            tries.push(now_us);
+            attempts.push(now_us);
             budget.open_failed(ConnectFailure::Failed, now_us);
         }
         assert_eq!(budget.verify(), Vec::<String>::new());
@@ -85,20 +85,23 @@
         assert_eq!(after.open, 0, "a failed try is not repeated at once");
         now_us = after.next_plan_us.expect("a home that lacks connections asks again");
     }
-    tries
+    attempts
 }
 
 // A target restarts, and its homes have lost all their connections. All come back at the same moment
 // and again at each doubling of the delay, so that the target spends its start on connections. After
 // the first tries each home tries one at a time, ever less often, at moments of its own.
 #[test]
-fn a_dead_target_is_not_stormed() {
-    let tries = tries_at_a_dead_target(1, 60 * SECOND_US);
-    let first = tries.iter().filter(|at_us| **at_us == 0).count();
+fn dead_target_causes_no_connection_storm() {
+    let attempts = attempts_at_a_dead_target(1, 60 * SECOND_US);
+    let first = attempts.iter().filter(|at_us| **at_us == 0).count();
     assert_eq!(first, 8, "the first tries are made together");
-    assert!(tries.len() < 40, "{} tries in a minute", tries.len());
-    let others = tries_at_a_dead_target(2, 60 * SECOND_US);
-    assert!(tries[8..].iter().all(|at_us| !others[8..].contains(at_us)), "jitter differs by seed");
+    assert!(attempts.len() < 40, "{} tries in a minute", attempts.len());
+    let others = attempts_at_a_dead_target(2, 60 * SECOND_US);
+    assert!(
+        attempts[8..].iter().all(|at_us| !others[8..].contains(at_us)),
+        "jitter differs by seed"
+    );
 }
 
 #[test]
@@ -121,7 +124,7 @@
 // would try again at once, and so on, until the views agree. It stays below what it has, and asks for
 // one more at a time.
 #[test]
-fn an_overshoot_is_met_by_staying_below() {
+fn connection_limit_caps_the_pool() {
     let mut budget = budget(8, 1);
     budget.set_waiting(8);
     assert_eq!(budget.plan(0).open, 8);
@@ -132,18 +135,18 @@
         budget.open_failed(ConnectFailure::TooMany, 10);
     }
     assert_eq!(budget.plan(11).open, 0);
-    let mut tries = 0;
+    let mut attempts = 0;
     let mut now_us = 11;
     while now_us < 10 * SECOND_US {
         let plan = budget.plan(now_us);
         assert!(plan.open <= 1);
         for _ in 0..plan.open {
-            tries += 1;
+            attempts += 1;
             budget.open_failed(ConnectFailure::TooMany, now_us);
         }
         now_us += 10_000;
     }
-    assert!((15..=40).contains(&tries), "{tries} tries in ten seconds");
+    assert!((15..=40).contains(&attempts), "{attempts} tries in ten seconds");
     for _ in 0..10 {
         now_us += SECOND_US;
         open_all(&mut budget, now_us);
@@ -151,7 +154,7 @@
     assert_eq!(budget.total(), 8, "the part is reached once the target has room");
 }
 
-fn budget_stays_sound(steps: Vec<(u8, u8)>) -> bool {
+fn budget_keeps_its_invariants(steps: Vec<(u8, u8)>) -> bool {
     let mut budget = budget(6, 7);
     let mut now_us = 0;
     let mut opening = 0;
@@ -183,11 +186,11 @@
 }
 
 #[test]
-fn the_part_is_never_passed() {
+fn share_is_never_exceeded() {
     for seed in 1..=4 {
         QuickCheck::new()
             .tests(400)
             .rng(Gen::from_size_and_seed(80, seed))
-            .quickcheck(budget_stays_sound as fn(Vec<(u8, u8)>) -> bool);
+            .quickcheck(budget_keeps_its_invariants as fn(Vec<(u8, u8)>) -> bool);
     }
 }
--- a/crates/core/tests/store_calls.rs
+++ b/crates/core/tests/store_calls.rs
@@ -100,7 +100,7 @@
         Fleet { vms, watchers, outage }
     }
 
-    fn is_turned_away(&self, index: usize, at_us: u64) -> bool {
+    fn is_refused(&self, index: usize, at_us: u64) -> bool {
         self.outage.is_at(at_us)
             && jitter::below_us(self.vms[index].seed, 2, 100) < self.outage.percent
     }
@@ -147,7 +147,7 @@
 
     /// Asks the store if it is time for that. Returns whether a call was made in vain.
     fn call_store(&mut self, index: usize, at_us: u64) -> bool {
-        let (is_turned_away, count) = (self.is_turned_away(index, at_us), self.vms.len());
+        let (is_refused, count) = (self.is_refused(index, at_us), self.vms.len());
         let vm = &mut self.vms[index];
         let store_access = store_calls::store_access(vm.polls_store, vm.peer_status);
         let direct_call_delay_us = store_calls::direct_call_delay_us(store_access, count, vm.seed);
@@ -156,7 +156,7 @@
         {
             return false;
         }
-        if is_turned_away {
+        if is_refused {
             vm.answers = false;
             vm.failing_since_us.get_or_insert(at_us);
             if at_us < vm.next_call_us {
@@ -187,13 +187,13 @@
                 }
             }
             let served: Vec<u64> = (0..self.vms.len())
-                .filter(|index| !self.is_turned_away(*index, at_us))
+                .filter(|index| !self.is_refused(*index, at_us))
                 .filter(|index| self.vms[*index].polls_store)
                 .map(|index| self.vms[index].partition)
                 .collect();
             for (index, since_us) in has_path_since_us.iter_mut().enumerate() {
-                let has_path = !self.is_turned_away(index, at_us)
-                    || served.contains(&self.vms[index].partition);
+                let has_path =
+                    !self.is_refused(index, at_us) || served.contains(&self.vms[index].partition);
                 *since_us = has_path.then(|| since_us.unwrap_or(at_us));
                 let due_us = since_us.map(|since_us| since_us + VERSION_DEADLINE_US);
                 let age_us = at_us - self.vms[index].version_us;
@@ -244,25 +244,25 @@
 fleets! {
     /// All VMs lose the store at once. Those that ask for others go on trying; the rest are told so, and
     /// that it is back.
-    the_store_is_away_for_all: 1, FOR_ALL;
+    store_unavailable_for_all: 1, FOR_ALL;
     /// It turns a third of the VMs away: they are told by the others.
-    the_store_turns_a_third_away: 1, FOR_A_THIRD;
+    store_refuses_a_third: 1, FOR_A_THIRD;
     /// It answers only a few, most of which ask for nobody: each of these still has a path of its own.
-    the_store_answers_a_few: 1, FOR_NEARLY_ALL;
+    store_answers_a_few: 1, FOR_NEARLY_ALL;
     /// All VMs start while it is away, and know nobody.
-    the_store_is_away_at_the_start: 1, AT_THE_START;
+    store_unavailable_at_the_start: 1, AT_THE_START;
     /// The VMs fall into parts that don't reach each other while it is away.
-    the_store_is_away_during_a_split: 5, FOR_ALL;
+    store_unavailable_during_a_partition: 5, FOR_ALL;
     /// The same while it turns a third of the VMs away.
-    the_store_turns_a_third_away_during_a_split: 5, FOR_A_THIRD;
+    store_refuses_a_third_during_a_partition: 5, FOR_A_THIRD;
     /// No VM reaches another one: each asks by itself, and none too often.
-    nobody_reaches_anybody: u64::MAX, FOR_ALL;
+    all_vms_are_isolated: u64::MAX, FOR_ALL;
 }
 
 /// A VM that asks for others never passes on what one tells it that has it from others: two that lost the
 /// store would have told each other for ever that it answers.
 #[test]
-fn what_was_passed_on_is_not_passed_on_again() {
+fn relayed_status_is_not_relayed_again() {
     assert_eq!(
         store_calls::status_for_peers(false, Some(StoreStatus::Answers)),
         StoreStatus::Relayed
--- a/crates/core/tests/takeover.rs
+++ b/crates/core/tests/takeover.rs
@@ -103,7 +103,7 @@
 }
 
 impl Group {
-    fn happen(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         match event {
             Event::Die => self.alive = false,
             Event::CatchUp(index) if self.alive && !self.paused[index] => {
@@ -131,7 +131,7 @@
 
 /// Drives a takeover under commits that go on, and returns whether what is promoted has, some events
 /// later, all that was acknowledged until then. `checked` off skips the comparison of logs.
-fn keeps_all(run: &Run, checked: bool) -> bool {
+fn keeps_all_commits(run: &Run, checked: bool) -> bool {
     let mut group =
         Group { primary: 1, alive: true, received: [1, 1, 0], paused: [false; 3], acknowledged: 1 };
     let mut events = run.events.iter().copied();
@@ -140,7 +140,7 @@
         // What is decided on was asked for some events ago.
         let views = group.views(run.leaving);
         let Some(event) = events.next() else { return true };
-        group.happen(event);
+        group.apply(event);
         waited_us += 100_000;
         match takeover::next_step(&views, NO_FLOOR, group.alive, waited_us) {
             TakeoverStep::Pause(index) if checked => group.paused[index] = true,
@@ -158,7 +158,7 @@
     I: Iterator<Item = Event>,
 {
     for event in events.take(8) {
-        group.happen(event);
+        group.apply(event);
     }
     group.received[index] >= group.acknowledged
 }
@@ -166,7 +166,7 @@
 #[test]
 fn no_acknowledged_commit_is_lost() {
     fn property(run: Run) -> bool {
-        keeps_all(&run, true)
+        keeps_all_commits(&run, true)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, 1))
@@ -180,5 +180,5 @@
 fn without_pauses_a_commit_is_lost() {
     let mut g = Gen::new(60);
     let runs = (0..20_000).map(|_| Run::arbitrary(&mut g));
-    assert!(runs.into_iter().any(|run| !keeps_all(&run, false)));
+    assert!(runs.into_iter().any(|run| !keeps_all_commits(&run, false)));
 }
--- a/crates/core/tests/takeover_claim.rs
+++ b/crates/core/tests/takeover_claim.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn others_leave_it_to_the_last_driver_for_a_moment() {
+fn others_wait_for_the_last_driver() {
     let seen = seen("vm-2", ClaimState::Settled, 0);
     let step = takeover_claim::next_claim(Some(&seen), "vm-1", 500, 600);
     assert_eq!(step, ClaimStep::WaitUntil { at_us: 500 + HOLDER_GRACE_US });
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_driver_at_work_is_disturbed_only_once_it_counts_as_gone() {
+fn active_driver_is_replaced_only_after_its_silence() {
     let seen = seen("vm-2", ClaimState::Moving, 1_000);
     let step = takeover_claim::next_claim(Some(&seen), "vm-1", 0, 2_000);
     assert_eq!(step, ClaimStep::WaitUntil { at_us: 1_000 + DRIVER_SILENCE_US });
@@ -59,7 +59,7 @@
 /// Two drivers promoted in turn: the one that was overtaken called 15 ms after its successor. Its call
 /// has to be answered or given up before anybody may have taken the claim.
 #[test]
-fn a_holder_calls_only_while_nobody_can_have_taken_its_claim() {
+fn holder_calls_only_during_its_lease() {
     let held = held(false, 0);
     assert!(held.may_send_promote(LEASE_US - PROMOTE_CALL_US));
     assert!(!held.may_send_promote(LEASE_US - PROMOTE_CALL_US + 1));
@@ -81,7 +81,7 @@
 /// A call without an answer is carried out seconds later, after another target was promoted: that one
 /// loses its lead, and what it acknowledged is lost.
 #[test]
-fn while_a_call_may_come_late_only_the_same_target_is_promoted() {
+fn pending_call_allows_only_the_same_target() {
     let held = held(true, 1_000);
     let late_us = 1_000 + LATE_EFFECT_US;
     assert!(held.may_promote("a", false, 1_000));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn who_drives_next_knows_of_a_call_that_may_come_late() {
+fn successor_claim_keeps_the_pending_call() {
     let held = held(true, 0);
     let next = Claim::next(Some(&held.claim), "vm-2", 8);
     assert_eq!((&*next.chosen, next.unsettled), ("a", true));
--- a/crates/core/tests/timer.rs
+++ b/crates/core/tests/timer.rs
@@ -71,7 +71,7 @@
 }
 
 /// Changes to three timers as random numbers.
-fn timers_stay_sound(steps: Vec<(u8, u8)>) -> bool {
+fn timers_keep_their_invariants(steps: Vec<(u8, u8)>) -> bool {
     let mut timers = Timers::new();
     let mut active = Vec::new();
     let mut now_us = 0;
@@ -105,11 +105,11 @@
 }
 
 #[test]
-fn timers_stay_sound_through_any_changes() {
+fn timers_keep_their_invariants_for_random_operations() {
     for seed in 1..=3 {
         QuickCheck::new()
             .tests(300)
             .rng(Gen::from_size_and_seed(60, seed))
-            .quickcheck(timers_stay_sound as fn(Vec<(u8, u8)>) -> bool);
+            .quickcheck(timers_keep_their_invariants as fn(Vec<(u8, u8)>) -> bool);
     }
 }
