--- a/crates/core/tests/acknowledgement.rs
+++ b/crates/core/tests/acknowledgement.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// The primary alone holds a record, and then one replica of two: only then is it confirmed, and
-/// only up to what both hold.
+/// A record is confirmed once one of two replicas holds it besides the primary, and only up to the
+/// position that both hold.
 #[test]
 fn majority_confirms_what_both_hold() {
     let mut tracker = tracker(3);
@@ -45,10 +45,10 @@
     assert_eq!(tracker.report(0, 2, &status(Role::Replica, 1, 1, 7)), None);
 }
 
-/// A caller's write of term 1 reached target0 alone before target0 was cut off; target2 led term 2
-/// and went away with a record of its own. target0 then leads term 3 and target1 copies the old
-/// record from it, not yet the record that opens term 3. Two members hold the write, but target2's
-/// log is higher than target1's and could still replace it: the write must not be acknowledged.
+/// A write of term 1 reached target0 alone before target0 was partitioned; target2 led term 2 and
+/// failed with a record of its own. target0 then leads term 3, and target1 copies the old record
+/// from it, but not yet the record that opens term 3. Two members hold the write, but target2's log
+/// is higher than target1's and could still replace it, so the write must not be acknowledged.
 #[test]
 fn record_of_an_older_term_copied_later_confirms_nothing() {
     let mut tracker = tracker(3);
@@ -60,8 +60,8 @@
     assert_eq!(confirmed, Some(LogPosition::new(3, 6)));
 }
 
-/// A member fenced by a later term still holds the records of the old primary, which goes on
-/// writing. What it reports from then on confirms nothing of the old term.
+/// A member fenced by a later term still holds records of the old primary, which keeps writing. Its
+/// later reports must confirm nothing of the old term.
 #[test]
 fn fenced_member_confirms_nothing_more() {
     let mut tracker = tracker(3);
@@ -71,7 +71,7 @@
     assert_eq!(confirmed, Some(LogPosition::new(1, 5)));
 }
 
-/// Writes would wait in vain when a majority is silent, fenced, or no longer takes records.
+/// The tracker reports a stall while a majority is silent, fenced, or does not take records.
 #[test]
 fn stall_is_seen() {
     let term = Term(1);
@@ -81,7 +81,7 @@
     tracker.report(0, 1, &status(Role::Replica, 1, 1, 5));
     assert!(!tracker.stalled(400_000, 0, term));
     assert!(tracker.stalled(400_001, 0, term));
-    // An idle group is not stalled by its next write, however long it was idle.
+    // The next write of an idle group does not make it stalled, however long it was idle.
     tracker.report(9_000_000, 1, &status(Role::Replica, 1, 1, 5));
     tracker.report(9_000_000, 0, &status(Role::Primary, 1, 1, 6));
     assert!(!tracker.stalled(9_400_000, 0, term));
@@ -94,9 +94,9 @@
     assert!(tracker.stalled(9_400_001, 0, term));
 }
 
-/// A group grows from three to four members. Two of the old three are no quorum of the new
-/// set, and two old members with the new one are no quorum that meets every quorum of the old set
-/// unless two of the old three are among them.
+/// A group grows from three to four members. Two old members are no quorum of the new set. Two old
+/// members and the new one are a quorum, since every quorum of the old set shares a member with
+/// them.
 #[test]
 fn quorum_of_a_changed_set_meets_those_of_the_old() {
     let old = MemberSet::new(1, names(3)).expect("distinct names");
@@ -113,7 +113,8 @@
     assert_eq!(old.successor(1, names(4)), Err(MemberSetError::NotNewer));
 }
 
-/// Any quorum of a set and any quorum of its neighbour share a member, for every size and subset.
+/// Any quorum of a set and any quorum of the next version share a member, for all sizes up to six
+/// and all subsets.
 #[test]
 fn quorums_of_neighbouring_sets_share_a_member() {
     for count in 1..7 {
@@ -130,8 +131,8 @@
     }
 }
 
-/// Whatever arrives in whatever order, a confirmed position is one that a majority really reported
-/// in its own term, and it never moves back.
+/// For any reports in any order, a confirmed position was reported by a majority in its own term,
+/// and never decreases.
 #[test]
 fn confirmed_positions_are_proven_by_reports() {
     fn proven(reports: Vec<(u8, u8, u8, u8)>) -> bool {
--- a/crates/core/tests/connection_plan.rs
+++ b/crates/core/tests/connection_plan.rs
@@ -1,4 +1,4 @@
-//! Who connects to a target.
+//! Tests of the plan that decides which VMs connect to a target.
 
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
@@ -7,7 +7,7 @@
 use skylark_core::process::connection_plan::Demand;
 use skylark_core::process::connection_plan::HOMES;
 
-/// A target whose connections serve anybody.
+/// A target whose connections may be used by any caller.
 fn demand(max_connections: u32, vms: usize) -> Demand {
     Demand { max_connections, vms, organisations: 0 }
 }
@@ -47,8 +47,9 @@
         .quickcheck(property as fn(u16, u16) -> bool);
 }
 
-/// VMs that reach no home stand in for them, while the homes go on serving the others. Each has one connection
-/// more than its share, for questions that pass its queue.
+/// VMs that reach no home connect as fallbacks, while the homes keep serving the others. Each home
+/// and each fallback has one connection more than its share, for status queries that bypass its
+/// queue.
 #[test]
 fn homes_and_fallbacks_never_exceed_the_connection_limit() {
     fn property(connections: u16, vms: u16) -> bool {
@@ -56,7 +57,7 @@
             ConnectionPlan::Direct { .. } => true,
             ConnectionPlan::Homes { share, fallbacks } => {
                 let all = (share + 1) * HOMES as u32 + 2 * fallbacks as u32;
-                // The fewest that may connect at all.
+                // The minimum number of connections that homes and fallbacks need.
                 let least = 2 * HOMES as u32 + 4;
                 all <= u32::from(connections).max(least) + 4
             }
@@ -67,8 +68,8 @@
         .quickcheck(property as fn(u16, u16) -> bool);
 }
 
-/// A VM that finds no way to a target for long connects by itself, and one that ranks low later than one that
-/// ranks high.
+/// The number of VMs that may connect directly doubles with the time without a path to a target, so
+/// a VM of a low rank connects later than one of a high rank.
 #[test]
 fn fallbacks_double_with_the_time_without_a_path() {
     assert_eq!(connection_plan::fallback_count(10, 2_900_000), 0);
--- a/crates/core/tests/departures.rs
+++ b/crates/core/tests/departures.rs
@@ -1,4 +1,4 @@
-//! Departed members that a promotion can and can't do without.
+//! Tests of departed members: which of them a promotion requires.
 
 use std::sync::Arc;
 
@@ -35,7 +35,7 @@
     assert_eq!(departures.required().count(), 0);
 }
 
-/// One that is needed is remembered for as long as it takes.
+/// A required member is never forgotten.
 #[test]
 fn only_dispensable_members_are_forgotten() {
     let mut departures = departed_at(1_000);
@@ -45,8 +45,8 @@
     assert_eq!(departures.floor(), LogPosition::default());
 }
 
-/// A replica that died before the process started took commits along, and the other one receives
-/// nothing. What the primary had after the start takes the place of what the process can't know.
+/// A replica that died before the process started may have held commits that the other one lacks. A
+/// position that the primary had after the start makes up for the unknown departures.
 #[test]
 fn later_position_covers_departures_before_the_start() {
     let mut departures = Departures::<&str>::started_at(1_000);
@@ -56,7 +56,8 @@
     assert_eq!(departures.floor(), LogPosition::new(2, 40));
 }
 
-/// The primary died with all processes, so nobody has a position of it. The group is led again in the end.
+/// The primary died with all processes, so no process knows a position of it. The group must get a
+/// primary in the end.
 #[test]
 fn process_without_a_position_waits_for_a_limited_time() {
     let mut departures = Departures::<&str>::started_at(1_000);
--- a/crates/core/tests/detection.rs
+++ b/crates/core/tests/detection.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// The primary's process is killed: connections reset and the reconnect is refused. Callers need not
-/// wait for any timeout.
+/// The primary's process is killed: connections are reset and the reconnect is refused. It must be
+/// suspected without a timeout.
 #[test]
 fn killed_primary_is_suspected_at_once() {
     let mut detector = detector();
@@ -53,7 +53,7 @@
     assert_eq!(detector.verdict(12 * MS, &members()), Verdict::Trusted);
 }
 
-/// The primary's VM hangs: nothing comes back, and the silence has to last its time.
+/// The primary's VM hangs: it is suspected once the silence exceeds the timeout.
 #[test]
 fn silent_primary_is_suspected_after_the_timeout() {
     let mut detector = detector();
@@ -64,8 +64,8 @@
     assert_eq!(detector.verdict(400 * MS + 1, &members()), suspected);
 }
 
-/// The primary stays silent and nobody can replace it, as in a zone that is cut off. The timer must
-/// not fire again and again at a time that has passed: the control thread would do nothing else.
+/// The primary stays silent and can't be replaced, as in an isolated zone. The due time must not
+/// stay in the past: the timer would fire continuously and occupy the control thread.
 #[test]
 fn timer_is_spaced_while_the_silence_lasts() {
     let mut detector = detector();
@@ -75,7 +75,7 @@
     assert_eq!(detector.due_us(), due_us + 50 * MS);
 }
 
-/// Round trips of 100 ms with a spread of 80 ms stretch the timeout, up to its bound.
+/// Round trips of 100 ms with a deviation of 80 ms increase the timeout, up to its limit.
 #[test]
 fn slow_links_stretch_the_timeout() {
     let mut detector = detector();
@@ -90,8 +90,8 @@
     assert_eq!(detector.timeout_us(), 2_000 * MS);
 }
 
-/// The proxy itself is paused for five seconds. All primaries look silent to it when it wakes up;
-/// without regard to its own late timer it would depose every one of them.
+/// The proxy is paused for five seconds. All primaries look silent when it resumes; if it ignored
+/// the delay of its own timer, it would depose every one of them.
 #[test]
 fn own_pause_causes_no_suspicion() {
     let mut detector = detector();
@@ -103,8 +103,9 @@
     assert_eq!(detector.verdict(5_401 * MS, &members()), suspected);
 }
 
-/// This proxy alone is cut off from the primary, whose replicas go on taking records. Deposing it
-/// would stop writes for everyone. When the records stop as well, the primary is gone.
+/// Only this proxy is partitioned from the primary, whose replicas still receive records. Deposing
+/// the primary would stop writes for all others. When the records stop as well, the primary is
+/// suspected.
 #[test]
 fn primary_that_others_reach_is_not_suspected() {
     let mut detector = detector();
@@ -117,8 +118,8 @@
     assert_eq!(detector.verdict(800 * MS, &members()), suspected);
 }
 
-/// Records that were on their way when the primary died arrive at a replica after the connections
-/// broke. They are no sign that the primary works.
+/// Records in transit when the primary died arrive at a replica after the connections broke. They
+/// do not show that the primary works.
 #[test]
 fn records_in_transit_are_no_evidence() {
     let mut detector = detector();
@@ -131,7 +132,7 @@
     assert_eq!(detector.verdict(15 * MS, &members()), suspected);
 }
 
-/// Random evidence: the invariants hold, and a primary heard a moment ago is trusted.
+/// For random evidence the invariants hold, and a primary that has just answered is trusted.
 #[test]
 fn random_evidence_keeps_the_invariants() {
     fn holds(steps: Vec<(u8, u16)>) -> bool {
--- a/crates/core/tests/failover/cases.rs
+++ b/crates/core/tests/failover/cases.rs
@@ -1,14 +1,16 @@
-//! Runs the text cases under `tests/cases/failover`: what one driver does at each event.
+//! Runs the text cases under `tests/cases/failover`: the actions of one driver after each event.
 //!
-//! A case is a list of lines. `#` starts a comment; a case opens with the failure it is about.
-//! `at MS EVENT` gives an event to the driver; the indented lines below it are all the actions that
-//! it answers, without timers and trace steps. The driver is `vm0`, ranked first, of three members.
+//! A case is a list of lines. A line that starts with `#` is a comment; a case begins with a
+//! description of the failure that it covers. `at MS EVENT` passes an event to the driver; the
+//! indented lines below it are all the actions that it returns, without timers and trace steps. The
+//! driver is `vm0`, ranked first, in a group of three members. A comment that contains `target0 is
+//! drained` marks target0 as drained.
 //!
-//! Events: `report M STATUS`, `answer M CALL: STATUS`, `timer`, `suspected TERM`, `trusted`,
-//! `rank N`, `lead VERSION RECORD`, `took VERSION`, `conflict`, `read VERSION RECORD`, `silence`.
-//! The platform's answers belong to the call made last. `M` is a member's number.
-//! STATUS is `ROLE RAISED_TERM by NAME log TERM/INDEX`; RECORD is
-//! `term T driver NAME primary NAME wanted NAME`, or `none`; NAME `-` is empty.
+//! Events: `report M STATUS`, `answer M CALL: STATUS`, `timer`, `suspected TERM`, `trusted`, `rank
+//! N`, `lead VERSION RECORD`, `took VERSION`, `conflict`, `read VERSION RECORD`, `silence`. The
+//! platform's answers belong to the last call. `M` is a member's index. STATUS is `ROLE RAISED_TERM
+//! by NAME log TERM/INDEX`; RECORD is `term T driver NAME primary NAME wanted NAME`, or `none`;
+//! NAME `-` is the empty name.
 
 use std::fs;
 use std::path::Path;
@@ -36,7 +38,7 @@
             }
         )*
 
-        /// A case file that no test names would never run.
+        /// Fails if a case file has no test, which would never run.
         #[test]
         fn every_case_has_a_test() {
             let mut files: Vec<String> = fs::read_dir(folder())
@@ -104,7 +106,7 @@
 }
 
 impl Runner {
-    /// Gives the line's event to the driver. Returns the line and the actions as text.
+    /// Passes the line's event to the driver. Returns the line and the actions as text.
     fn step(&mut self, line: &str) -> String {
         let words: Vec<&str> = line.split_whitespace().collect();
         let now_us = 1_000 * number(words[1]);
--- a/crates/core/tests/failover/faults.rs
+++ b/crates/core/tests/failover/faults.rs
@@ -1,4 +1,4 @@
-//! Single faults in the middle of a change of primary, each at a chosen moment of virtual time.
+//! Tests of single faults during a change of primary, each at a chosen point of virtual time.
 
 use skylark_core::log_position::Term;
 use skylark_core::member_status::Role;
@@ -7,8 +7,8 @@
 
 use crate::group::Group;
 
-/// From the suspicion to an announced primary in virtual time, with one to two milliseconds a
-/// message.
+/// The maximum time from the suspicion to an announced primary, in virtual milliseconds, if a
+/// message takes one to two of them.
 const GAP_MS: u64 = 40;
 
 fn started() -> Group {
@@ -30,7 +30,8 @@
     group.pass_event(process, Event::Suspected { term });
 }
 
-/// Runs until a process in the zone announces a primary of a later term, for `most_ms` at most.
+/// Runs until the process announces another primary, for at most `most_ms`. Returns the elapsed
+/// milliseconds.
 fn run_until_replaced(group: &mut Group, process: usize, most_ms: u64) -> Option<u64> {
     let before = group.processes[process].driver.announced();
     for elapsed_ms in 1..=most_ms {
@@ -59,9 +60,9 @@
 }
 
 fault_test! {
-    /// The primary's zone is cut off. A caller there goes on writing to the old primary and gets no
-    /// acknowledgement; the other zones elect a primary at once. When the cut heals, the old primary
-    /// rejoins and its unconfirmed records are gone.
+    /// The primary's zone is isolated. A caller there keeps writing to the old primary and gets no
+    /// acknowledgement; the other zones elect a primary without delay. When the partition heals,
+    /// the old primary rejoins and its unconfirmed records are gone.
     isolated_primary_acknowledges_nothing_and_rejoins, group => {
         group.cut[2] = true;
         suspect(&mut group, 0);
@@ -82,8 +83,8 @@
 }
 
 fault_test! {
-    /// The platform is down when the primary dies. The driver waits for it no longer than its short
-    /// bound, and the record catches up when the platform is back.
+    /// The platform is down when the primary dies. The driver waits only for the time limit of the
+    /// claim, and the lead record is updated when the platform is available again.
     platform_down_costs_its_bound_only, group => {
         group.platform_up = false;
         group.members[2].down = true;
@@ -101,8 +102,9 @@
 }
 
 fault_test! {
-    /// With the platform down, two processes ask for votes of the same term at the same moment. A
-    /// member has one vote a term, so at most one of them promotes; the other backs off.
+    /// The platform is down, and several processes ask for votes of the same term at the same time.
+    /// A member has one vote per term, so at most one process promotes a member; the others back
+    /// off.
     same_term_by_two_drivers_has_one_primary, group => {
         group.platform_up = false;
         group.members[2].down = true;
@@ -116,9 +118,9 @@
 }
 
 fault_test! {
-    /// The driver pauses after it has fenced and before it promotes. Another completes the change
-    /// in a higher term. The first wakes up and promotes the member that it chose: whether or not
-    /// that takes, no write of its term is acknowledged, and one primary remains.
+    /// The driver pauses after the fence and before the promotion. Another driver completes the
+    /// change in a higher term. The first one resumes and promotes the member that it chose:
+    /// whether or not that succeeds, no write of its term is acknowledged, and one primary remains.
     late_driver_does_no_harm, group => {
         group.cut[2] = true;
         suspect(&mut group, 0);
@@ -139,8 +141,9 @@
 }
 
 fault_test! {
-    /// The driver dies right after its fence: no member leads and nobody is left who has its votes.
-    /// The next candidate completes the change within the dead driver's time and its own turn.
+    /// The driver dies right after its fence: no member leads and no process holds the votes. The
+    /// next candidate completes the change within the timeout of the dead driver and its own
+    /// stagger.
     driver_killed_after_the_fence_is_replaced, group => {
         group.members[2].down = true;
         suspect(&mut group, 0);
@@ -157,7 +160,7 @@
 }
 
 fault_test! {
-    /// An operator asks for another primary while callers write. Every process holds writes back,
+    /// An operator requests another primary while callers write. Every process holds back writes,
     /// the wanted member gets all records, and the hold is short.
     planned_move_hands_over_all_records, group => {
         group.request_primary(0);
@@ -183,8 +186,8 @@
 }
 
 fault_test! {
-    /// The wanted primary is down. The move never begins, no write is held back, and the wish is
-    /// cleared after its bound.
+    /// The requested primary is down. The move never begins, no write is held back, and the request
+    /// is removed after its time limit.
     move_to_a_dead_member_is_given_up, group => {
         group.members[0].down = true;
         group.request_primary(0);
@@ -199,8 +202,8 @@
 }
 
 fault_test! {
-    /// The wanted member stops right when writes are held back. The hold ends at its bound with the
-    /// old primary, and the wish is cleared.
+    /// The wanted member fails while writes are held back. The hold ends at its time limit with the
+    /// old primary, and the request is removed.
     move_that_stops_midway_releases_writes, group => {
         group.request_primary(0);
         while !group.processes[1].driver.holding() {
@@ -215,8 +218,9 @@
 }
 
 fault_test! {
-    /// A driver's update of the record takes effect and its answer is lost. The driver reads the
-    /// record back and goes on with its claim; it neither waits for its own claim nor claims twice.
+    /// The update of the lead record takes effect but its answer is lost. The driver reads the
+    /// record and continues with its claim; it neither waits for its own claim as if it were a
+    /// rival's nor claims twice.
     lost_answer_of_the_claim_is_read_back, group => {
         group.members[2].down = true;
         suspect(&mut group, 0);
@@ -234,8 +238,8 @@
 }
 
 fault_test! {
-    /// A driver that is gone had raised one member beyond the primary's term. That member confirms
-    /// nothing any more; it is won back in a higher term although the primary never failed.
+    /// A driver that is gone had raised one member to a term above the primary's. That member can't
+    /// confirm records; it is won back in a higher term although the primary never failed.
     member_raised_beyond_the_primary_is_won_back, group => {
         group.members[0].raise(Term(9), "gone");
         group.run(1_500);
--- a/crates/core/tests/failover/group.rs
+++ b/crates/core/tests/failover/group.rs
@@ -1,5 +1,5 @@
-//! A small fake group: members, processes with failover drivers, and a platform in virtual time. Its
-//! network's messages are delivered, lost or repeated one by one.
+//! A simulated group in virtual time: members, processes with failover drivers, and a platform.
+//! Network messages are delivered, lost or repeated one by one.
 
 use skylark_core::log_position::LogPosition;
 use skylark_core::log_position::Term;
@@ -14,11 +14,11 @@
 use crate::network::Message;
 use crate::network::Payload;
 
-/// How many processes there are; process `i` and member `i` are in zone `i`.
+/// The number of processes. Process `i` and member `i` are in zone `i`.
 pub const PROCESSES: usize = 3;
-/// The virtual step of a settling group.
+/// The virtual time of one step of [`Group::run`], in microseconds.
 const STEP_US: u64 = 1_000;
-/// How often a settling group's processes probe all members.
+/// The number of steps between two probes of all members in [`Group::run`].
 const PROBE_STEPS: u64 = 50;
 
 pub struct Process {
@@ -44,14 +44,14 @@
     pub record_version: u64,
     pub record: Option<LeadRecord>,
     pub cut: Vec<bool>,
-    /// How many members the first version of the group has.
+    /// The number of members in the first version of the group.
     first_count: usize,
     /// Whether the version with all members was accepted.
     grown: bool,
     pub messages: Vec<Message>,
     pub acked: Vec<LogPosition>,
     pub leaderships: Vec<Leadership>,
-    /// What went wrong; empty in a correct run.
+    /// The broken properties found; empty in a correct run.
     pub faults: Vec<String>,
     runs: u64,
 }
@@ -107,12 +107,12 @@
         }
     }
 
-    /// Whether two zones reach each other.
+    /// Returns whether two zones reach each other.
     pub fn linked(&self, a: usize, b: usize) -> bool {
         a == b || !self.cut[a] && !self.cut[b]
     }
 
-    /// A process dies; another takes its place and knows nothing.
+    /// Replaces a process by a new one without any state.
     pub fn restart(&mut self, process: usize) {
         self.processes[process] = self.start(process);
         let seen = Event::LeadSeen { version: self.record_version, record: self.record.clone() };
@@ -128,7 +128,7 @@
         }
     }
 
-    /// A process learns of the version with all members.
+    /// Tells a process of the version with all members.
     pub fn grow(&mut self, process: usize) {
         self.grown = true;
         let known = self.processes[process].driver.members();
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Gives an event to a process at once.
+    /// Passes an event to a process immediately.
     pub fn pass_event(&mut self, process: usize, event: Event) {
         let target = &mut self.processes[process];
         if target.paused {
@@ -219,7 +219,7 @@
         self.leaderships.push(Leadership { term, member, log });
     }
 
-    /// A caller writes through a process, at the primary that the process last announced.
+    /// Writes through a process, at the primary that the process last announced.
     pub fn write(&mut self, process: usize) -> Option<LogPosition> {
         let leader = self.processes[process].driver.announced()?;
         let writes = self.linked(process, leader.member) && !self.processes[process].paused;
@@ -229,7 +229,7 @@
         Some(position)
     }
 
-    /// A replica takes up to two records from the primary that it follows.
+    /// Copies up to two records to a replica from the primary that it follows.
     pub fn replicate(&mut self, member: usize) {
         let Some((term, primary)) = self.members[member].follows else { return };
         if !self.linked(member, primary) || self.members[primary].down {
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Changes the lead record; every process watches it.
+    /// Changes the lead record, which every process watches.
     pub fn set_record(&mut self, record: LeadRecord) {
         self.record_version += 1;
         self.record = Some(record);
@@ -272,15 +272,15 @@
         }
     }
 
-    /// An operator asks for a primary.
+    /// Requests a primary as an operator would.
     pub fn request_primary(&mut self, member: usize) {
         if let Some(record) = self.record.clone() {
             self.set_record(LeadRecord { wanted: format!("target{member}"), ..record });
         }
     }
 
-    /// Runs without new faults, with messages of one or two milliseconds, for `steps` milliseconds.
-    /// A process suspects a primary that is down.
+    /// Runs for `steps` milliseconds without new faults; messages take one or two milliseconds. A
+    /// process suspects a primary that is down or unreachable.
     pub fn run(&mut self, steps: u64) {
         for step in 0..steps {
             self.advance(STEP_US);
@@ -318,8 +318,8 @@
         }
     }
 
-    /// Whether every process in these zones announced one primary, holds nothing back, and gets a
-    /// write acknowledged.
+    /// Checks that every process in these zones has announced the same primary, holds back no
+    /// writes, and gets a write acknowledged.
     pub fn check_writes_in(&mut self, zones: &[usize]) -> Result<(), String> {
         let first = self.processes[zones[0]].driver.announced();
         for &process in zones {
--- a/crates/core/tests/failover/main.rs
+++ b/crates/core/tests/failover/main.rs
@@ -1,5 +1,5 @@
-//! Tests of changes of primary: text cases of one driver, single faults, and random faults around a
-//! small fake group.
+//! Tests of changes of primary: text cases of one driver, and single and random faults in a
+//! simulated group.
 
 mod cases;
 mod faults;
--- a/crates/core/tests/failover/member.rs
+++ b/crates/core/tests/failover/member.rs
@@ -1,4 +1,4 @@
-//! A fake member: the rules of the control commands in `docs/INTERFACES.md` over a log of terms.
+//! A simulated member: a log of terms with the control commands of `docs/INTERFACES.md`.
 
 use skylark_core::log_position::LogPosition;
 use skylark_core::log_position::Term;
@@ -96,7 +96,8 @@
         self.follows = Some((term, primary));
     }
 
-    /// Rewinds to the last common record and takes up to two more. Returns whether anything changed.
+    /// Rewinds to the last common record and copies up to two more. Returns whether anything
+    /// changed.
     pub fn take_from(&mut self, source: &[Term]) -> bool {
         let common = self.log.iter().zip(source).take_while(|(own, other)| own == other).count();
         if common == self.log.len() && common == source.len() {
--- a/crates/core/tests/failover/network.rs
+++ b/crates/core/tests/failover/network.rs
@@ -1,4 +1,4 @@
-//! The fake network: messages under way between processes, members and the platform.
+//! The simulated network: messages in transit between processes, members and the platform.
 
 use skylark_core::process::failover::Event;
 use skylark_core::process::failover::MemberCall;
--- a/crates/core/tests/failover/random.rs
+++ b/crates/core/tests/failover/random.rs
@@ -1,5 +1,5 @@
-//! Random faults around a small group of members and several drivers: no acknowledged write is
-//! lost, a term has one primary, and writes work again once faults stop.
+//! Tests with random faults in a simulated group with several drivers: no acknowledged write is
+//! lost, a term has one primary, and writes work again once the faults stop.
 
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -13,7 +13,7 @@
 const TESTS: u64 = 200;
 const OPS: usize = 800;
 
-/// One thing that happens. Numbers pick a message, member or process by remainder.
+/// A random operation. The numbers select a message, member or process by their remainder.
 #[derive(Clone, Debug)]
 enum Op {
     Deliver(usize),
@@ -147,23 +147,23 @@
 }
 
 /// Callers write through three proxies while messages are lost, repeated and reordered, drivers
-/// pause, restart and duel, members and zones go away, and the platform comes and goes. Each
-/// acknowledged write must be in the log of every later primary, and writes must work again
-/// within seconds after the last fault.
+/// pause, restart and compete, members and zones fail, and the platform is down at times. Each
+/// acknowledged write must be in the log of every later primary, and writes must work again within
+/// seconds after the last fault.
 #[test]
 fn acknowledged_writes_survive_random_faults() {
     run(|ops| random_faults(started(3, 3), &ops), &[1, 2]);
 }
 
-/// The same with five members, where a record can be on more members than the present primary's
+/// The same with five members, where a record can be on more members than the primary's own records
 /// and still be replaced.
 #[test]
 fn five_members_keep_acknowledged_writes() {
     run(|ops| random_faults(started(5, 5), &ops), &[3]);
 }
 
-/// The same while the group grows from three to four members, of which the processes learn one
-/// after the other and in the middle of changes of primary.
+/// The same while the group grows from three to four members, which the processes learn one after
+/// the other and during changes of primary.
 #[test]
 fn growing_group_keeps_acknowledged_writes() {
     run(|ops| random_faults(started(4, 3), &ops), &[4, 5]);
--- a/crates/core/tests/floors_sessions.rs
+++ b/crates/core/tests/floors_sessions.rs
@@ -1,5 +1,6 @@
-//! Floors of sessions without a token: random interleavings of writes through proxies that some
-//! holders know and others do not, lost reports, restarting holders and changes of primary.
+//! Tests of the floors of sessions without a token: random interleavings of writes through proxies,
+//! some of them unknown to the holders, with lost reports, restarts of holders and changes of
+//! primary.
 
 #[path = "failover/member.rs"]
 mod member;
@@ -28,13 +29,13 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Op {
-    /// A write through a holder, or through a proxy that no holder knows of.
+    /// A write through a holder, or through a proxy that no holder knows.
     Write {
         session: usize,
         proxy: usize,
     },
     Replicate(usize),
-    /// Two members are raised and the one with the higher log is promoted.
+    /// Raises two members and promotes the one with the higher log.
     Replace(usize),
     Follow(usize),
     LookUp {
@@ -47,7 +48,7 @@
         session: usize,
     },
     Begin(usize),
-    /// Reads a member's status for a holder; it arrives at the next `Arrive` that picks it.
+    /// Reads a member's status for a holder. It is delivered by the next `Arrive` that picks it.
     Read {
         holder: usize,
         member: usize,
@@ -83,7 +84,7 @@
     Writes { holder: usize, session: String, position: LogPosition },
 }
 
-/// A lookup under way, with the last acknowledged write of its session when it arrived.
+/// A lookup in progress, with the last write of its session that was acknowledged when it arrived.
 struct PendingLookup {
     holder: usize,
     id: LookupId,
@@ -273,7 +274,8 @@
         }
     }
 
-    /// A read goes to any member that covers the floor: it must find the session's last write there.
+    /// Checks that every member that covers the floor holds the session's last write, since the
+    /// next read may go to any of them.
     fn check(&mut self, holder: usize, answer: FloorAnswer) {
         let found =
             |pending: &PendingLookup| pending.holder == holder && pending.id == answer.lookup;
@@ -302,9 +304,9 @@
     TestResult::passed()
 }
 
-/// A caller's write is acknowledged through any proxy; its next read asks a holder that may have
-/// restarted, may not know that proxy, or may live in an older term. Whatever floor the answer is,
-/// no member that covers it lacks the write.
+/// A write is acknowledged through any proxy, and the next read asks a holder that may have
+/// restarted, may not know that proxy, or may be in an older term. No member that covers the
+/// answered floor may lack the write.
 #[test]
 fn sessions_read_their_writes_whatever_a_holder_knows() {
     fn roomy(ops: Vec<Op>) -> TestResult {
@@ -318,8 +320,8 @@
     }
 }
 
-/// The same with room for two sessions and two ranges: what is dropped makes answers higher, never
-/// wrong.
+/// The same with room for two sessions and two ranges: dropped records may raise answers, but never
+/// make them wrong.
 #[test]
 fn full_tables_stay_safe() {
     fn tight(ops: Vec<Op>) -> TestResult {
@@ -331,8 +333,8 @@
         .quickcheck(tight as fn(Vec<Op>) -> TestResult);
 }
 
-/// A status read before the lookup arrived says nothing of a write between the two: it must not
-/// complete the lookup's barrier, even if its answer comes late.
+/// A status read before the lookup arrived does not reflect a write between the two. It must not
+/// complete the lookup's barrier, even if its answer arrives late.
 #[test]
 fn reads_sent_before_the_barrier_do_not_count() {
     let mut world = World::new(SessionFloorsSettings::default());
@@ -348,9 +350,9 @@
     assert_eq!(world.answered, 0);
 }
 
-/// The old primary is isolated with a holder and still believes that it leads. A write is
-/// acknowledged in the new term. The old primary's answer with that of a member of the new term
-/// is no quorum of one term, and the lookup waits for the new primary.
+/// The old primary is isolated together with a holder and still believes that it leads. A write is
+/// acknowledged in the new term. The statuses of the old primary and a member of the new term are
+/// no quorum of one term, so the lookup waits for the new primary.
 #[test]
 fn old_primary_completes_no_barrier() {
     let mut world = World::new(SessionFloorsSettings::default());
@@ -370,8 +372,8 @@
     assert_eq!((world.answered, world.fault), (1, None));
 }
 
-/// A holder that has followed the group for a while and knows all writes answers a session that
-/// wrote long ago with nothing to wait for, and one that wrote now with its own write only.
+/// A holder that knows all writes answers a session without recent writes with the lowest position,
+/// and a session that has just written with the position of its own write.
 #[test]
 fn known_writes_leave_other_sessions_free() {
     let mut world = World::new(SessionFloorsSettings::default());
@@ -385,7 +387,7 @@
     assert_eq!(look_up_now(&mut world, 0), LogPosition::default());
     world.write(1, 0);
     world.write(2, 1);
-    // The write through the co-home is not known yet.
+    // The report of the write through the other home has not arrived yet.
     assert_eq!(look_up_now(&mut world, 0), LogPosition::new(1, 3));
     world.arrive(1);
     assert_eq!(look_up_now(&mut world, 0), LogPosition::default());
--- a/crates/core/tests/homes.rs
+++ b/crates/core/tests/homes.rs
@@ -1,4 +1,5 @@
-//! Homes of targets: everybody agrees, a VM that goes moves only its own targets, shares add up.
+//! Tests of the homes of targets: all proxies agree, the loss of a VM moves only its own targets,
+//! and shares add up to the connections.
 
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -29,7 +30,7 @@
     }
 }
 
-/// Groups of three targets in three of the zones.
+/// Builds groups of three targets, in three different zones if there are that many.
 fn topology(groups: usize, vms: usize, zones: usize) -> Topology {
     let service = serde_json::json!({
         "read_kinds": [],
@@ -80,7 +81,7 @@
     for vm in homes.all().iter().flatten() {
         loads[vm.index()] += 1;
     }
-    // 1200 targets of two homes over 40 VMs: 60 each.
+    // 1200 targets with two homes each over 40 VMs: 60 per VM.
     assert!(loads.iter().all(|load| (35..=85).contains(load)), "{loads:?}");
 }
 
@@ -95,9 +96,9 @@
     assert_eq!(printed, expected);
 }
 
-// A caller's statements to one group stall while another VM than its home restarts. If ranks moved
-// with the number of VMs, every restart would move nearly all targets to other homes: all connections
-// of all targets opened anew at once. Only the targets of the VM that goes may move.
+// If ranks depended on the number of VMs, every restart of a VM would move nearly all targets to
+// other homes, and all their connections would be opened anew at the same time, while callers'
+// statements stall. Only the targets of the lost VM may move.
 #[test]
 fn a_vm_that_goes_moves_only_its_own_targets() {
     let topology = topology(100, 24, 4);
@@ -157,7 +158,7 @@
     assert_eq!(homes::connection_share(16, 2, 2), 0);
 }
 
-/// VMs that come and go.
+/// Changes of the usability of VMs.
 #[derive(Clone, Debug)]
 struct Flips(Vec<(u8, bool)>);
 
--- a/crates/core/tests/isolation.rs
+++ b/crates/core/tests/isolation.rs
@@ -1,4 +1,4 @@
-//! When a process counts as cut off from other availability zones.
+//! Tests of the detection of isolation from the other availability zones.
 
 use std::sync::Arc;
 
@@ -41,13 +41,14 @@
     one_failing_target_is_not_enough: [fails(MIN_FAILURE_US), unused()], "zone" => false;
     one_answers: [fails(MIN_FAILURE_US), fails(MIN_FAILURE_US), answers()], "zone" => false;
     unused_targets_do_not_count: [fails(MIN_FAILURE_US), fails(MIN_FAILURE_US), unused()], "zone" => true;
-    /// It serves nobody and so knows nothing by itself.
+    /// The process serves no callers, so it has no results of its own.
     its_zone_is_cut_off: [unused(), unused()], "cut zone" => true;
-    /// Those that watch for its zone may be cut off by themselves.
+    /// The watchers of its zone may be isolated while the process itself is not.
     process_reaches_other_zones_itself: [answers(), fails(MIN_FAILURE_US)], "cut zone" => false;
 }
 
-/// What a watcher sees of two other zones, asked at these times before now; none if they answer.
+/// Returns the state of a watcher for two other zones that were probed this long ago without an
+/// answer; `None` if the zone answers.
 fn reach(silent_us: [Option<u64>; 2]) -> ZoneReachability {
     let zones: [Arc<str>; 2] = ["a".into(), "b".into()];
     let mut reach = ZoneReachability::default();
@@ -92,7 +93,7 @@
     assert!(reach.is_cut_off(NOW_US));
 }
 
-/// The silence counts from the first question without an answer.
+/// The silence is measured from the first unanswered probe.
 #[test]
 fn repeated_probe_keeps_the_start_of_the_silence() {
     let mut reach = reach([Some(CUT_OFF_US), Some(CUT_OFF_US)]);
--- a/crates/core/tests/member_set_change.rs
+++ b/crates/core/tests/member_set_change.rs
@@ -1,4 +1,4 @@
-//! What a tracker of confirmations may keep through a change of the member set.
+//! Tests of what a confirmation tracker may keep through a change of the member set.
 
 use skylark_core::log_position::LogPosition;
 use skylark_core::log_position::Term;
@@ -17,10 +17,10 @@
     MemberStatus { role, raised_term: log.term, raised_by, log, applied: log, leaving: false }
 }
 
-// The caller is told that its write is acknowledged, and the write is gone. `a` leads, runs it, and
-// is cut off from this process; `b` and `c` open the next term without it, and `a` rewinds it. Then
-// `c` and `b` leave the group. The report of `a` from before would be a quorum of the set that is
-// left, although that set never held the write (`skylark-spec`, `acknowledgement --without
+// Guards against the acknowledgement of a lost write. `a` leads, runs the write, and is partitioned
+// from this process; `b` and `c` open the next term without it, and `a` rewinds the write. Then `c`
+// and `b` leave the group. The earlier report of `a` would be a quorum of the remaining set,
+// although that set never held the write (`skylark-spec`, `acknowledgement --without
 // fresh-reports`).
 #[test]
 fn a_report_from_before_a_change_is_no_quorum_of_a_smaller_set() {
@@ -41,7 +41,7 @@
     assert!(tracker.confirmed() < write, "{} is taken for confirmed", tracker.confirmed());
     assert_eq!(tracker.verify(), Vec::new());
 
-    // What the member reports now counts.
+    // A report that the member sends now counts.
     let opened = report(Role::Primary, LogPosition::new(3, 2));
     assert_eq!(tracker.report(0, 0, &opened), Some(opened.log));
     assert_eq!(opened.raised_term, Term(3));
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Evidence of our own beside the platform's lagging list.
+//! Tests of the local evidence that complements the platform's lagging list.
 
 use skylark_core::process::membership::Evidence;
 use skylark_core::process::membership::Membership;
@@ -27,7 +27,7 @@
     topology(&[("a", VmState::Live), ("b", VmState::Live), ("c", VmState::Leaving)])
 }
 
-/// The standing of a VM after a series of evidence a second apart, a moment after the last one.
+/// Returns the standing of a VM shortly after the last of a series of observations, one per second.
 fn standing_after(vm: &str, seen: &[Evidence]) -> Standing {
     let mut membership = Membership::new(MembershipPolicy::default());
     let mut now_us = SECOND_US;
@@ -64,9 +64,9 @@
     leaving_then_healthy: "a", [Leaving, Healthy] => Usable;
 }
 
-// A caller's request is forwarded to a VM that stops a moment later. The VM answered "leaving", and
-// the platform's list goes on calling it live for half a minute. One such answer must be enough, and
-// must count for longer than the list lags.
+// A VM answers "leaving" and stops a moment later, while the platform's list names it as live for
+// another half a minute. A request forwarded to it would fail. One such answer must exclude the VM,
+// for longer than the list lags.
 #[test]
 fn a_vm_that_says_it_leaves_gets_no_work_although_the_list_lags() {
     let mut membership = Membership::new(MembershipPolicy::default());
@@ -79,8 +79,8 @@
     }
 }
 
-// A VM that was unreachable for a moment would stay without work for ever if nobody told us that it
-// came back. The evidence expires, and says when.
+// Without expiry, a VM that was briefly unreachable would never receive work again unless its
+// return was reported. `expire` returns when the evidence expires.
 #[test]
 fn evidence_expires_by_itself() {
     let mut membership = Membership::new(MembershipPolicy::default());
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Limits of organisations over many allocators.
+//! Tests of the limits of organisations with many allocators.
 
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
@@ -11,10 +11,10 @@
 
 const SECOND_US: u64 = 1_000_000;
 
-/// How often allocators are asked.
+/// The interval at which allocators are asked.
 const STEP_US: u64 = 50_000;
 
-/// How often each allocator may start again in one window.
+/// The number of times that each allocator may restart in one window.
 const STARTS_PER_WINDOW: u64 = 2;
 
 /// The tolerance of the users' platform.
@@ -24,17 +24,17 @@
     RateLimit { rate_milli_per_s: per_s * 1_000, burst_milli: per_s * 1_000 }
 }
 
-/// How many operations may run in one window.
+/// Returns the number of operations that may run in one window.
 fn max_in_window(limit: RateLimit) -> u64 {
     let window_milli = limit.rate_milli_per_s * TOLERANCE.window_ms / 1_000 + limit.burst_milli;
     (window_milli + window_milli / 10) / OPERATION_MILLI + TOLERANCE.slack
 }
 
-/// Allocators that are asked without pause.
+/// Allocators that are asked continuously.
 struct Fleet {
     part: LimitPart,
     buckets: Vec<TokenBucket>,
-    /// When each operation was granted, in order.
+    /// The time of each grant of an operation, in order.
     granted_us: Vec<u64>,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Has allocators start again.
+    /// Restarts the allocators that `which` selects.
     fn restart(&mut self, which: impl Fn(usize) -> bool, now_us: u64) {
         for (index, bucket) in self.buckets.iter_mut().enumerate() {
             if which(index) {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The most operations in any window.
+    /// Returns the highest number of operations in any window.
     fn busiest_window(&self) -> u64 {
         let window_us = TOLERANCE.window_ms * 1_000;
         let mut first = 0;
@@ -77,8 +77,8 @@
     }
 }
 
-/// Callers ask without pause for 20 s, and the whole fleet loses power twice within one window: no window has
-/// more operations than the limit allows.
+/// Callers ask continuously for 20 s, and all allocators lose power twice within one window. No
+/// window may have more operations than the limit and its tolerance allow.
 #[test]
 fn limit_holds_when_all_allocators_restart_twice() {
     fn property(per_s: u16, allocators: u8, first_ms: u16, second_ms: u16) -> bool {
@@ -103,17 +103,18 @@
         .quickcheck(property as fn(u16, u8, u16, u16) -> bool);
 }
 
-/// Single allocators start again one after the other, each up to twice in a window.
+/// Single allocators restart one after the other, each up to twice in a window.
 #[test]
 fn limit_holds_during_rolling_restarts() {
     fn property(per_s: u16, allocators: u8, gap_ms: u16) -> bool {
         let limit = limit(u64::from(per_s) % 400 + 1);
         let allocators = usize::from(allocators) % 20 + 1;
         let mut fleet = Fleet::new(limit, allocators);
-        // A process that starts more often than that is not what the tolerance is divided for.
+        // The tolerance does not cover a process that restarts more often.
         let least_gap_us = TOLERANCE.window_ms * 1_000 / STARTS_PER_WINDOW / allocators as u64;
         let gap_us = ((u64::from(gap_ms) % 2_000) * 1_000).max(least_gap_us);
-        // A part of a step on top: a start falls on the next step, which must not bring two of them closer.
+        // A restart takes effect at the next step, so the gap is rounded up to whole steps;
+        // otherwise two restarts could be closer to each other.
         let gap_us = gap_us.next_multiple_of(STEP_US);
         for step in 0..400 {
             let now_us = step * STEP_US;
@@ -129,7 +130,7 @@
     QuickCheck::new().rng(Gen::from_size_and_seed(100, 1)).tests(300).quickcheck(property);
 }
 
-/// A calm day on which an organisation asks for half as much again as its limit.
+/// An organisation that asks for more than its limit gets nearly all of it, without restarts.
 #[test]
 fn nearly_the_whole_limit_is_granted() {
     fn property(per_s: u16, zones: u8) -> bool {
@@ -149,7 +150,8 @@
         .quickcheck(property as fn(u16, u8) -> bool);
 }
 
-/// Those who are turned away are told apart: each comes back when its own turn is there, not all at once.
+/// Consecutive refusals get increasing retry times, so that the refused operations do not all come
+/// back at the same time.
 #[test]
 fn later_refusals_are_retried_later() {
     let mut bucket =
@@ -158,7 +160,7 @@
     assert_eq!(waits, [100_000, 200_000, 300_000]);
 }
 
-/// An operator lowers a limit while the bucket is full: what is held beyond it is gone at once.
+/// An operator lowers a limit while the bucket is full: tokens beyond the new burst are dropped.
 #[test]
 fn a_lowered_limit_takes_tokens_back() {
     let part = |per_s| LimitPart::of(limit(per_s), QuotaTolerance::default(), 1);
@@ -188,7 +190,8 @@
     }
 }
 
-/// A VM that takes the place of an allocator which others still ask grants nothing until they know better.
+/// A VM that replaces an allocator which other VMs still ask grants nothing until they know of the
+/// change.
 #[test]
 fn a_new_allocator_grants_nothing_at_first() {
     let mut bucket = TokenBucket::starting(LimitPart::of(limit(10), TOLERANCE, 2), 2 * SECOND_US);
--- a/crates/core/tests/read_age.rs
+++ b/crates/core/tests/read_age.rs
@@ -1,4 +1,4 @@
-//! What is claimed about the age of members' data, and that it is never younger than the truth.
+//! Tests of the bound on the age of members' data: it never claims data to be newer than it is.
 
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -81,10 +81,10 @@
     assert!(age.lag_us(1).expect("it was measured") > 1_000, "no probe shows a younger age");
 }
 
-// A caller reads a lookup of at most 1 s and gets data of minutes ago. The primary is cut off from the
-// other members and still believes that it leads; only this process's probes reach it, each answered
-// at once with its standing log. Meanwhile the others have promised themselves to a new term and its
-// primary acknowledges writes. The probes of the old primary alone must not count.
+// Guards against a read with a limit of 1 s that gets data of minutes ago. The primary is isolated
+// from the other members and still believes that it leads; only this process's probes reach it, and
+// are answered immediately with an unchanged log end. Meanwhile the others have promised themselves
+// to a new term, whose primary acknowledges writes. Probes of the old primary alone must not count.
 #[test]
 fn an_isolated_old_primary_gives_no_samples() {
     let mut age = ReadAge::new(3);
@@ -104,10 +104,10 @@
     assert_eq!(age.fresh_as_of_us(1), Some(100), "what was shown stays shown");
 }
 
-// A caller reads data that misses an acknowledged write of long ago. The group shrinks from four
-// members to three, and this process knows the new set. One that knows only the old set may meanwhile
-// promote and acknowledge with the member that left and two others: the answers must be a quorum of
-// the old set too.
+// Guards against reads that miss a write acknowledged long ago. The group shrinks from four members
+// to three, and this process knows the new set. A process that knows only the old set may promote
+// and acknowledge with the removed member and two others, so the answers must form a quorum of the
+// old set too.
 #[test]
 fn a_joint_member_set_needs_both_quorums() {
     let names = |members: &[&str]| members.iter().map(|&name| name.to_owned()).collect();
@@ -152,7 +152,7 @@
     }
 }
 
-/// One step of the random history: who is probed, and whether the cluster moves on before.
+/// A step of the random history of a group.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Write,
@@ -173,7 +173,7 @@
     }
 }
 
-/// A small group: every write is acknowledged once a majority holds it.
+/// A group of three members that acknowledges every write once a majority holds it.
 struct Group {
     members: [MemberStatus; 3],
     /// The acknowledged positions with their times.
@@ -189,7 +189,7 @@
     }
 
     fn write(&mut self, now_us: u64) {
-        // Every member that believes it leads goes on writing, also one that was replaced.
+        // Every member that believes it leads accepts writes, including a replaced primary.
         for member in &mut self.members {
             if member.role == Role::Primary {
                 member.log.index += 1;
@@ -215,7 +215,7 @@
         self.acknowledge(now_us);
     }
 
-    /// Raises the term at `driver` and one other member, and promotes the one that holds more.
+    /// Raises the term at `driver` and one other member, and promotes the one with the higher log.
     fn failover(&mut self, driver: usize) {
         let other = (driver + 1) % 3;
         let term = Term(self.members.iter().map(|it| it.raised_term.0).max().expect("three") + 1);
@@ -238,7 +238,7 @@
         }
     }
 
-    /// The highest position acknowledged by `time_us`.
+    /// Returns the highest position acknowledged by `time_us`.
     fn acknowledged_by(&self, time_us: u64) -> LogPosition {
         let earlier = self.acknowledged.iter().filter(|(at_us, _)| *at_us <= time_us);
         earlier.map(|(_, position)| *position).max().expect("the first record")
--- a/crates/core/tests/sharing.rs
+++ b/crates/core/tests/sharing.rs
@@ -1,4 +1,4 @@
-//! The queue in front of a target: bounds, shares, refusals.
+//! Tests of the queue of a target: limits, shares and refusals.
 
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
@@ -66,7 +66,7 @@
     }
 }
 
-/// Serves `count` waiting requests one after the other and counts them by class.
+/// Serves `count` waiting requests one after the other. Returns the number of each class.
 fn serve(queue: &mut Queue, count: usize) -> [usize; 2] {
     let mut served = [0; 2];
     for _ in 0..count {
@@ -102,8 +102,8 @@
     assert!((73..=77).contains(&bookings), "{bookings} bookings, {lookups} lookups");
 }
 
-// A driver books in the minute in which everybody looks up. Hundreds of lookups wait; the booking's
-// class asks for less than its share, so it goes before all but the one that runs.
+// A booking arrives while hundreds of lookups wait. Its class uses less than its share, so the
+// booking is served before all lookups except the running one.
 #[test]
 fn a_class_below_its_share_goes_next() {
     let mut queue = queue(limits());
@@ -120,7 +120,7 @@
     assert_eq!(next(&mut queue, 0).map(|grant| grant.ticket), Some(booking));
 }
 
-// A class that was idle for an hour must not hold the target for itself afterwards.
+// A class that was idle for long must not monopolise the target afterwards.
 #[test]
 fn idle_class_accumulates_no_credit() {
     let mut queue = queue(QueueLimits { queued_per_caller: 256, ..limits() });
@@ -202,7 +202,8 @@
     assert_eq!(queue.verify(), Vec::<String>::new());
 }
 
-// A surge of lookups fills the queue to its bound, and a booking is refused for lack of a place.
+// Without reserved places, a surge of lookups would fill the queue to its limit, and bookings would
+// be refused.
 #[test]
 fn a_full_queue_keeps_places_for_the_other_classes() {
     let mut queue = queue(QueueLimits { queued: 40, queued_per_class: 40, ..limits() });
@@ -217,8 +218,9 @@
     assert_eq!(refused(arrive(&mut queue, BOOKING, 99, 0)), ErrorKind::QueueFull);
 }
 
-// A caller's own lookups are refused all day because one script of another caller fills the class. The
-// script is bounded as soon as others wait; alone it may fill the queue but for places for others.
+// Without a limit per caller, a script of one caller fills the class and the lookups of other
+// callers are refused. The limit applies as soon as others wait; alone, the caller may fill the
+// queue except for some places for others.
 #[test]
 fn one_caller_does_not_crowd_out_its_class() {
     let bounds = QueueLimits { queued_per_class: 40, queued_per_caller: 8, ..limits() };
@@ -238,8 +240,9 @@
     assert!(queue.queued_of(LOOKUP) <= 9, "beside others it has its bound");
 }
 
-// Every lookup of a surge waits for nearly its whole time limit, although a short queue would serve as
-// many. Once the wait has stood above half of the goal for a second, more are refused beyond that.
+// Without a limit on a standing queue, every lookup of a surge waits for nearly its whole time
+// limit, although a short queue would have the same throughput. Once the predicted wait has been
+// above half of the goal for a second, requests beyond that are refused.
 #[test]
 fn a_standing_queue_is_kept_short() {
     let mut queue = queue(limits());
@@ -280,7 +283,7 @@
     assert_eq!(queue.verify(), Vec::<String>::new());
 }
 
-/// Random events against the invariants of the queue.
+/// Checks the invariants of the queue for random events.
 fn queue_keeps_its_invariants(steps: Vec<(u8, u8)>) -> bool {
     let bounds = QueueLimits {
         running: 2,
--- a/crates/core/tests/sharing_connections.rs
+++ b/crates/core/tests/sharing_connections.rs
@@ -1,4 +1,5 @@
-//! The connections of a home to a target: ahead of need, given back, and never a storm.
+//! Tests of a home's connections to a target: opened ahead of demand, closed when not needed, and
+//! never a connection storm.
 
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
@@ -12,7 +13,7 @@
     ConnectionBudget::new(BudgetPolicy::default(), share, seed, 0)
 }
 
-/// Plans at `now_us` and lets every try succeed.
+/// Plans at `now_us` and lets every attempt succeed. Returns the number of attempts.
 fn open_all(budget: &mut ConnectionBudget, now_us: u64) -> u32 {
     let plan = budget.plan(now_us);
     for _ in 0..plan.open {
@@ -68,7 +69,7 @@
     assert_eq!(budget.plan(3).close, 1);
 }
 
-/// The times of all tries within `until_us` against a target that refuses each.
+/// Returns the times of all attempts before `until_us` to connect to a target that refuses each.
 fn attempts_at_a_dead_target(seed: u64, until_us: u64) -> Vec<u64> {
     let mut budget = budget(8, seed);
     budget.set_waiting(8);
@@ -88,9 +89,10 @@
     attempts
 }
 
-// A target restarts, and its homes have lost all their connections. All come back at the same moment
-// and again at each doubling of the delay, so that the target spends its start on connections. After
-// the first tries each home tries one at a time, ever less often, at moments of its own.
+// A target restarts, and its homes have lost all their connections. Without jitter and a limit on
+// attempts, all homes would connect at the same time, and again at each doubling of the delay, and
+// keep the starting target busy. After the first attempts each home must make one at a time, ever
+// less often, at times of its own.
 #[test]
 fn dead_target_causes_no_connection_storm() {
     let attempts = attempts_at_a_dead_target(1, 60 * SECOND_US);
@@ -120,9 +122,9 @@
     assert_eq!(budget.plan(SECOND_US).open, 3);
 }
 
-// Two proxies differ about who is home, and together pass the target's limit. The one that is told so
-// would try again at once, and so on, until the views agree. It stays below what it has, and asks for
-// one more at a time.
+// Two proxies disagree about which VMs are home, and together exceed the target's limit. The one
+// that is refused would retry continuously until they agree. It must cap its pool, and raise the
+// cap by one connection at a time.
 #[test]
 fn connection_limit_caps_the_pool() {
     let mut budget = budget(8, 1);
--- a/crates/core/tests/store_calls.rs
+++ b/crates/core/tests/store_calls.rs
@@ -1,9 +1,10 @@
-//! What a fleet asks of the store while it does not answer, and whether all learn what it says in time.
+//! Simulates the load of a fleet on the store while the store does not answer, and checks that all
+//! VMs learn its contents in time.
 //!
-//! The store goes away, or turns some VMs away, while VMs are cut off from each other or start all at once.
-//! A fleet whose VMs each went on asking several times a second kept such an outage alive: 295 of them made
-//! 35,600 calls in 41 s. Fleets of 1 to 1,000 VMs are played here in steps, by the decisions that the
-//! proxies use.
+//! The store fails, or refuses some VMs, while VMs are partitioned from each other or all start at
+//! the same time. A fleet whose VMs each kept calling several times a second prolonged such an
+//! outage: 295 of them made 35,600 calls in 41 s. Fleets of 1 to 1,000 VMs are simulated in steps,
+//! with the decision functions that the proxies use.
 
 use skylark_core::process::homes::WATCHERS_PER_ZONE;
 use skylark_core::process::jitter;
@@ -14,32 +15,34 @@
 /// The time between two steps, in microseconds.
 const STEP_US: u64 = 20_000;
 
-/// For how long each fleet is played, in microseconds.
+/// The simulated time, in microseconds.
 const SIMULATED_US: u64 = 20_000_000;
 
-/// Up to how many VMs each asks by itself.
+/// The largest fleet in which every VM polls the store.
 const MAX_DIRECT_VMS: usize = 16;
 
-/// The time in which each VM that has a path to a new version has to know it, in microseconds.
+/// The time within which each VM that has a path to a new version must know it, in microseconds.
 const VERSION_DEADLINE_US: u64 = 6_000_000;
 
-/// What a VM that the store does not answer waits before it asks others, in microseconds.
+/// How long a polling VM goes without an answer of the store before it asks other VMs, in
+/// microseconds.
 const HELP_AFTER_US: u64 = 1_000_000;
 
-/// The calls a second that those who ask for others may make, each.
+/// The limit on the calls per second of each polling VM.
 const CALLS_PER_POLLING_VM: usize = 10;
 
-/// The calls a second that all others together may make, and the part of the VMs that may call beyond that
-/// in the same second: those that the limit of their pauses has call more often.
+/// The limit on the calls per second of all other VMs together, and the fraction of them that may
+/// make an additional call in the same second: VMs whose pauses have reached their limit call more
+/// often.
 const CALLS_OF_OTHER_VMS: usize = 80;
 const EXTRA_CALLS_DIVISOR: usize = 2;
 
-/// Which VMs the store answers, and from when to when it does not.
+/// The VMs that the store refuses, and the time of the outage.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     from_us: u64,
     to_us: u64,
-    /// The part of the VMs that it turns away, in hundredths.
+    /// The percentage of the VMs that the store refuses.
     percent: u64,
 }
 
@@ -53,7 +56,7 @@
 struct Vm {
     zone: usize,
     seed: u64,
-    /// The VMs that reach each other have the same side.
+    /// VMs in the same partition reach each other.
     partition: u64,
     polls_store: bool,
     peer_status: Option<StoreStatus>,
@@ -72,7 +75,7 @@
     outage: Outage,
 }
 
-/// The most calls without an answer within one second.
+/// Returns the highest number of failed calls within one second.
 fn max_calls_per_second(calls_us: &[u64]) -> usize {
     let within =
         |at_us: u64| calls_us.iter().filter(move |call| (at_us..at_us + 1_000_000).contains(*call));
@@ -110,7 +113,7 @@
         store_calls::status_for_peers(vm.answers, vm.peer_status.filter(|_| vm.polls_store))
     }
 
-    /// The VMs that may tell this one, the best first.
+    /// Returns the VMs that can serve this one, best first.
     fn peers(&self, index: usize) -> Vec<usize> {
         let vm = &self.vms[index];
         let reached = |other: &usize| *other != index && self.vms[*other].partition == vm.partition;
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Asks the store if it is time for that. Returns whether a call was made in vain.
+    /// Calls the store if a call is due. Returns whether a call was made and failed.
     fn call_store(&mut self, index: usize, at_us: u64) -> bool {
         let (is_refused, count) = (self.is_refused(index, at_us), self.vms.len());
         let vm = &mut self.vms[index];
@@ -167,7 +170,8 @@
             vm.next_call_us = at_us + pause_us;
             return true;
         }
-        // A watch that waits at the store brings a change at once; one that failed waits out its pause.
+        // A watch that waits at the store delivers a change immediately; after a failure, the pause
+        // must end first.
         if vm.failures == 0 || at_us >= vm.next_call_us {
             (vm.answers, vm.failures, vm.failing_since_us) = (true, 0, None);
             vm.version_us = at_us;
@@ -175,7 +179,7 @@
         false
     }
 
-    /// Plays the fleet. Returns when calls were made in vain, and the complaints.
+    /// Runs the simulation. Returns the times of the failed calls, and the violations.
     fn simulate(&mut self) -> (Vec<u64>, Vec<String>) {
         let (mut failed_calls_us, mut violations) = (Vec::new(), Vec::new());
         let mut has_path_since_us = vec![Some(0); self.vms.len()];
@@ -216,7 +220,8 @@
     let most = max_calls_per_second(&failed_calls_us);
     let mut bound = polling_vms * CALLS_PER_POLLING_VM + CALLS_OF_OTHER_VMS;
     bound += (count - polling_vms) / EXTRA_CALLS_DIVISOR;
-    // Those that nobody tells have no other way to learn that it was one call that failed.
+    // A VM without a peer can't learn otherwise that a single call failed, so its quick retries are
+    // allowed.
     let is_split = partitions > 1 || outage.from_us == 0;
     let quick = if is_split { 4 * (count - polling_vms) } else { 0 };
     assert!(most <= bound + quick, "{case}: {most} calls in a second");
@@ -242,25 +247,26 @@
 }
 
 fleets! {
-    /// All VMs lose the store at once. Those that ask for others go on trying; the rest are told so, and
-    /// that it is back.
+    /// All VMs lose the store. The polling VMs keep trying, and the others learn from them of the
+    /// outage and of its end.
     store_unavailable_for_all: 1, FOR_ALL;
-    /// It turns a third of the VMs away: they are told by the others.
+    /// The store refuses a third of the VMs: the others serve them.
     store_refuses_a_third: 1, FOR_A_THIRD;
-    /// It answers only a few, most of which ask for nobody: each of these still has a path of its own.
+    /// The store answers only a few VMs, most of which do not poll: each of these must still use
+    /// its own path.
     store_answers_a_few: 1, FOR_NEARLY_ALL;
-    /// All VMs start while it is away, and know nobody.
+    /// All VMs start during the outage, without any peer.
     store_unavailable_at_the_start: 1, AT_THE_START;
-    /// The VMs fall into parts that don't reach each other while it is away.
+    /// The VMs are partitioned from each other during the outage.
     store_unavailable_during_a_partition: 5, FOR_ALL;
-    /// The same while it turns a third of the VMs away.
+    /// The VMs are partitioned from each other, and the store refuses a third of them.
     store_refuses_a_third_during_a_partition: 5, FOR_A_THIRD;
-    /// No VM reaches another one: each asks by itself, and none too often.
+    /// No VM reaches another one: each calls the store directly, but not too often.
     all_vms_are_isolated: u64::MAX, FOR_ALL;
 }
 
-/// A VM that asks for others never passes on what one tells it that has it from others: two that lost the
-/// store would have told each other for ever that it answers.
+/// A polling VM never passes on second-hand information: two VMs that lost the store would keep
+/// telling each other that it answers.
 #[test]
 fn relayed_status_is_not_relayed_again() {
     assert_eq!(
--- a/crates/core/tests/takeover.rs
+++ b/crates/core/tests/takeover.rs
@@ -1,4 +1,5 @@
-//! A takeover promotes a replica that holds all that was acknowledged, in every order of events.
+//! Tests that a takeover promotes a replica that holds everything acknowledged, for any order of
+//! events.
 
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -34,11 +35,12 @@
 }
 
 steps! {
-    /// The one that is behind is paused first, so that the other one alone is needed from then on.
+    /// The replica that is behind is paused first, so that from then on only the other one
+    /// receives.
     the_shorter_log_is_paused: [replica(5), replica(4)], NO_FLOOR, true, 0 => TakeoverStep::Pause(1);
     the_one_that_receives_is_promoted: [replica(5), paused(4)], NO_FLOOR, true, 0
         => TakeoverStep::Promote(0);
-    /// It is waited for while the old primary may still send what is missing.
+    /// The takeover waits for it while the old primary may still send the missing records.
     one_that_is_behind_catches_up: [replica(3), paused(4)], NO_FLOOR, true, 0
         => TakeoverStep::AskAgain(0);
     one_that_can_not_catch_up_is_paused_too: [replica(3), paused(4)], NO_FLOOR, false, 0
@@ -51,24 +53,25 @@
     a_silent_replica_is_waited_for: [replica(5), ReplicaView { reachable: false, ..replica(0) }],
         NO_FLOOR, false, 0 => TakeoverStep::Wait(WaitReason::ReplicaSilent(1));
     nobody_can_take_over_alone: [], NO_FLOOR, false, 0 => TakeoverStep::Wait(WaitReason::NoReplica);
-    /// A leaving replica would have to be replaced again at once.
+    /// A leaving replica would soon have to be replaced again.
     a_leaving_replica_is_not_chosen: [ReplicaView { leaving: true, ..replica(9) }, replica(5)],
         NO_FLOOR, true, 0 => TakeoverStep::Pause(0);
-    /// But where only it holds the last commits, it leads rather than losing them.
+    /// If only a leaving replica holds the last commits, it is promoted, since they would be lost
+    /// otherwise.
     a_leaving_replica_leads_where_only_it_has_all:
         [ReplicaView { leaving: true, ..paused(9) }, paused(5)], NO_FLOOR, false, 0
         => TakeoverStep::Promote(0);
-    /// What a departed replica may have been alone with has to be there.
+    /// What only a departed replica may have held must be present.
     nothing_below_the_floor_is_promoted: [paused(3), paused(4)], at(5), false, 0
         => TakeoverStep::Wait(WaitReason::LogIncomplete);
 }
 
-/// What happens between two steps of the driver.
+/// An event between two steps of the driver.
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// The primary commits and one replica that is not paused receives it first.
+    /// The primary commits, and one replica that is not paused receives the commit first.
     CommitThrough(usize),
-    /// A replica receives all that it lacks.
+    /// A replica receives everything that it lacks.
     CatchUp(usize),
     /// The primary dies.
     Die,
@@ -93,7 +96,7 @@
     }
 }
 
-/// A primary with three replicas that acknowledges with one of them.
+/// A primary with three replicas that acknowledges a commit once one of them has received it.
 struct Group {
     primary: u64,
     alive: bool,
@@ -129,22 +132,23 @@
     }
 }
 
-/// Drives a takeover under commits that go on, and returns whether what is promoted has, some events
-/// later, all that was acknowledged until then. `checked` off skips the comparison of logs.
+/// Drives a takeover while commits continue. Returns whether the promoted replica holds, some
+/// events later, everything acknowledged until then. Without `checked` the replicas are not paused
+/// and compared.
 fn keeps_all_commits(run: &Run, checked: bool) -> bool {
     let mut group =
         Group { primary: 1, alive: true, received: [1, 1, 0], paused: [false; 3], acknowledged: 1 };
     let mut events = run.events.iter().copied();
     let mut waited_us = 0;
     loop {
-        // What is decided on was asked for some events ago.
+        // The step is decided on the state before the event, as it would be after a status query.
         let views = group.views(run.leaving);
         let Some(event) = events.next() else { return true };
         group.apply(event);
         waited_us += 100_000;
         match takeover::next_step(&views, NO_FLOOR, group.alive, waited_us) {
             TakeoverStep::Pause(index) if checked => group.paused[index] = true,
-            // Without the pauses the first choice is promoted.
+            // Without pauses the first choice is promoted immediately.
             TakeoverStep::Pause(index) => return promoted_keeps(&mut group, 2 - index, events),
             TakeoverStep::AskAgain(_) | TakeoverStep::Wait(_) => (),
             TakeoverStep::Promote(index) => return promoted_keeps(&mut group, index, events),
@@ -152,7 +156,7 @@
     }
 }
 
-/// The promotion takes effect after the rest of the events.
+/// Applies the remaining events before the promotion takes effect.
 fn promoted_keeps<I>(group: &mut Group, index: usize, events: I) -> bool
 where
     I: Iterator<Item = Event>,
@@ -174,8 +178,8 @@
         .quickcheck(property as fn(Run) -> bool);
 }
 
-/// Without the pauses the promoted replica lacks a commit in some order of events: the model finds
-/// what the safeguard prevents.
+/// Without pauses the promoted replica lacks a commit for some order of events: the model can
+/// detect the loss that the pauses prevent.
 #[test]
 fn without_pauses_a_commit_is_lost() {
     let mut g = Gen::new(60);
--- a/crates/core/tests/takeover_claim.rs
+++ b/crates/core/tests/takeover_claim.rs
@@ -1,4 +1,4 @@
-//! Who may drive a takeover.
+//! Tests of the claim, which decides which proxy may drive a takeover.
 
 use skylark_core::process::takeover_claim;
 use skylark_core::process::takeover_claim::Claim;
@@ -56,8 +56,9 @@
     HeldClaim { claim, revision: 40, written_us: 0, unsettled_since_us }
 }
 
-/// Two drivers promoted in turn: the one that was overtaken called 15 ms after its successor. Its call
-/// has to be answered or given up before anybody may have taken the claim.
+/// Two drivers promoted targets in turn: the superseded one made its call 15 ms after its
+/// successor. A call must be answered or given up before any other process can have taken the
+/// claim.
 #[test]
 fn holder_calls_only_during_its_lease() {
     let held = held(false, 0);
@@ -78,8 +79,8 @@
     assert!(held.may_send_promote(RENEW_US));
 }
 
-/// A call without an answer is carried out seconds later, after another target was promoted: that one
-/// loses its lead, and what it acknowledged is lost.
+/// A call without an answer is executed seconds later, after another target was promoted: that
+/// target loses its role, and the commits that it acknowledged are lost.
 #[test]
 fn pending_call_allows_only_the_same_target() {
     let held = held(true, 1_000);
@@ -87,7 +88,7 @@
     assert!(held.may_promote("a", false, 1_000));
     assert!(!held.may_promote("b", false, late_us - 1));
     assert!(held.may_promote("b", false, late_us));
-    // A higher token has the late call refused.
+    // The platform refuses the late call because of the higher token.
     assert!(held.may_promote("b", true, 1_000));
 }
 
--- a/crates/core/tests/timer.rs
+++ b/crates/core/tests/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service.
+//! Tests of the timer service.
 
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
@@ -46,8 +46,9 @@
     assert_eq!(due(&mut timers, 100), [timer]);
 }
 
-// After a pause of minutes a process would probe every member hundreds of times at once, and take the
-// answers' delay for more failures. Missed ticks are one tick.
+// After a pause of minutes, a process that got every missed tick would probe each member hundreds
+// of times at once, and would take the delay of the answers for more failures. All missed ticks
+// must become one.
 #[test]
 fn a_pause_makes_one_tick() {
     let mut timers = Timers::new();
@@ -70,7 +71,7 @@
     assert!(deadlines.iter().any(|at_us| *at_us != deadlines[0]));
 }
 
-/// Changes to three timers as random numbers.
+/// Checks the invariants of the timer service for random operations.
 fn timers_keep_their_invariants(steps: Vec<(u8, u8)>) -> bool {
     let mut timers = Timers::new();
     let mut active = Vec::new();
