--- a/crates/core/src/process/detection.rs
+++ b/crates/core/src/process/detection.rs
@@ -202,7 +202,7 @@
 
     /// Returns when the verdict can next change without new evidence. While the primary stays
     /// silent after the timer reported the timeout, the progress of the members is checked again
-    /// every [`RECHECK_US`]: with a due time in the past the embedder's timer would fire without a
+    /// every `RECHECK_US`: with a due time in the past the embedder's timer would fire without a
     /// pause.
     pub fn due_us(&self) -> u64 {
         let silent_us = self.last_heard_us.saturating_add(self.timeout_us()).saturating_add(1);
