--- a/crates/core/src/process/failover/campaign.rs
+++ b/crates/core/src/process/failover/campaign.rs
@@ -23,9 +23,9 @@
             self.cause = cause.map(|cause| (cause, now_us));
         }
         let (cause, since_us) = self.cause?;
-        let start_us = self.start_us(cause, since_us);
-        if now_us < start_us {
-            self.wake_at(start_us);
+        let start_time_us = self.start_time_us(cause, since_us);
+        if now_us < start_time_us {
+            self.wake_at(start_time_us);
             return None;
         }
         Self::trace(Step::Started(cause), Term::default(), actions);
@@ -47,21 +47,21 @@
     }
 
     /// Returns when this candidate may start the change.
-    fn start_us(&self, cause: Cause, since_us: u64) -> u64 {
+    fn start_time_us(&self, cause: Cause, since_us: u64) -> u64 {
         let delay_us = match cause {
             Cause::Suspected | Cause::Wanted => 0,
             Cause::NoLeader => self.settings.no_leader_delay_us,
             Cause::HigherTerm => self.settings.driver_timeout_us,
         };
-        let turn_us = since_us.saturating_add(delay_us).saturating_add(self.stagger_us());
-        turn_us.max(self.not_before_us).max(self.rival_deadline_us(cause))
+        let may_start_us = since_us.saturating_add(delay_us).saturating_add(self.stagger_us());
+        may_start_us.max(self.not_before_us).max(self.rival_deadline_us(cause))
     }
 
     /// Returns when a rival that was seen at work counts as failed. A rival that performs a move
     /// requested by an operator also has the time of the hold, unless the primary fails meanwhile.
     fn rival_deadline_us(&self, cause: Cause) -> u64 {
-        let claim_timeout_us = self.lead.rival_claim_us(&self.name, self.leader_term());
-        let Some(seen_us) = self.rival_seen_us.max(claim_timeout_us) else { return 0 };
+        let rival_claim_us = self.lead.rival_claim_us(&self.name, self.leader_term());
+        let Some(seen_us) = self.rival_seen_us.max(rival_claim_us) else { return 0 };
         let max_hold_us = if cause == Cause::Wanted { self.settings.max_hold_us } else { 0 };
         seen_us
             .saturating_add(max_hold_us)
@@ -134,24 +134,34 @@
 
     /// Ends a change that another driver or a refusal stopped. The back-off is random and grows, so
     /// that two drivers do not keep taking votes from each other.
-    pub(super) fn lose(&mut self, now_us: u64, term: Term, actions: &mut Vec<Action>) -> Phase {
+    pub(super) fn lose_change(
+        &mut self,
+        now_us: u64,
+        term: Term,
+        actions: &mut Vec<Action>,
+    ) -> Phase {
         Self::trace(Step::Lost, term, actions);
         self.back_off(now_us);
         Phase::Idle
     }
 
     /// Ends a change that did not complete in time.
-    pub(super) fn give_up(&mut self, now_us: u64, term: Term, actions: &mut Vec<Action>) -> Phase {
+    pub(super) fn give_up_change(
+        &mut self,
+        now_us: u64,
+        term: Term,
+        actions: &mut Vec<Action>,
+    ) -> Phase {
         Self::trace(Step::GivenUp, term, actions);
         self.back_off(now_us);
         Phase::Idle
     }
 
     fn back_off(&mut self, now_us: u64) {
-        let doublings = self.losses.min(MAX_BACKOFF_DOUBLINGS);
-        self.losses = self.losses.saturating_add(1);
-        let most_us = self.settings.backoff_us << doublings;
-        let delay_us = jitter::upper_half_us(self.seed, u64::from(self.losses), most_us);
+        let doublings = self.lost_changes.min(MAX_BACKOFF_DOUBLINGS);
+        self.lost_changes = self.lost_changes.saturating_add(1);
+        let max_delay_us = self.settings.backoff_us << doublings;
+        let delay_us = jitter::upper_half_us(self.seed, u64::from(self.lost_changes), max_delay_us);
         self.not_before_us = now_us.saturating_add(delay_us);
     }
 }
--- a/crates/core/src/process/failover/claim.rs
+++ b/crates/core/src/process/failover/claim.rs
@@ -42,7 +42,7 @@
             return Some(self.after_claim(now_us, cause, term));
         }
         if self.overtaken(term) || self.leader_reached_term(term) {
-            return Some(self.lose(now_us, term, actions));
+            return Some(self.lose_change(now_us, term, actions));
         }
         if now_us >= deadline_us {
             return Some(self.skip_claim(now_us, cause, term, actions));
@@ -67,7 +67,7 @@
         // The update may still take effect, so the present version is unknown.
         self.lead.version = None;
         if cause == Cause::Wanted {
-            return self.give_up(now_us, term, actions);
+            return self.give_up_change(now_us, term, actions);
         }
         Self::trace(Step::ClaimSkipped, term, actions);
         Phase::Fencing { cause, term, since_us: now_us }
--- a/crates/core/src/process/failover/fence.rs
+++ b/crates/core/src/process/failover/fence.rs
@@ -37,7 +37,7 @@
         actions: &mut Vec<Action>,
     ) -> Option<Phase> {
         if self.leader_reached_term(term) {
-            return Some(self.lose(now_us, term, actions));
+            return Some(self.lose_change(now_us, term, actions));
         }
         let voters = self.voters(term);
         if self.members().is_quorum(voters)
@@ -50,10 +50,10 @@
             });
         }
         if self.refused(term) || self.overtaken(term) {
-            return Some(self.lose(now_us, term, actions));
+            return Some(self.lose_change(now_us, term, actions));
         }
         if now_us >= since_us.saturating_add(self.settings.driver_timeout_us) {
-            return Some(self.give_up(now_us, term, actions));
+            return Some(self.give_up_change(now_us, term, actions));
         }
         for member in 0..self.members().count() {
             if !voters.contains(member) {
@@ -150,18 +150,18 @@
     ) -> Option<Phase> {
         if self.leader == Some(Leader { term, member }) {
             Self::trace(Step::Promoted, term, actions);
-            self.losses = 0;
+            self.lost_changes = 0;
             return Some(Phase::Idle);
         }
         let raised = self
             .status(member)
             .is_some_and(|status| status.raised_term > term || status.role == Role::Replica);
         if raised || self.leader_reached_term(term) {
-            return Some(self.lose(now_us, term, actions));
+            return Some(self.lose_change(now_us, term, actions));
         }
         let until_us = since_us.saturating_add(self.settings.driver_timeout_us);
         if now_us >= until_us {
-            return Some(self.give_up(now_us, term, actions));
+            return Some(self.give_up_change(now_us, term, actions));
         }
         let every_us = self.settings.resend_interval_us;
         self.call_member(now_us, member, MemberCall::Promote { term }, every_us, actions);
--- a/crates/core/src/process/failover/maintenance.rs
+++ b/crates/core/src/process/failover/maintenance.rs
@@ -53,9 +53,9 @@
         if detached.is_empty() {
             return;
         }
-        let turn_us = self.turn_us(leader, self.leader_since_us);
-        if now_us < turn_us {
-            self.wake_at(turn_us);
+        let may_act_us = self.may_act_us(leader, self.leader_since_us);
+        if now_us < may_act_us {
+            self.wake_at(may_act_us);
             return;
         }
         for member in detached {
@@ -86,7 +86,7 @@
 
     /// Returns when this process may act: the driver of the leader's term immediately, others after
     /// a delay.
-    fn turn_us(&self, leader: Leader, since_us: u64) -> u64 {
+    fn may_act_us(&self, leader: Leader, since_us: u64) -> u64 {
         if self.driven_term == Some(leader.term) {
             return since_us;
         }
@@ -106,10 +106,11 @@
             return;
         };
         let since_us = *self.record_stale_since_us.get_or_insert(now_us);
-        let turn_us = if self.abandoned() { since_us } else { self.turn_us(leader, since_us) };
-        let turn_us = turn_us.max(self.platform_retry_us);
-        if now_us < turn_us {
-            self.wake_at(turn_us);
+        let may_act_us =
+            if self.abandoned() { since_us } else { self.may_act_us(leader, since_us) };
+        let may_act_us = may_act_us.max(self.platform_retry_us);
+        if now_us < may_act_us {
+            self.wake_at(may_act_us);
             return;
         }
         self.platform_retry_us = now_us.saturating_add(self.settings.maintenance_interval_us);
--- a/crates/core/src/process/failover/mod.rs
+++ b/crates/core/src/process/failover/mod.rs
@@ -25,8 +25,8 @@
 //! will ever confirm a record.
 //!
 //! A planned move holds back writes at every process that sees the claim, waits until the log of
-//! the wanted member equals the primary's, and continues with step 3. If this exceeds its time
-//! limit, writes are released and the request is removed from the record.
+//! the wanted member equals the primary's, and continues with step 3; past its time limit it
+//! releases the writes and removes the request from the record.
 //!
 //! The driver's name identifies its votes and must be unique to one [`FailoverDriver`], also among
 //! those that one process creates one after the other. Otherwise a driver without knowledge of the
@@ -113,7 +113,7 @@
     cause: Option<(Cause, u64)>,
     /// The time before which no new change starts.
     not_before_us: u64,
-    losses: u32,
+    lost_changes: u32,
     /// The last requested promotion. No other member may be promoted in the same term.
     promoted: Option<Leader>,
     /// The term of the last change that this driver started.
@@ -160,7 +160,7 @@
             rival_seen_us: None,
             cause: None,
             not_before_us: 0,
-            losses: 0,
+            lost_changes: 0,
             promoted: None,
             driven_term: None,
             lead: LeadView::default(),
--- a/crates/core/src/process/failover/planned_move.rs
+++ b/crates/core/src/process/failover/planned_move.rs
@@ -53,10 +53,10 @@
         actions: &mut Vec<Action>,
     ) -> Option<Phase> {
         let Some(leader) = self.leader.filter(|leader| leader.term < term) else {
-            return Some(self.lose(now_us, term, actions));
+            return Some(self.lose_change(now_us, term, actions));
         };
         if self.overtaken(term) {
-            return Some(self.lose(now_us, term, actions));
+            return Some(self.lose_change(now_us, term, actions));
         }
         if self.suspected == Some(leader.term) {
             return Some(Phase::Fencing { cause: Cause::Suspected, term, since_us: now_us });
@@ -68,7 +68,7 @@
         let until_us = since_us.saturating_add(self.settings.max_hold_us);
         if now_us >= until_us {
             self.abandon_move();
-            return Some(self.give_up(now_us, term, actions));
+            return Some(self.give_up_change(now_us, term, actions));
         }
         self.poll_move(now_us, settled_us, leader.member, wanted, actions);
         self.wake_at(until_us);
--- a/crates/core/src/process/membership.rs
+++ b/crates/core/src/process/membership.rs
@@ -132,13 +132,18 @@
     }
 
     /// Records evidence about a VM. Returns whether its standing may have changed.
-    pub fn vm_seen(&mut self, vm: &str, evidence: Evidence, now_us: u64) -> bool {
+    pub fn record_vm_evidence(&mut self, vm: &str, evidence: Evidence, now_us: u64) -> bool {
         let policy = self.policy;
         apply_evidence(&mut self.vms, &policy, vm, evidence, now_us)
     }
 
     /// Records evidence about a target. Returns whether its standing may have changed.
-    pub fn target_seen(&mut self, target: &str, evidence: Evidence, now_us: u64) -> bool {
+    pub fn record_target_evidence(
+        &mut self,
+        target: &str,
+        evidence: Evidence,
+        now_us: u64,
+    ) -> bool {
         let policy = self.policy;
         apply_evidence(&mut self.targets, &policy, target, evidence, now_us)
     }
--- a/crates/core/src/process/quota.rs
+++ b/crates/core/src/process/quota.rs
@@ -177,18 +177,19 @@
         if granted == u64::from(wanted) {
             return Grant { granted: wanted, retry_after_us: 0 };
         }
-        let retry_after_us = self.retry_after_us_for_next();
+        let retry_after_us = self.next_operation_us();
         // A refused VM asks the other allocators as well, so each counts only its fraction of the
         // refusals.
-        let most_milli = self.part.limit.rate_milli_per_s.max(OPERATION_MILLI);
-        let missed_milli = (u64::from(wanted) - granted) * OPERATION_MILLI / self.part.allocators;
-        self.refused_milli = (self.refused_milli + missed_milli).min(most_milli);
+        let max_refused_milli = self.part.limit.rate_milli_per_s.max(OPERATION_MILLI);
+        let newly_refused_milli =
+            (u64::from(wanted) - granted) * OPERATION_MILLI / self.part.allocators;
+        self.refused_milli = (self.refused_milli + newly_refused_milli).min(max_refused_milli);
         Grant { granted: granted as u32, retry_after_us }
     }
 
     /// Returns the time in microseconds until one more operation can be granted, counting the
     /// operations that were refused before; one second if no operation can ever be granted.
-    fn retry_after_us_for_next(&self) -> u64 {
+    fn next_operation_us(&self) -> u64 {
         let missing_milli = OPERATION_MILLI.saturating_sub(self.tokens_milli);
         if self.part.limit.rate_milli_per_s == 0 || self.part.limit.burst_milli < OPERATION_MILLI {
             return SECOND_US;
@@ -202,13 +203,13 @@
         // A remainder below a thousandth of a token is left for the next refill.
         let earned_milli = (u128::from(passed_us) * u128::from(self.part.limit.rate_milli_per_s)
             / u128::from(SECOND_US)) as u64;
-        let counted_us = match self.part.limit.rate_milli_per_s {
+        let refill_time_us = match self.part.limit.rate_milli_per_s {
             0 => passed_us,
             rate => {
                 (u128::from(earned_milli) * u128::from(SECOND_US)).div_ceil(u128::from(rate)) as u64
             }
         };
-        self.refilled_us += counted_us.min(passed_us);
+        self.refilled_us += refill_time_us.min(passed_us);
         self.refused_milli = self.refused_milli.saturating_sub(earned_milli);
         self.tokens_milli =
             self.tokens_milli.saturating_add(earned_milli).min(self.part.limit.burst_milli);
--- a/crates/core/src/process/read_age.rs
+++ b/crates/core/src/process/read_age.rs
@@ -72,7 +72,7 @@
 
     /// Creates the state of a group with this member set, whose quorums include those of a joint
     /// phase.
-    pub fn for_set(set: MemberSet) -> ReadAge {
+    pub fn with_member_set(set: MemberSet) -> ReadAge {
         let age = ReadAge::new(set.count());
         ReadAge { set: Some(set), ..age }
     }
--- a/crates/core/src/process/session_floors.rs
+++ b/crates/core/src/process/session_floors.rs
@@ -221,9 +221,9 @@
         }
         let Some(applied) = self.applied.get_mut(member) else { return };
         *applied = status.applied.max(*applied);
-        let everywhere = self.applied_everywhere();
-        if everywhere.term == self.term {
-            self.accounted.drop_up_to(everywhere.index);
+        let applied_by_all = self.applied_by_every_member();
+        if applied_by_all.term == self.term {
+            self.accounted.drop_up_to(applied_by_all.index);
         }
     }
 
@@ -260,7 +260,7 @@
     }
 
     /// Returns the position that every member has applied.
-    pub fn applied_everywhere(&self) -> LogPosition {
+    pub fn applied_by_every_member(&self) -> LogPosition {
         self.applied.iter().copied().min().unwrap_or_default()
     }
 
@@ -295,7 +295,7 @@
 
     /// Returns the floor, or the lowest position if every member covers the floor.
     fn effective_floor(&self, floor: LogPosition) -> LogPosition {
-        if floor <= self.applied_everywhere() { LogPosition::default() } else { floor }
+        if floor <= self.applied_by_every_member() { LogPosition::default() } else { floor }
     }
 
     /// Returns the highest position at or below `end` that is not accounted for.
@@ -321,7 +321,7 @@
     }
 
     fn record_floor(&mut self, session: &str, position: LogPosition) {
-        if position <= self.applied_everywhere() {
+        if position <= self.applied_by_every_member() {
             return;
         }
         match self.sessions.get_mut(session) {
@@ -340,7 +340,7 @@
 
     /// Drops sessions that need no floor of their own, because every member or the start covers it.
     fn sweep(&mut self) {
-        let covered = self.applied_everywhere().max(self.start());
+        let covered = self.applied_by_every_member().max(self.start());
         self.sessions.retain(|_, floor| *floor > covered);
         self.sweep_at = MIN_SWEEP_SIZE.max(2 * self.sessions.len());
     }
--- a/crates/core/src/process/sharing/weighted.rs
+++ b/crates/core/src/process/sharing/weighted.rs
@@ -52,8 +52,8 @@
         let until = tag + own_us * UNITS_PER_US / self.weights[class];
         let others = (0..classes.len()).filter(|other| *other != class);
         let served = others.map(|other| {
-            let behind = until.saturating_sub(self.tags[other]);
-            let served_us = behind * self.weights[other] / UNITS_PER_US;
+            let tag_gap = until.saturating_sub(self.tags[other]);
+            let served_us = tag_gap * self.weights[other] / UNITS_PER_US;
             served_us.min(classes[other].queued_busy_us())
         });
         own_us + served.sum::<u64>()
--- a/crates/core/src/process/store_calls.rs
+++ b/crates/core/src/process/store_calls.rs
@@ -104,13 +104,13 @@
 /// Returns how long a VM that lost its peer waits before it calls the store directly, in
 /// microseconds.
 pub fn direct_call_delay_us(store_access: StoreAccess, vms: usize, seed: u64) -> u64 {
-    let direct_call_delay_us = jitter::upper_half_us(seed, 0, PEER_SEARCH_US);
+    let search_us = jitter::upper_half_us(seed, 0, PEER_SEARCH_US);
     match store_access {
         StoreAccess::Direct => 0,
-        StoreAccess::ViaPeer | StoreAccess::NoPeer => direct_call_delay_us,
+        StoreAccess::ViaPeer | StoreAccess::NoPeer => search_us,
         // All of these VMs learn of the outage at the same time, so their calls are spread.
         StoreAccess::ViaPeerUnavailable => {
-            direct_call_delay_us + jitter::below_us(seed, 1, unavailable_pause_us(vms))
+            search_us + jitter::below_us(seed, 1, unavailable_pause_us(vms))
         }
     }
 }
--- a/crates/core/tests/connection_plan.rs
+++ b/crates/core/tests/connection_plan.rs
@@ -58,8 +58,8 @@
             ConnectionPlan::Homes { share, fallbacks } => {
                 let all = (share + 1) * HOMES as u32 + 2 * fallbacks as u32;
                 // The minimum number of connections that homes and fallbacks need.
-                let least = 2 * HOMES as u32 + 4;
-                all <= u32::from(connections).max(least) + 4
+                let min_connections = 2 * HOMES as u32 + 4;
+                all <= u32::from(connections).max(min_connections) + 4
             }
         }
     }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -33,7 +33,7 @@
     let mut now_us = SECOND_US;
     for evidence in seen {
         now_us += SECOND_US;
-        membership.vm_seen(vm, *evidence, now_us);
+        membership.record_vm_evidence(vm, *evidence, now_us);
     }
     assert_eq!(membership.verify(), Vec::<String>::new());
     membership.vm_standing_by_name(&listed(), vm, now_us + 1)
@@ -71,7 +71,10 @@
 fn a_vm_that_says_it_leaves_gets_no_work_although_the_list_lags() {
     let mut membership = Membership::new(MembershipPolicy::default());
     let topology = listed();
-    assert!(membership.vm_seen("a", Evidence::Leaving, SECOND_US), "the standing changed");
+    assert!(
+        membership.record_vm_evidence("a", Evidence::Leaving, SECOND_US),
+        "the standing changed"
+    );
     let mut usable = Vec::new();
     for after_s in [0, 1, 30, 60] {
         membership.usable_vms(&topology, SECOND_US + after_s * SECOND_US, &mut usable);
@@ -85,8 +88,8 @@
 fn evidence_expires_by_itself() {
     let mut membership = Membership::new(MembershipPolicy::default());
     let topology = listed();
-    membership.vm_seen("a", Evidence::Refused, SECOND_US);
-    membership.vm_seen("a", Evidence::Refused, SECOND_US);
+    membership.record_vm_evidence("a", Evidence::Refused, SECOND_US);
+    membership.record_vm_evidence("a", Evidence::Refused, SECOND_US);
     let expires_us = membership.expire(SECOND_US).expect("something expires");
     let standing =
         |membership: &Membership, now_us| membership.vm_standing_by_name(&topology, "a", now_us);
@@ -100,8 +103,8 @@
 #[test]
 fn old_failures_do_not_add_up() {
     let mut membership = Membership::new(MembershipPolicy::default());
-    membership.vm_seen("a", Evidence::Refused, SECOND_US);
-    membership.vm_seen("a", Evidence::Refused, 100 * SECOND_US);
+    membership.record_vm_evidence("a", Evidence::Refused, SECOND_US);
+    membership.record_vm_evidence("a", Evidence::Refused, 100 * SECOND_US);
     let standing = membership.vm_standing_by_name(&listed(), "a", 100 * SECOND_US);
     assert_eq!(standing, Standing::Usable);
 }
@@ -109,7 +112,7 @@
 #[test]
 fn targets_and_vms_of_one_name_are_distinct() {
     let mut membership = Membership::new(MembershipPolicy::default());
-    membership.target_seen("a", Evidence::Leaving, SECOND_US);
+    membership.record_target_evidence("a", Evidence::Leaving, SECOND_US);
     assert_eq!(membership.vm_standing_by_name(&listed(), "a", SECOND_US), Standing::Usable);
     assert_eq!(membership.len(), 1);
 }
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -111,8 +111,8 @@
         let allocators = usize::from(allocators) % 20 + 1;
         let mut fleet = Fleet::new(limit, allocators);
         // The tolerance does not cover a process that restarts more often.
-        let least_gap_us = TOLERANCE.window_ms * 1_000 / STARTS_PER_WINDOW / allocators as u64;
-        let gap_us = ((u64::from(gap_ms) % 2_000) * 1_000).max(least_gap_us);
+        let min_gap_us = TOLERANCE.window_ms * 1_000 / STARTS_PER_WINDOW / allocators as u64;
+        let gap_us = ((u64::from(gap_ms) % 2_000) * 1_000).max(min_gap_us);
         // A restart takes effect at the next step, so the gap is rounded up to whole steps;
         // otherwise two restarts could be closer to each other.
         let gap_us = gap_us.next_multiple_of(STEP_US);
--- a/crates/core/tests/read_age.rs
+++ b/crates/core/tests/read_age.rs
@@ -113,7 +113,7 @@
     let names = |members: &[&str]| members.iter().map(|&name| name.to_owned()).collect();
     let first = MemberSet::new(1, names(&["a", "b", "c", "d"])).expect("four members");
     let second = first.successor(2, names(&["a", "b", "c"])).expect("one left");
-    let mut joint = ReadAge::for_set(second);
+    let mut joint = ReadAge::with_member_set(second);
     joint.probe_answered(0, 100, 101, &primary(1, 5));
     joint.probe_answered(1, 100, 101, &replica(1, 5));
     assert_eq!(joint.fresh_as_of_us(0), None, "two of three are two of four");
--- a/crates/core/tests/sharing.rs
+++ b/crates/core/tests/sharing.rs
@@ -145,7 +145,11 @@
     queue.statement_ended();
     assert!(next(&mut queue, 0).is_some());
     queue.statement_started();
-    assert_eq!((queue.running(), queue.connections()), (2, 2), "the transaction goes on at once");
+    assert_eq!(
+        (queue.running(), queue.connections()),
+        (2, 2),
+        "the transaction continues without waiting"
+    );
     finish(&mut queue, LOOKUP);
     finish(&mut queue, BOOKING);
     assert_eq!((queue.running(), queue.connections()), (0, 0));
@@ -229,7 +233,7 @@
     for _ in 0..100 {
         arrive(&mut queue, LOOKUP, 1, 0);
     }
-    assert_eq!(queue.queued_of(LOOKUP), 32, "alone it leaves eight places");
+    assert_eq!(queue.queued_of(LOOKUP), 32, "a caller alone leaves eight places free");
     ticket(arrive(&mut queue, LOOKUP, 2, 0));
     finish(&mut queue, LOOKUP);
     for _ in 0..30 {
@@ -237,7 +241,7 @@
         finish(&mut queue, grant.class);
         arrive(&mut queue, LOOKUP, 1, 0);
     }
-    assert!(queue.queued_of(LOOKUP) <= 9, "beside others it has its bound");
+    assert!(queue.queued_of(LOOKUP) <= 9, "its limit applies while others wait");
 }
 
 // Without a limit on a standing queue, every lookup of a surge waits for nearly its whole time
--- a/crates/core/tests/sharing_connections.rs
+++ b/crates/core/tests/sharing_connections.rs
@@ -46,7 +46,7 @@
     budget.set_waiting(0);
     for after_s in [1, 6, 9] {
         let plan = budget.plan(after_s * SECOND_US);
-        assert_eq!(plan.close, 0, "the need of {after_s} s ago is remembered");
+        assert_eq!(plan.close, 0, "the demand of {after_s} s ago is remembered");
     }
     let plan = budget.plan(20 * SECOND_US);
     assert_eq!((plan.close, budget.idle()), (10, 2));
@@ -83,8 +83,8 @@
         }
         assert_eq!(budget.verify(), Vec::<String>::new());
         let after = budget.plan(now_us);
-        assert_eq!(after.open, 0, "a failed try is not repeated at once");
-        now_us = after.next_plan_us.expect("a home that lacks connections asks again");
+        assert_eq!(after.open, 0, "a failed attempt is not repeated immediately");
+        now_us = after.next_plan_us.expect("a home that lacks connections plans again");
     }
     attempts
 }
@@ -97,8 +97,8 @@
 fn dead_target_causes_no_connection_storm() {
     let attempts = attempts_at_a_dead_target(1, 60 * SECOND_US);
     let first = attempts.iter().filter(|at_us| **at_us == 0).count();
-    assert_eq!(first, 8, "the first tries are made together");
-    assert!(attempts.len() < 40, "{} tries in a minute", attempts.len());
+    assert_eq!(first, 8, "the first attempts are made together");
+    assert!(attempts.len() < 40, "{} attempts in a minute", attempts.len());
     let others = attempts_at_a_dead_target(2, 60 * SECOND_US);
     assert!(
         attempts[8..].iter().all(|at_us| !others[8..].contains(at_us)),
@@ -117,7 +117,7 @@
     }
     assert_eq!(budget.plan(1).open, 0);
     let plan = budget.plan(SECOND_US);
-    assert_eq!(plan.open, 1, "one finds out whether the target is back");
+    assert_eq!(plan.open, 1, "a single attempt checks whether the target is back");
     budget.opened();
     assert_eq!(budget.plan(SECOND_US).open, 3);
 }
@@ -148,12 +148,12 @@
         }
         now_us += 10_000;
     }
-    assert!((15..=40).contains(&attempts), "{attempts} tries in ten seconds");
+    assert!((15..=40).contains(&attempts), "{attempts} attempts in ten seconds");
     for _ in 0..10 {
         now_us += SECOND_US;
         open_all(&mut budget, now_us);
     }
-    assert_eq!(budget.total(), 8, "the part is reached once the target has room");
+    assert_eq!(budget.total(), 8, "the share is reached once the target has room");
 }
 
 fn budget_keeps_its_invariants(steps: Vec<(u8, u8)>) -> bool {
--- a/crates/core/tests/store_calls.rs
+++ b/crates/core/tests/store_calls.rs
@@ -215,7 +215,7 @@
     let polling_vms = fleet.watchers.len();
     let (failed_calls_us, violations) = fleet.simulate();
     let case =
-        format!("{count} VMs in {zones} zones on {partitions} sides, {outage:?}, seed {seed}");
+        format!("{count} VMs in {zones} zones in {partitions} partitions, {outage:?}, seed {seed}");
     assert!(violations.is_empty(), "{case}: {}", violations[0]);
     let most = max_calls_per_second(&failed_calls_us);
     let mut bound = polling_vms * CALLS_PER_POLLING_VM + CALLS_OF_OTHER_VMS;
--- a/crates/proxy/src/process/control/sessions.rs
+++ b/crates/proxy/src/process/control/sessions.rs
@@ -227,7 +227,11 @@
         let target = version.topology.target(id);
         let name = group_name(version, target.group);
         if evidence == TargetEvidence::Leaving
-            && self.membership.target_seen(&target.name, membership::Evidence::Leaving, now_us)
+            && self.membership.record_target_evidence(
+                &target.name,
+                membership::Evidence::Leaving,
+                now_us,
+            )
         {
             self.refresh_standing(now_us);
         }
--- a/crates/proxy/src/process/control/spread.rs
+++ b/crates/proxy/src/process/control/spread.rs
@@ -61,7 +61,7 @@
     /// Takes evidence about a VM.
     pub(super) fn vm_seen(&mut self, vm: &str, evidence: membership::Evidence) {
         let now_us = self.clock.now_us();
-        if vm != self.settings.vm && self.membership.vm_seen(vm, evidence, now_us) {
+        if vm != self.settings.vm && self.membership.record_vm_evidence(vm, evidence, now_us) {
             self.refresh_standing(now_us);
         }
     }
--- a/crates/proxy/src/process/control/tracking.rs
+++ b/crates/proxy/src/process/control/tracking.rs
@@ -95,7 +95,7 @@
         detection: detection::DetectionSettings,
     ) -> Tracking {
         Tracking {
-            ages: ReadAge::for_set(driver.members().clone()),
+            ages: ReadAge::with_member_set(driver.members().clone()),
             driver,
             members,
             floors,
@@ -111,7 +111,7 @@
     /// Replaces the members by those of another set. What was known of ages and barriers belongs to
     /// the old places.
     pub fn replace_members(&mut self, members: Vec<TrackedMember>, set: &MemberSet) {
-        self.ages = ReadAge::for_set(set.clone());
+        self.ages = ReadAge::with_member_set(set.clone());
         self.members = members;
         self.floors.change_members(set.clone());
         self.detector = None;
