--- a/crates/core/src/process/takeover_claim.rs
+++ b/crates/core/src/process/takeover_claim.rs
@@ -46,8 +46,8 @@
 /// of the call, so that its connection is closed before the lease ends.
 pub const PROMOTE_CALL_US: u64 = 700_000;
 
-/// How long a promotion without an answer may still be executed, in microseconds. The operators of
-/// the platform say "seconds later"; the platform executes late calls within 6 s.
+/// How long a promotion without an answer may still be executed, in microseconds. Users of the proxy
+/// report "seconds later"; their platform executes late calls within 6 s.
 pub const LATE_EFFECT_US: u64 = 10_000_000;
 
 /// The progress of a takeover.
