--- a/crates/core/src/process/failover/campaign.rs
+++ b/crates/core/src/process/failover/campaign.rs
@@ -1,4 +1,4 @@
-//! When a change of primary begins: its cause, the candidates' order, and the canvass.
+//! The start of a change of primary: its cause, the order of the candidates, and the quorum check.
 
 use super::Action;
 use super::Cause;
@@ -10,60 +10,62 @@
 use crate::process::jitter;
 use crate::process::member_set::MemberMask;
 
-/// How many rounds of calls a canvass waits for members beyond the quorum.
-const CANVASS_ROUNDS: u64 = 2;
+/// For how many rounds of calls the quorum check waits for members beyond the quorum.
+const QUORUM_CHECK_ROUNDS: u64 = 2;
 
-/// The most doublings of the back-off.
+/// The maximum number of times that the back-off doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 impl FailoverDriver {
     pub(super) fn advance_idle(&mut self, now_us: u64, actions: &mut Vec<Action>) -> Option<Phase> {
-        let cause = self.present_cause();
+        let cause = self.current_cause();
         if self.cause.map(|(known, _)| known) != cause {
             self.cause = cause.map(|cause| (cause, now_us));
         }
         let (cause, since_us) = self.cause?;
-        let start_us = self.start_us(cause, since_us);
-        if now_us < start_us {
-            self.wake_at(start_us);
+        let start_time_us = self.start_time_us(cause, since_us);
+        if now_us < start_time_us {
+            self.wake_at(start_time_us);
             return None;
         }
         Self::trace(Step::Started(cause), Term::default(), actions);
-        Some(Phase::Canvassing { cause, since_us: now_us })
+        Some(Phase::CheckingQuorum { cause, since_us: now_us })
     }
 
-    /// The most urgent reason for a change, if there is one.
-    pub(super) fn present_cause(&self) -> Option<Cause> {
-        let Some(leader) = self.leader else { return Some(Cause::Unled) };
+    /// Returns the most urgent reason for a change, if there is one.
+    pub(super) fn current_cause(&self) -> Option<Cause> {
+        let Some(leader) = self.leader else { return Some(Cause::NoLeader) };
         if self.suspected == Some(leader.term) {
             return Some(Cause::Suspected);
         }
-        if self.raised_beyond() {
-            return Some(Cause::RaisedBeyond);
+        if self.has_higher_term_member() {
+            return Some(Cause::HigherTerm);
         }
-        self.wanted_member().filter(|&wanted| self.comes_near(wanted)).map(|_| Cause::Wanted)
+        self.wanted_member()
+            .filter(|&wanted| self.is_close_to_primary(wanted))
+            .map(|_| Cause::Wanted)
     }
 
-    /// When this candidate's turn comes.
-    fn start_us(&self, cause: Cause, since_us: u64) -> u64 {
+    /// Returns when this candidate may start the change.
+    fn start_time_us(&self, cause: Cause, since_us: u64) -> u64 {
         let delay_us = match cause {
             Cause::Suspected | Cause::Wanted => 0,
-            Cause::Unled => self.settings.unled_us,
-            Cause::RaisedBeyond => self.settings.driver_us,
+            Cause::NoLeader => self.settings.no_leader_delay_us,
+            Cause::HigherTerm => self.settings.driver_timeout_us,
         };
-        let turn_us = since_us.saturating_add(delay_us).saturating_add(self.stagger_us());
-        turn_us.max(self.not_before_us).max(self.after_rivals_us(cause))
+        let may_start_us = since_us.saturating_add(delay_us).saturating_add(self.stagger_us());
+        may_start_us.max(self.not_before_us).max(self.rival_deadline_us(cause))
     }
 
-    /// When a rival that was seen at work has had its time. One that moves the primary as an
-    /// operator asked also has the time of the hold, unless the primary is gone meanwhile.
-    fn after_rivals_us(&self, cause: Cause) -> u64 {
-        let claim_us = self.lead.rival_claim_us(&self.name, self.led_term());
-        let Some(seen_us) = self.rival_us.max(claim_us) else { return 0 };
-        let hold_us = if cause == Cause::Wanted { self.settings.hold_us } else { 0 };
+    /// Returns when a rival that was seen at work counts as failed. A rival that performs a move
+    /// requested by an operator also has the time of the hold, unless the primary fails meanwhile.
+    fn rival_deadline_us(&self, cause: Cause) -> u64 {
+        let rival_claim_us = self.lead.rival_claim_us(&self.name, self.leader_term());
+        let Some(seen_us) = self.rival_seen_us.max(rival_claim_us) else { return 0 };
+        let max_hold_us = if cause == Cause::Wanted { self.settings.max_hold_us } else { 0 };
         seen_us
-            .saturating_add(hold_us)
-            .saturating_add(self.settings.driver_us)
+            .saturating_add(max_hold_us)
+            .saturating_add(self.settings.driver_timeout_us)
             .saturating_add(self.stagger_us())
     }
 
@@ -71,41 +73,42 @@
         self.settings.stagger_us.saturating_mul(u64::from(self.rank))
     }
 
-    /// Waits for a quorum that answers. A process that reaches no quorum raises nothing: a member
-    /// raised in vain would leave its primary and have to be won back in a higher term, at the cost
-    /// of a change of primary each time that a cut heals.
-    pub(super) fn advance_canvass(
+    /// Waits for answers of a quorum. A process that reaches no quorum raises no term: a raised
+    /// member leaves its primary and must be won back in a higher term, which would cost a change
+    /// of primary each time that a partition heals.
+    pub(super) fn advance_quorum_check(
         &mut self,
         now_us: u64,
         cause: Cause,
         since_us: u64,
         actions: &mut Vec<Action>,
     ) -> Option<Phase> {
-        if self.present_cause() != Some(cause) || self.after_rivals_us(cause) > now_us {
+        if self.current_cause() != Some(cause) || self.rival_deadline_us(cause) > now_us {
             return Some(Phase::Idle);
         }
-        if self.members().is_quorum(self.answering(since_us))
-            && !self.awaits_answers(now_us, cause, since_us)
+        if self.members().is_quorum(self.responding_members(since_us))
+            && !self.awaits_more_answers(now_us, cause, since_us)
         {
-            Self::trace(Step::Canvassed, Term::default(), actions);
+            Self::trace(Step::QuorumReached, Term::default(), actions);
             return Some(self.start_claim(now_us, cause, actions));
         }
         for member in 0..self.members().count() {
-            let every_us = self.settings.resend_us;
+            let every_us = self.settings.resend_interval_us;
             self.call_member(now_us, member, MemberCall::ReadStatus, every_us, actions);
         }
         None
     }
 
-    /// Whether the canvass waits a moment for members beyond the quorum. A process that starts, or
-    /// that sees a stray member, may hear the replicas before the primary that leads them; a
-    /// suspected primary has had its time already.
-    fn awaits_answers(&mut self, now_us: u64, cause: Cause, since_us: u64) -> bool {
+    /// Returns whether the quorum check waits for members beyond the quorum. A process that starts,
+    /// or that sees a detached member, may hear from the replicas before the primary that leads
+    /// them; a suspected primary has already had its time.
+    fn awaits_more_answers(&mut self, now_us: u64, cause: Cause, since_us: u64) -> bool {
         if cause == Cause::Wanted && !self.wanted_answered(since_us) {
             return true;
         }
-        let all = self.answering(since_us).count() == self.members().count();
-        let until_us = since_us.saturating_add(CANVASS_ROUNDS * self.settings.resend_us);
+        let all = self.responding_members(since_us).count() == self.members().count();
+        let until_us =
+            since_us.saturating_add(QUORUM_CHECK_ROUNDS * self.settings.resend_interval_us);
         let waits = cause != Cause::Suspected && !all && now_us < until_us;
         if waits {
             self.wake_at(until_us);
@@ -113,42 +116,52 @@
         waits
     }
 
-    /// Whether the wanted member answered this very canvass. Holding writes back for one that has
-    /// just died would cost the whole bound of the hold.
+    /// Returns whether the wanted member answered during this quorum check. Holding back writes for
+    /// a member that has just failed would last for the whole limit of the hold.
     fn wanted_answered(&self, since_us: u64) -> bool {
         let answer = self.wanted_member().and_then(|wanted| self.reports.latest(wanted));
         answer.is_some_and(|(at_us, _)| at_us > since_us)
     }
 
-    /// The members that reported since shortly before the canvass.
-    fn answering(&self, since_us: u64) -> MemberMask {
-        let earliest_us = since_us.saturating_sub(self.settings.fresh_us);
+    /// Returns the members that reported during the quorum check or shortly before it.
+    fn responding_members(&self, since_us: u64) -> MemberMask {
+        let earliest_us = since_us.saturating_sub(self.settings.report_max_age_us);
         let answers = |member: &usize| {
             self.reports.latest(*member).is_some_and(|(at_us, _)| at_us >= earliest_us)
         };
         (0..self.members().count()).filter(answers).collect()
     }
 
-    /// Ends a change that another driver or a refusal stopped, with a growing random back-off so
-    /// that two drivers do not go on taking each other's votes.
-    pub(super) fn lose(&mut self, now_us: u64, term: Term, actions: &mut Vec<Action>) -> Phase {
+    /// Ends a change that another driver or a refusal stopped. The back-off is random and grows, so
+    /// that two drivers do not keep taking votes from each other.
+    pub(super) fn lose_change(
+        &mut self,
+        now_us: u64,
+        term: Term,
+        actions: &mut Vec<Action>,
+    ) -> Phase {
         Self::trace(Step::Lost, term, actions);
         self.back_off(now_us);
         Phase::Idle
     }
 
-    /// Ends a change that could not be carried through in its time.
-    pub(super) fn give_up(&mut self, now_us: u64, term: Term, actions: &mut Vec<Action>) -> Phase {
+    /// Ends a change that did not complete in time.
+    pub(super) fn give_up_change(
+        &mut self,
+        now_us: u64,
+        term: Term,
+        actions: &mut Vec<Action>,
+    ) -> Phase {
         Self::trace(Step::GivenUp, term, actions);
         self.back_off(now_us);
         Phase::Idle
     }
 
     fn back_off(&mut self, now_us: u64) {
-        let doublings = self.losses.min(MAX_BACKOFF_DOUBLINGS);
-        self.losses = self.losses.saturating_add(1);
-        let most_us = self.settings.backoff_us << doublings;
-        let delay_us = jitter::upper_half_us(self.seed, u64::from(self.losses), most_us);
+        let doublings = self.lost_changes.min(MAX_BACKOFF_DOUBLINGS);
+        self.lost_changes = self.lost_changes.saturating_add(1);
+        let max_delay_us = self.settings.backoff_us << doublings;
+        let delay_us = jitter::upper_half_us(self.seed, u64::from(self.lost_changes), max_delay_us);
         self.not_before_us = now_us.saturating_add(delay_us);
     }
 }
--- a/crates/core/src/process/failover/claim.rs
+++ b/crates/core/src/process/failover/claim.rs
@@ -1,4 +1,4 @@
-//! Agreement on the driver through the platform's conditional update.
+//! Agreement on the driver of a change, by a conditional update of the lead record at the platform.
 
 use super::Action;
 use super::Cause;
@@ -13,7 +13,7 @@
 use crate::version::objects::LeadRecord;
 
 impl FailoverDriver {
-    /// Chooses the term of the change and asks the platform to name this driver.
+    /// Chooses the term of the change and claims the change at the platform.
     pub(super) fn start_claim(
         &mut self,
         now_us: u64,
@@ -21,11 +21,11 @@
         actions: &mut Vec<Action>,
     ) -> Phase {
         let term = self.highest_term().next();
-        self.driven = Some(term);
-        // An answer to an earlier call must not be taken for one about this claim.
+        self.driven_term = Some(term);
+        // An answer to an earlier call must not be taken for an answer to this claim.
         self.lead.open = None;
         self.send_claim(now_us, term, actions);
-        let deadline_us = now_us.saturating_add(self.settings.claim_us);
+        let deadline_us = now_us.saturating_add(self.settings.claim_timeout_us);
         Phase::Claiming { cause, term, deadline_us }
     }
 
@@ -41,8 +41,8 @@
             Self::trace(Step::Claimed, term, actions);
             return Some(self.after_claim(now_us, cause, term));
         }
-        if self.overtaken(term) || self.leader_beyond(term) {
-            return Some(self.lose(now_us, term, actions));
+        if self.overtaken(term) || self.leader_reached_term(term) {
+            return Some(self.lose_change(now_us, term, actions));
         }
         if now_us >= deadline_us {
             return Some(self.skip_claim(now_us, cause, term, actions));
@@ -54,8 +54,8 @@
         None
     }
 
-    /// Goes on without the platform. An operator's wish came through the platform and can wait for
-    /// it; a missing primary can't.
+    /// Continues without the platform. A move requested by an operator came through the platform
+    /// and can wait for it; the replacement of a failed primary can't.
     fn skip_claim(
         &mut self,
         now_us: u64,
@@ -64,10 +64,10 @@
         actions: &mut Vec<Action>,
     ) -> Phase {
         self.lead.open = None;
-        // The update may still take effect, so the version is not known any more.
+        // The update may still take effect, so the present version is unknown.
         self.lead.version = None;
         if cause == Cause::Wanted {
-            return self.give_up(now_us, term, actions);
+            return self.give_up_change(now_us, term, actions);
         }
         Self::trace(Step::ClaimSkipped, term, actions);
         Phase::Fencing { cause, term, since_us: now_us }
@@ -80,36 +80,37 @@
         }
     }
 
-    /// Whether the record names this driver for the term.
+    /// Returns whether the record names this driver for the term.
     fn claimed(&self, term: Term) -> bool {
         self.record().is_some_and(|record| record.driver == self.name && record.term == term)
     }
 
-    /// Whether the record names another driver for this term or a higher one, or for a term that
-    /// it has not opened yet.
+    /// Returns whether the record names another driver for this term or a higher one, or for a term
+    /// that it has not opened yet.
     pub(super) fn overtaken(&self, term: Term) -> bool {
         let Some(record) = self.record() else { return false };
         record.driver != self.name && record.term >= term
     }
 
-    pub(super) fn leader_beyond(&self, term: Term) -> bool {
-        self.led_term() >= term
+    pub(super) fn leader_reached_term(&self, term: Term) -> bool {
+        self.leader_term() >= term
     }
 
-    /// Sends the conditional update, or reads the record first where its version is not known.
+    /// Sends the conditional update, or reads the record first if its version is unknown.
     fn send_claim(&mut self, now_us: u64, term: Term, actions: &mut Vec<Action>) {
         if self.lead.version.is_none() {
             self.read_lead(now_us, actions);
             return;
         }
-        let (wanted, plan) = self.wish_and_plan();
+        let (wanted, plan) = self.wanted_and_plan();
         let driver = self.name.clone();
         let record = LeadRecord { term, driver, primary: String::new(), wanted, plan };
         self.update_lead(now_us, record, actions);
     }
 
-    /// What a driver keeps of the record as it read it: the operator's.
-    pub(super) fn wish_and_plan(&self) -> (String, String) {
+    /// Returns the fields of the record that belong to the operator and that a driver must
+    /// preserve.
+    pub(super) fn wanted_and_plan(&self) -> (String, String) {
         let record = self.record();
         record.map(|record| (record.wanted.clone(), record.plan.clone())).unwrap_or_default()
     }
@@ -137,9 +138,9 @@
         call
     }
 
-    /// Takes in an answer of the platform. One to a call that was given up is dropped; what it
-    /// changed is found when the version does not match.
-    pub(super) fn note_platform(
+    /// Handles an answer of the platform. An answer to a call that was given up is ignored; a
+    /// change that it made shows as a version conflict.
+    pub(super) fn handle_platform_answer(
         &mut self,
         now_us: u64,
         call: PlatformCall,
@@ -151,26 +152,26 @@
         }
         let Some(open) = self.lead.open.take() else { return };
         match (answer, open.kind) {
-            (PlatformAnswer::Took { version }, CallKind::Update(record)) => {
-                self.lead.note_seen(now_us, *version, Some(&record));
+            (PlatformAnswer::Updated { version }, CallKind::Update(record)) => {
+                self.lead.observe_version(now_us, *version, Some(&record));
             }
             (PlatformAnswer::Read { version, record }, CallKind::Read) => {
-                self.lead.note_seen(now_us, *version, record.as_ref());
+                self.lead.observe_version(now_us, *version, record.as_ref());
             }
-            // The update may have taken effect, so only reading tells. Trying again blindly could
-            // meet the driver's own record and take it for a rival's.
+            // The update may have taken effect, which only a read can show. If the update were
+            // repeated, the driver could take its own record for that of a rival.
             (PlatformAnswer::Conflict | PlatformAnswer::NoAnswer, CallKind::Update(_)) => {
                 self.lead.version = None;
                 if matches!(self.phase, Phase::Claiming { .. }) {
                     self.read_lead(now_us, actions);
                 }
             }
-            _ => self.stop_waiting(now_us),
+            _ => self.end_claim_wait(now_us),
         }
     }
 
-    /// A read without an answer: the platform is down, so the claim need not wait for its bound.
-    fn stop_waiting(&mut self, now_us: u64) {
+    /// Ends the wait for the claim early: the read failed, so the platform is down.
+    fn end_claim_wait(&mut self, now_us: u64) {
         if let Phase::Claiming { deadline_us, .. } = &mut self.phase {
             *deadline_us = now_us;
         }
--- a/crates/core/src/process/failover/fence.rs
+++ b/crates/core/src/process/failover/fence.rs
@@ -1,4 +1,4 @@
-//! Collecting the votes of a term, and promoting the highest log among them.
+//! Collects the votes of a term and promotes the voter with the highest log.
 
 use super::Action;
 use super::Cause;
@@ -16,15 +16,15 @@
 /// The term of a group's first primary.
 const FIRST_TERM: Term = Term(1);
 
-/// How candidates of a fence compare: the log first, for safety; the rest only among equal logs.
+/// The order of the candidates: the log first, for safety; the other fields only among equal logs.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Merit {
+struct CandidateRank {
     log: LogPosition,
     wanted: bool,
-    stays: bool,
+    not_leaving: bool,
     same_region: bool,
     leads_already: bool,
-    earlier: usize,
+    list_order: usize,
 }
 
 impl FailoverDriver {
@@ -36,8 +36,8 @@
         since_us: u64,
         actions: &mut Vec<Action>,
     ) -> Option<Phase> {
-        if self.leader_beyond(term) {
-            return Some(self.lose(now_us, term, actions));
+        if self.leader_reached_term(term) {
+            return Some(self.lose_change(now_us, term, actions));
         }
         let voters = self.voters(term);
         if self.members().is_quorum(voters)
@@ -50,23 +50,23 @@
             });
         }
         if self.refused(term) || self.overtaken(term) {
-            return Some(self.lose(now_us, term, actions));
+            return Some(self.lose_change(now_us, term, actions));
         }
-        if now_us >= since_us.saturating_add(self.settings.driver_us) {
-            return Some(self.give_up(now_us, term, actions));
+        if now_us >= since_us.saturating_add(self.settings.driver_timeout_us) {
+            return Some(self.give_up_change(now_us, term, actions));
         }
         for member in 0..self.members().count() {
             if !voters.contains(member) {
-                let every_us = self.settings.resend_us;
+                let every_us = self.settings.resend_interval_us;
                 self.call_member(now_us, member, MemberCall::Raise { term }, every_us, actions);
             }
         }
-        self.wake_at(since_us.saturating_add(self.settings.driver_us));
+        self.wake_at(since_us.saturating_add(self.settings.driver_timeout_us));
         None
     }
 
-    /// The members that gave this driver their vote of the term. Their logs stand still until it
-    /// promotes one.
+    /// Returns the members that voted for this driver in the term. Their logs do not change until
+    /// it promotes one of them.
     fn voters(&self, term: Term) -> MemberMask {
         let voted =
             |status: &MemberStatus| status.raised_term == term && status.raised_by == self.name;
@@ -75,8 +75,8 @@
             .collect()
     }
 
-    /// Whether the term can't be won any more: too many members gave their vote to another driver
-    /// or promised themselves to a higher term.
+    /// Returns whether the term can't be won: too many members voted for another driver or promised
+    /// themselves to a higher term.
     fn refused(&self, term: Term) -> bool {
         let refuses = |status: &MemberStatus| {
             status.raised_term > term || status.raised_term == term && status.raised_by != self.name
@@ -87,9 +87,9 @@
         !self.members().is_quorum(open)
     }
 
-    /// Waits a moment longer for the vote of the member that is to lead: the wanted one, or the
-    /// present primary where it works and only a stray member has to be won back, or the one that
-    /// brought the data into a new group, which no acknowledgement protects yet.
+    /// Returns whether to wait for the vote of the preferred member: the wanted one; or the present
+    /// primary if it works and only a detached member must be won back; or the member that holds
+    /// the data of a new group, which no acknowledgement protects yet.
     fn awaits_preferred(
         &mut self,
         now_us: u64,
@@ -98,12 +98,12 @@
         voters: MemberMask,
         since_us: u64,
     ) -> bool {
-        let until_us = since_us.saturating_add(self.settings.resend_us);
+        let until_us = since_us.saturating_add(self.settings.resend_interval_us);
         let preferred = match cause {
             Cause::Wanted => self.wanted_member(),
-            Cause::RaisedBeyond => self.announced.map(|leader| leader.member),
-            Cause::Unled if term == FIRST_TERM => self.longest_log(),
-            Cause::Suspected | Cause::Unled => None,
+            Cause::HigherTerm => self.announced.map(|leader| leader.member),
+            Cause::NoLeader if term == FIRST_TERM => self.longest_log(),
+            Cause::Suspected | Cause::NoLeader => None,
         };
         let missing = preferred.is_some_and(|member| !voters.contains(member));
         let waits = missing && now_us < until_us;
@@ -117,29 +117,29 @@
         (0..self.members().count()).max_by_key(|&member| self.status(member).map(|it| it.log))
     }
 
-    /// The member to promote: the highest log of the fence.
+    /// Returns the member to promote: the voter with the highest log.
     fn choose(&self, term: Term, voters: MemberMask) -> Option<usize> {
         (0..self.members().count())
             .filter(|&member| voters.contains(member))
             .filter(|&member| self.status(member).is_some_and(|s| s.raised_term == term))
-            .max_by_key(|&member| self.merit(member))
+            .max_by_key(|&member| self.candidate_rank(member))
     }
 
-    fn merit(&self, member: usize) -> Option<Merit> {
+    fn candidate_rank(&self, member: usize) -> Option<CandidateRank> {
         let status = self.status(member)?;
         let profile = self.profiles[member];
-        Some(Merit {
+        Some(CandidateRank {
             log: status.log,
             wanted: self.wanted_member() == Some(member),
-            stays: !profile.drained && !status.leaving,
+            not_leaving: !profile.drained && !status.leaving,
             same_region: profile.same_region,
             leads_already: self.announced.is_some_and(|leader| leader.member == member),
-            earlier: usize::MAX - member,
+            list_order: usize::MAX - member,
         })
     }
 
-    /// Promotes the chosen member. Whatever happens, no other member is promoted in this term: the
-    /// call may have taken effect although its answer was lost.
+    /// Promotes the chosen member. No other member is ever promoted in this term: the call may have
+    /// taken effect although its answer was lost.
     pub(super) fn advance_promotion(
         &mut self,
         now_us: u64,
@@ -150,20 +150,20 @@
     ) -> Option<Phase> {
         if self.leader == Some(Leader { term, member }) {
             Self::trace(Step::Promoted, term, actions);
-            self.losses = 0;
+            self.lost_changes = 0;
             return Some(Phase::Idle);
         }
         let raised = self
             .status(member)
             .is_some_and(|status| status.raised_term > term || status.role == Role::Replica);
-        if raised || self.leader_beyond(term) {
-            return Some(self.lose(now_us, term, actions));
+        if raised || self.leader_reached_term(term) {
+            return Some(self.lose_change(now_us, term, actions));
         }
-        let until_us = since_us.saturating_add(self.settings.driver_us);
+        let until_us = since_us.saturating_add(self.settings.driver_timeout_us);
         if now_us >= until_us {
-            return Some(self.give_up(now_us, term, actions));
+            return Some(self.give_up_change(now_us, term, actions));
         }
-        let every_us = self.settings.resend_us;
+        let every_us = self.settings.resend_interval_us;
         self.call_member(now_us, member, MemberCall::Promote { term }, every_us, actions);
         self.wake_at(until_us);
         None
--- a/crates/core/src/process/failover/planned_move.rs
+++ b/crates/core/src/process/failover/planned_move.rs
@@ -1,4 +1,4 @@
-//! Moving the primary to the member that an operator wants.
+//! Moves the primary to the member that an operator requested.
 
 use super::Action;
 use super::Cause;
@@ -9,28 +9,30 @@
 use crate::log_position::Term;
 
 impl FailoverDriver {
-    /// The member that the lead record asks for, unless the wish was given up.
-    pub(super) fn wish(&self) -> Option<usize> {
+    /// Returns the member that the lead record requests as primary, unless the request was
+    /// abandoned.
+    pub(super) fn requested_member(&self) -> Option<usize> {
         if self.abandoned() {
             return None;
         }
-        self.members().place(&self.record()?.wanted)
+        self.members().index_of(&self.record()?.wanted)
     }
 
-    /// Whether the wish in the present version of the record was given up.
+    /// Returns whether the request in the present version of the record was abandoned.
     pub(super) fn abandoned(&self) -> bool {
         self.abandoned_version == Some(self.lead.seen_version())
     }
 
-    /// The member that is wished for and does not lead yet.
+    /// Returns the requested member if it does not lead yet.
     pub(super) fn wanted_member(&self) -> Option<usize> {
-        let wanted = self.wish()?;
+        let wanted = self.requested_member()?;
         let leads = self.leader.is_some_and(|leader| leader.member == wanted);
         (!leads).then_some(wanted)
     }
 
-    /// Whether the wanted member lacks so little that holding writes back will be short.
-    pub(super) fn comes_near(&self, wanted: usize) -> bool {
+    /// Returns whether the wanted member is so close behind the primary that writes need to be held
+    /// back only briefly.
+    pub(super) fn is_close_to_primary(&self, wanted: usize) -> bool {
         let Some(leader) = self.leader else { return false };
         let (Some(target), Some(primary)) = (self.status(wanted), self.status(leader.member))
         else {
@@ -51,30 +53,30 @@
         actions: &mut Vec<Action>,
     ) -> Option<Phase> {
         let Some(leader) = self.leader.filter(|leader| leader.term < term) else {
-            return Some(self.lose(now_us, term, actions));
+            return Some(self.lose_change(now_us, term, actions));
         };
         if self.overtaken(term) {
-            return Some(self.lose(now_us, term, actions));
+            return Some(self.lose_change(now_us, term, actions));
         }
         if self.suspected == Some(leader.term) {
             return Some(Phase::Fencing { cause: Cause::Suspected, term, since_us: now_us });
         }
         let settled_us = since_us.saturating_add(self.settings.hold_settle_us);
-        if self.level_since(settled_us, leader.member, wanted) {
+        if self.logs_equal_since(settled_us, leader.member, wanted) {
             return Some(Phase::Fencing { cause: Cause::Wanted, term, since_us: now_us });
         }
-        let until_us = since_us.saturating_add(self.settings.hold_us);
+        let until_us = since_us.saturating_add(self.settings.max_hold_us);
         if now_us >= until_us {
             self.abandon_move();
-            return Some(self.give_up(now_us, term, actions));
+            return Some(self.give_up_change(now_us, term, actions));
         }
         self.poll_move(now_us, settled_us, leader.member, wanted, actions);
         self.wake_at(until_us);
         None
     }
 
-    /// Whether reports of both members from after the settling time show equal logs.
-    fn level_since(&self, settled_us: u64, primary: usize, wanted: usize) -> bool {
+    /// Returns whether reports of both members from after the settling time show equal logs.
+    fn logs_equal_since(&self, settled_us: u64, primary: usize, wanted: usize) -> bool {
         let (Some((primary_us, of_primary)), Some((wanted_us, of_wanted))) =
             (self.reports.latest(primary), self.reports.latest(wanted))
         else {
@@ -95,27 +97,27 @@
             self.wake_at(settled_us);
             return;
         }
-        let every_us = self.settings.hold_poll_us;
+        let every_us = self.settings.hold_poll_interval_us;
         for member in [primary, wanted] {
             self.call_member(now_us, member, MemberCall::ReadStatus, every_us, actions);
         }
     }
 
-    /// Forgets the wish: the record is corrected by the upkeep.
+    /// Abandons the request. The maintenance removes it from the record.
     pub(super) fn abandon_move(&mut self) {
         self.abandoned_version = Some(self.lead.seen_version());
     }
 
-    /// Gives up a wish whose member has not come near in time.
-    pub(super) fn watch_wish(&mut self, now_us: u64, actions: &mut Vec<Action>) {
-        let begun = !matches!(self.phase, Phase::Idle | Phase::Canvassing { .. });
+    /// Abandons a request whose member has not come close to the primary in time.
+    pub(super) fn enforce_move_deadline(&mut self, now_us: u64, actions: &mut Vec<Action>) {
+        let begun = !matches!(self.phase, Phase::Idle | Phase::CheckingQuorum { .. });
         if begun || self.wanted_member().is_none() {
             return;
         }
         let until_us = self
             .lead
             .seen_us()
-            .saturating_add(self.settings.move_us)
+            .saturating_add(self.settings.move_timeout_us)
             .saturating_add(self.stagger_us());
         if now_us < until_us {
             self.wake_at(until_us);
--- a/crates/core/tests/failover/group.rs
+++ b/crates/core/tests/failover/group.rs
@@ -1,5 +1,5 @@
-//! A small fake group: members, processes with failover drivers, and a platform in virtual time. Its
-//! network's messages are delivered, lost or repeated one by one.
+//! A simulated group in virtual time: members, processes with failover drivers, and a platform.
+//! Network messages are delivered, lost or repeated one by one.
 
 use skylark_core::log_position::LogPosition;
 use skylark_core::log_position::Term;
@@ -11,14 +11,14 @@
 use skylark_core::version::objects::LeadRecord;
 
 use crate::member::FakeMember;
+use crate::network::Message;
 use crate::network::Payload;
-use crate::network::Wire;
 
-/// How many processes there are; process `i` and member `i` are in zone `i`.
+/// The number of processes. Process `i` and member `i` are in zone `i`.
 pub const PROCESSES: usize = 3;
-/// The virtual step of a settling group.
+/// The virtual time of one step of [`Group::run`], in microseconds.
 const STEP_US: u64 = 1_000;
-/// How often a settling group's processes probe all members.
+/// The number of steps between two probes of all members in [`Group::run`].
 const PROBE_STEPS: u64 = 50;
 
 pub struct Process {
@@ -30,7 +30,7 @@
     pub pending: Vec<LogPosition>,
 }
 
-pub struct Reign {
+pub struct Leadership {
     term: Term,
     member: usize,
     log: Vec<Term>,
@@ -44,14 +44,14 @@
     pub record_version: u64,
     pub record: Option<LeadRecord>,
     pub cut: Vec<bool>,
-    /// How many members the first version of the group has.
+    /// The number of members in the first version of the group.
     first_count: usize,
     /// Whether the version with all members was accepted.
     grown: bool,
-    pub wires: Vec<Wire>,
+    pub messages: Vec<Message>,
     pub acked: Vec<LogPosition>,
-    pub reigns: Vec<Reign>,
-    /// What went wrong; empty in a correct run.
+    pub leaderships: Vec<Leadership>,
+    /// The broken properties found; empty in a correct run.
     pub faults: Vec<String>,
     runs: u64,
 }
@@ -68,16 +68,16 @@
             cut: vec![false; count.max(PROCESSES)],
             first_count,
             grown: false,
-            wires: Vec::new(),
+            messages: Vec::new(),
             acked: Vec::new(),
-            reigns: Vec::new(),
+            leaderships: Vec::new(),
             faults: Vec::new(),
             runs: 0,
         };
         for process in 0..PROCESSES {
             let fresh = group.start(process);
             group.processes.push(fresh);
-            group.tell(process, Event::LeadSeen { version: 0, record: None });
+            group.pass_event(process, Event::LeadSeen { version: 0, record: None });
         }
         group
     }
@@ -107,40 +107,40 @@
         }
     }
 
-    /// Whether two zones reach each other.
+    /// Returns whether two zones reach each other.
     pub fn linked(&self, a: usize, b: usize) -> bool {
         a == b || !self.cut[a] && !self.cut[b]
     }
 
-    /// A process dies; another takes its place and knows nothing.
+    /// Replaces a process by a new one without any state.
     pub fn restart(&mut self, process: usize) {
         self.processes[process] = self.start(process);
         let seen = Event::LeadSeen { version: self.record_version, record: self.record.clone() };
         if self.platform_up && !self.cut[process] {
-            self.tell(process, seen);
+            self.pass_event(process, seen);
         }
     }
 
     pub fn resume(&mut self, process: usize) {
         self.processes[process].paused = false;
         for event in std::mem::take(&mut self.processes[process].inbox) {
-            self.tell(process, event);
+            self.pass_event(process, event);
         }
     }
 
-    /// A process learns of the version with all members.
+    /// Tells a process of the version with all members.
     pub fn grow(&mut self, process: usize) {
         self.grown = true;
         let known = self.processes[process].driver.members();
         if known.count() < self.members.len() {
             let grown = names(self.members.len());
             let members = known.successor(2, grown).expect("one member more");
-            self.tell(process, Event::Members { members, profiles: Vec::new() });
+            self.pass_event(process, Event::Members { members, profiles: Vec::new() });
         }
     }
 
-    /// Gives an event to a process at once.
-    pub fn tell(&mut self, process: usize, event: Event) {
+    /// Passes an event to a process immediately.
+    pub fn pass_event(&mut self, process: usize, event: Event) {
         let target = &mut self.processes[process];
         if target.paused {
             target.inbox.push(event);
@@ -179,27 +179,31 @@
         let pending = std::mem::take(&mut self.processes[process].pending);
         for position in pending {
             if position.term == confirmed.term && position <= confirmed {
-                self.note_acked(position);
+                self.record_acknowledged(position);
             } else if position.term >= confirmed.term {
                 self.processes[process].pending.push(position);
             }
         }
     }
 
-    fn note_acked(&mut self, position: LogPosition) {
+    fn record_acknowledged(&mut self, position: LogPosition) {
         self.acked.push(position);
-        let lost = self.reigns.iter().filter(|reign| reign.term > position.term);
-        for reign in lost.filter(|reign| !holds(&reign.log, position)) {
+        let lost = self.leaderships.iter().filter(|leadership| leadership.term > position.term);
+        for leadership in lost.filter(|leadership| !holds(&leadership.log, position)) {
             self.faults.push(format!(
                 "{position} was acknowledged after target{} began term {} without it",
-                reign.member, reign.term
+                leadership.member, leadership.term
             ));
         }
     }
 
-    pub fn note_reign(&mut self, member: usize) {
+    pub fn record_leadership(&mut self, member: usize) {
         let term = self.members[member].raised_term;
-        if self.reigns.iter().any(|reign| reign.term == term && reign.member != member) {
+        if self
+            .leaderships
+            .iter()
+            .any(|leadership| leadership.term == term && leadership.member != member)
+        {
             self.faults.push(format!("two members led term {term}"));
         }
         let log = self.members[member].log.clone();
@@ -212,10 +216,10 @@
         for position in lost {
             self.faults.push(format!("target{member} began term {term} without {position}"));
         }
-        self.reigns.push(Reign { term, member, log });
+        self.leaderships.push(Leadership { term, member, log });
     }
 
-    /// A caller writes through a process, at the primary that the process last announced.
+    /// Writes through a process, at the primary that the process last announced.
     pub fn write(&mut self, process: usize) -> Option<LogPosition> {
         let leader = self.processes[process].driver.announced()?;
         let writes = self.linked(process, leader.member) && !self.processes[process].paused;
@@ -225,7 +229,7 @@
         Some(position)
     }
 
-    /// A replica takes up to two records from the primary that it follows.
+    /// Copies up to two records to a replica from the primary that it follows.
     pub fn replicate(&mut self, member: usize) {
         let Some((term, primary)) = self.members[member].follows else { return };
         if !self.linked(member, primary) || self.members[primary].down {
@@ -252,12 +256,12 @@
             let due = self.processes[process].timer_us.is_some_and(|at_us| at_us <= self.now_us);
             if due && !self.processes[process].paused {
                 self.processes[process].timer_us = None;
-                self.tell(process, Event::Timer);
+                self.pass_event(process, Event::Timer);
             }
         }
     }
 
-    /// Changes the lead record; every process watches it.
+    /// Changes the lead record, which every process watches.
     pub fn set_record(&mut self, record: LeadRecord) {
         self.record_version += 1;
         self.record = Some(record);
@@ -268,15 +272,15 @@
         }
     }
 
-    /// An operator asks for a primary.
-    pub fn want(&mut self, member: usize) {
+    /// Requests a primary as an operator would.
+    pub fn request_primary(&mut self, member: usize) {
         if let Some(record) = self.record.clone() {
             self.set_record(LeadRecord { wanted: format!("target{member}"), ..record });
         }
     }
 
-    /// Runs without new faults, with messages of one or two milliseconds, for `steps` milliseconds.
-    /// A process suspects a primary that is down.
+    /// Runs for `steps` milliseconds without new faults; messages take one or two milliseconds. A
+    /// process suspects a primary that is down or unreachable.
     pub fn run(&mut self, steps: u64) {
         for step in 0..steps {
             self.advance(STEP_US);
@@ -284,12 +288,12 @@
                 self.probe();
             }
             let due_us = self.now_us.saturating_sub(STEP_US);
-            let wires = std::mem::take(&mut self.wires);
-            let (due, later): (Vec<Wire>, Vec<Wire>) =
-                wires.into_iter().partition(|wire| wire.sent_us <= due_us);
-            self.wires = later;
-            for wire in due {
-                self.arrive(wire);
+            let messages = std::mem::take(&mut self.messages);
+            let (due, later): (Vec<Message>, Vec<Message>) =
+                messages.into_iter().partition(|message| message.sent_us <= due_us);
+            self.messages = later;
+            for message in due {
+                self.arrive(message);
             }
             for member in 0..self.members.len() {
                 self.replicate(member);
@@ -310,13 +314,13 @@
             }) else {
                 continue;
             };
-            self.tell(process, Event::Suspected { term: leader.term });
+            self.pass_event(process, Event::Suspected { term: leader.term });
         }
     }
 
-    /// Whether every process in these zones announced one primary, holds nothing back, and gets a
-    /// write acknowledged.
-    pub fn works_in(&mut self, zones: &[usize]) -> Result<(), String> {
+    /// Checks that every process in these zones has announced the same primary, holds back no
+    /// writes, and gets a write acknowledged.
+    pub fn check_writes_in(&mut self, zones: &[usize]) -> Result<(), String> {
         let first = self.processes[zones[0]].driver.announced();
         for &process in zones {
             let driver = &self.processes[process].driver;
@@ -346,5 +350,5 @@
     position
         .index
         .checked_sub(1)
-        .is_some_and(|place| log.get(place as usize) == Some(&position.term))
+        .is_some_and(|offset| log.get(offset as usize) == Some(&position.term))
 }
--- a/crates/core/tests/floors_sessions.rs
+++ b/crates/core/tests/floors_sessions.rs
@@ -1,5 +1,6 @@
-//! Floors of sessions without a token: random interleavings of writes through proxies that some
-//! holders know and others do not, lost reports, restarting holders and changes of primary.
+//! Tests of the floors of sessions without a token: random interleavings of writes through proxies,
+//! some of them unknown to the holders, with lost reports, restarts of holders and changes of
+//! primary.
 
 #[path = "failover/member.rs"]
 mod member;
@@ -28,13 +29,13 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Op {
-    /// A write through a holder, or through a proxy that no holder knows of.
+    /// A write through a holder, or through a proxy that no holder knows.
     Write {
         session: usize,
         proxy: usize,
     },
     Replicate(usize),
-    /// Two members are raised and the one with the higher log is promoted.
+    /// Raises two members and promotes the one with the higher log.
     Replace(usize),
     Follow(usize),
     LookUp {
@@ -42,12 +43,12 @@
         session: usize,
     },
     /// A lookup whose barrier reads all members without a delay.
-    Ask {
+    LookUpNow {
         holder: usize,
         session: usize,
     },
     Begin(usize),
-    /// Reads a member's status for a holder; it arrives at the next `Arrive` that picks it.
+    /// Reads a member's status for a holder. It is delivered by the next `Arrive` that picks it.
     Read {
         holder: usize,
         member: usize,
@@ -67,7 +68,7 @@
             36..38 => Op::Replace(a),
             38..42 => Op::Follow(a),
             42..48 => Op::LookUp { holder: a, session: b },
-            48..54 => Op::Ask { holder: a, session: b },
+            48..54 => Op::LookUpNow { holder: a, session: b },
             54..60 => Op::Begin(a),
             60..78 => Op::Read { holder: a, member: b },
             78..95 => Op::Arrive(a),
@@ -83,8 +84,8 @@
     Writes { holder: usize, session: String, position: LogPosition },
 }
 
-/// A lookup under way, with the last acknowledged write of its session when it arrived.
-struct Asked {
+/// A lookup in progress, with the last write of its session that was acknowledged when it arrived.
+struct PendingLookup {
     holder: usize,
     id: LookupId,
     last_write: Option<LogPosition>,
@@ -99,7 +100,7 @@
     messages: Vec<Message>,
     unacknowledged: Vec<(usize, LogPosition)>,
     last_write: [Option<LogPosition>; SESSIONS],
-    asked: Vec<Asked>,
+    pending: Vec<PendingLookup>,
     next_lookup: u64,
     answered: usize,
     last_floor: LogPosition,
@@ -126,7 +127,7 @@
             messages: Vec::new(),
             unacknowledged: Vec::new(),
             last_write: [None; SESSIONS],
-            asked: Vec::new(),
+            pending: Vec::new(),
             next_lookup: 0,
             answered: 0,
             last_floor: LogPosition::default(),
@@ -144,7 +145,9 @@
             Op::Replace(first) => self.replace(first % MEMBERS),
             Op::Follow(member) => self.follow(member % MEMBERS),
             Op::LookUp { holder, session } => self.look_up(holder % HOLDERS, session % SESSIONS),
-            Op::Ask { holder, session } => self.ask(holder % HOLDERS, session % SESSIONS),
+            Op::LookUpNow { holder, session } => {
+                self.look_up_now(holder % HOLDERS, session % SESSIONS)
+            }
             Op::Begin(holder) => self.begin(holder % HOLDERS),
             Op::Read { holder, member } => self.read(holder % HOLDERS, member % MEMBERS),
             Op::Arrive(pick) => self.arrive(pick),
@@ -158,10 +161,10 @@
                     self.holders[holder % HOLDERS].abandon_barrier(barrier);
                 }
             }
-            Op::Restart(place) => {
-                self.holders[place % HOLDERS] = holder(self.settings);
-                self.barriers[place % HOLDERS] = None;
-                self.asked.retain(|asked| asked.holder != place % HOLDERS);
+            Op::Restart(pick) => {
+                self.holders[pick % HOLDERS] = holder(self.settings);
+                self.barriers[pick % HOLDERS] = None;
+                self.pending.retain(|pending| pending.holder != pick % HOLDERS);
             }
         }
         self.acknowledge();
@@ -225,7 +228,7 @@
         self.next_lookup += 1;
         let id = LookupId(self.next_lookup);
         self.holders[holder].look_up(id, &name(session));
-        self.asked.push(Asked { holder, id, last_write: self.last_write[session] });
+        self.pending.push(PendingLookup { holder, id, last_write: self.last_write[session] });
     }
 
     fn begin(&mut self, holder: usize) {
@@ -233,7 +236,7 @@
         self.barriers[holder] = begun.or(self.barriers[holder]);
     }
 
-    fn ask(&mut self, holder: usize, session: usize) {
+    fn look_up_now(&mut self, holder: usize, session: usize) {
         if let Some(barrier) = self.barriers[holder] {
             self.holders[holder].abandon_barrier(barrier);
         }
@@ -271,14 +274,16 @@
         }
     }
 
-    /// A read goes to any member that covers the floor: it must find the session's last write there.
+    /// Checks that every member that covers the floor holds the session's last write, since the
+    /// next read may go to any of them.
     fn check(&mut self, holder: usize, answer: FloorAnswer) {
-        let found = |asked: &Asked| asked.holder == holder && asked.id == answer.lookup;
-        let Some(place) = self.asked.iter().position(found) else { return };
-        let asked = self.asked.swap_remove(place);
+        let found =
+            |pending: &PendingLookup| pending.holder == holder && pending.id == answer.lookup;
+        let Some(position) = self.pending.iter().position(found) else { return };
+        let pending = self.pending.swap_remove(position);
         self.answered += 1;
         self.last_floor = answer.floor;
-        let Some(write) = asked.last_write else { return };
+        let Some(write) = pending.last_write else { return };
         for (member, state) in self.members.iter().enumerate() {
             let index = write.index as usize - 1;
             if state.end().covers(answer.floor) && state.log.get(index) != Some(&write.term) {
@@ -299,9 +304,9 @@
     TestResult::passed()
 }
 
-/// A caller's write is acknowledged through any proxy; its next read asks a holder that may have
-/// restarted, may not know that proxy, or may live in an older term. Whatever floor the answer is,
-/// no member that covers it lacks the write.
+/// A write is acknowledged through any proxy, and the next read asks a holder that may have
+/// restarted, may not know that proxy, or may be in an older term. No member that covers the
+/// answered floor may lack the write.
 #[test]
 fn sessions_read_their_writes_whatever_a_holder_knows() {
     fn roomy(ops: Vec<Op>) -> TestResult {
@@ -315,8 +320,8 @@
     }
 }
 
-/// The same with room for two sessions and two ranges: what is dropped makes answers higher, never
-/// wrong.
+/// The same with room for two sessions and two ranges: dropped records may raise answers, but never
+/// make them wrong.
 #[test]
 fn full_tables_stay_safe() {
     fn tight(ops: Vec<Op>) -> TestResult {
@@ -328,8 +333,8 @@
         .quickcheck(tight as fn(Vec<Op>) -> TestResult);
 }
 
-/// A status read before the lookup arrived says nothing of a write between the two: it must not
-/// complete the lookup's barrier, even if its answer comes late.
+/// A status read before the lookup arrived does not reflect a write between the two. It must not
+/// complete the lookup's barrier, even if its answer arrives late.
 #[test]
 fn reads_sent_before_the_barrier_do_not_count() {
     let mut world = World::new(SessionFloorsSettings::default());
@@ -345,9 +350,9 @@
     assert_eq!(world.answered, 0);
 }
 
-/// The old primary is isolated with a holder and still believes that it leads. A write is
-/// acknowledged in the new term. The old primary's answer with that of a member of the new term
-/// is no quorum of one term, and the lookup waits for the new primary.
+/// The old primary is isolated together with a holder and still believes that it leads. A write is
+/// acknowledged in the new term. The statuses of the old primary and a member of the new term are
+/// no quorum of one term, so the lookup waits for the new primary.
 #[test]
 fn old_primary_completes_no_barrier() {
     let mut world = World::new(SessionFloorsSettings::default());
@@ -367,28 +372,28 @@
     assert_eq!((world.answered, world.fault), (1, None));
 }
 
-/// A holder that has followed the group for a while and knows all writes answers a session that
-/// wrote long ago with nothing to wait for, and one that wrote now with its own write only.
+/// A holder that knows all writes answers a session without recent writes with the lowest position,
+/// and a session that has just written with the position of its own write.
 #[test]
 fn known_writes_leave_other_sessions_free() {
     let mut world = World::new(SessionFloorsSettings::default());
-    let ask = |world: &mut World, session: usize| {
-        world.ask(0, session);
+    let look_up_now = |world: &mut World, session: usize| {
+        world.look_up_now(0, session);
         world.last_floor
     };
-    assert_eq!(ask(&mut world, 0), LogPosition::new(1, 1));
+    assert_eq!(look_up_now(&mut world, 0), LogPosition::new(1, 1));
     (0..MEMBERS).for_each(|member| world.replicate(member));
-    assert_eq!(ask(&mut world, 0), LogPosition::new(1, 1));
-    assert_eq!(ask(&mut world, 0), LogPosition::default());
+    assert_eq!(look_up_now(&mut world, 0), LogPosition::new(1, 1));
+    assert_eq!(look_up_now(&mut world, 0), LogPosition::default());
     world.write(1, 0);
     world.write(2, 1);
-    // The write through the co-home is not known yet.
-    assert_eq!(ask(&mut world, 0), LogPosition::new(1, 3));
+    // The report of the write through the other home has not arrived yet.
+    assert_eq!(look_up_now(&mut world, 0), LogPosition::new(1, 3));
     world.arrive(1);
-    assert_eq!(ask(&mut world, 0), LogPosition::default());
-    assert_eq!(ask(&mut world, 1), LogPosition::new(1, 2));
-    assert_eq!(ask(&mut world, 2), LogPosition::new(1, 3));
+    assert_eq!(look_up_now(&mut world, 0), LogPosition::default());
+    assert_eq!(look_up_now(&mut world, 1), LogPosition::new(1, 2));
+    assert_eq!(look_up_now(&mut world, 2), LogPosition::new(1, 3));
     (0..MEMBERS).for_each(|member| world.replicate(member));
-    ask(&mut world, 0);
-    assert_eq!(ask(&mut world, 2), LogPosition::default());
+    look_up_now(&mut world, 0);
+    assert_eq!(look_up_now(&mut world, 2), LogPosition::default());
 }
--- a/crates/core/tests/isolation.rs
+++ b/crates/core/tests/isolation.rs
@@ -1,13 +1,13 @@
-//! When a process counts as cut off from other availability zones.
+//! Tests of the detection of isolation from the other availability zones.
 
 use std::sync::Arc;
 
 use skylark_core::process::isolation;
 use skylark_core::process::isolation::CUT_OFF_US;
-use skylark_core::process::isolation::FAILING_US;
+use skylark_core::process::isolation::MIN_FAILURE_US;
 use skylark_core::process::isolation::OtherZoneTarget;
 use skylark_core::process::isolation::SUSPECT_US;
-use skylark_core::process::isolation::ZoneReach;
+use skylark_core::process::isolation::ZoneReachability;
 
 const NOW_US: u64 = 10_000_000;
 
@@ -19,7 +19,7 @@
     OtherZoneTarget { answered_us: NOW_US - 1_000, failed_since_us: None }
 }
 
-fn unasked() -> OtherZoneTarget {
+fn unused() -> OtherZoneTarget {
     OtherZoneTarget { answered_us: 0, failed_since_us: None }
 }
 
@@ -35,22 +35,23 @@
 }
 
 verdicts! {
-    nobody_outside_is_no_isolation: [], "zone" => false;
-    all_fail: [fails(FAILING_US), fails(FAILING_US)], "zone" => true;
-    not_yet_for_long: [fails(FAILING_US - 1), fails(FAILING_US)], "zone" => false;
-    one_alone_says_nothing: [fails(FAILING_US), unasked()], "zone" => false;
-    one_answers: [fails(FAILING_US), fails(FAILING_US), answers()], "zone" => false;
-    unasked_ones_don_t_count: [fails(FAILING_US), fails(FAILING_US), unasked()], "zone" => true;
-    /// It serves nobody and so knows nothing by itself.
-    its_zone_is_cut_off: [unasked(), unasked()], "cut zone" => true;
-    /// Those that watch for its zone may be cut off by themselves.
-    it_reaches_others_itself: [answers(), fails(FAILING_US)], "cut zone" => false;
+    no_other_zone_is_no_isolation: [], "zone" => false;
+    all_fail: [fails(MIN_FAILURE_US), fails(MIN_FAILURE_US)], "zone" => true;
+    not_yet_for_long: [fails(MIN_FAILURE_US - 1), fails(MIN_FAILURE_US)], "zone" => false;
+    one_failing_target_is_not_enough: [fails(MIN_FAILURE_US), unused()], "zone" => false;
+    one_answers: [fails(MIN_FAILURE_US), fails(MIN_FAILURE_US), answers()], "zone" => false;
+    unused_targets_do_not_count: [fails(MIN_FAILURE_US), fails(MIN_FAILURE_US), unused()], "zone" => true;
+    /// The process serves no callers, so it has no results of its own.
+    its_zone_is_cut_off: [unused(), unused()], "cut zone" => true;
+    /// The watchers of its zone may be isolated while the process itself is not.
+    process_reaches_other_zones_itself: [answers(), fails(MIN_FAILURE_US)], "cut zone" => false;
 }
 
-/// What a watcher sees of two other zones, asked at these times before now; none if they answer.
-fn reach(silent_us: [Option<u64>; 2]) -> ZoneReach {
+/// Returns the state of a watcher for two other zones that were probed this long ago without an
+/// answer; `None` if the zone answers.
+fn reach(silent_us: [Option<u64>; 2]) -> ZoneReachability {
     let zones: [Arc<str>; 2] = ["a".into(), "b".into()];
-    let mut reach = ZoneReach::default();
+    let mut reach = ZoneReachability::default();
     reach.set_zones(&zones);
     for (zone, silent_us) in zones.iter().zip(silent_us) {
         reach.asked(zone, NOW_US - silent_us.unwrap_or_default());
@@ -82,7 +83,7 @@
 
 #[test]
 fn without_other_zones_nobody_is_cut_off() {
-    assert!(!ZoneReach::default().is_cut_off(NOW_US));
+    assert!(!ZoneReachability::default().is_cut_off(NOW_US));
 }
 
 #[test]
@@ -92,9 +93,9 @@
     assert!(reach.is_cut_off(NOW_US));
 }
 
-/// The silence counts from the first question without an answer.
+/// The silence is measured from the first unanswered probe.
 #[test]
-fn asking_again_does_not_begin_anew() {
+fn repeated_probe_keeps_the_start_of_the_silence() {
     let mut reach = reach([Some(CUT_OFF_US), Some(CUT_OFF_US)]);
     reach.asked("a", NOW_US);
     assert!(reach.is_cut_off(NOW_US));
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Evidence of our own beside the platform's lagging list.
+//! Tests of the local evidence that complements the platform's lagging list.
 
 use skylark_core::process::membership::Evidence;
 use skylark_core::process::membership::Membership;
@@ -27,13 +27,13 @@
     topology(&[("a", VmState::Live), ("b", VmState::Live), ("c", VmState::Leaving)])
 }
 
-/// The standing of a VM after a series of evidence a second apart, a moment after the last one.
+/// Returns the standing of a VM shortly after the last of a series of observations, one per second.
 fn standing_after(vm: &str, seen: &[Evidence]) -> Standing {
     let mut membership = Membership::new(MembershipPolicy::default());
     let mut now_us = SECOND_US;
     for evidence in seen {
         now_us += SECOND_US;
-        membership.vm_seen(vm, *evidence, now_us);
+        membership.record_vm_evidence(vm, *evidence, now_us);
     }
     assert_eq!(membership.verify(), Vec::<String>::new());
     membership.vm_standing_by_name(&listed(), vm, now_us + 1)
@@ -64,14 +64,17 @@
     leaving_then_healthy: "a", [Leaving, Healthy] => Usable;
 }
 
-// A caller's request is forwarded to a VM that stops a moment later. The VM answered "leaving", and
-// the platform's list goes on calling it live for half a minute. One such answer must be enough, and
-// must count for longer than the list lags.
+// A VM answers "leaving" and stops a moment later, while the platform's list names it as live for
+// another half a minute. A request forwarded to it would fail. One such answer must exclude the VM,
+// for longer than the list lags.
 #[test]
 fn a_vm_that_says_it_leaves_gets_no_work_although_the_list_lags() {
     let mut membership = Membership::new(MembershipPolicy::default());
     let topology = listed();
-    assert!(membership.vm_seen("a", Evidence::Leaving, SECOND_US), "the standing changed");
+    assert!(
+        membership.record_vm_evidence("a", Evidence::Leaving, SECOND_US),
+        "the standing changed"
+    );
     let mut usable = Vec::new();
     for after_s in [0, 1, 30, 60] {
         membership.usable_vms(&topology, SECOND_US + after_s * SECOND_US, &mut usable);
@@ -79,14 +82,14 @@
     }
 }
 
-// A VM that was unreachable for a moment would stay without work for ever if nobody told us that it
-// came back. The evidence expires, and says when.
+// Without expiry, a VM that was briefly unreachable would never receive work again unless its
+// return was reported. `expire` returns when the evidence expires.
 #[test]
 fn evidence_expires_by_itself() {
     let mut membership = Membership::new(MembershipPolicy::default());
     let topology = listed();
-    membership.vm_seen("a", Evidence::Refused, SECOND_US);
-    membership.vm_seen("a", Evidence::Refused, SECOND_US);
+    membership.record_vm_evidence("a", Evidence::Refused, SECOND_US);
+    membership.record_vm_evidence("a", Evidence::Refused, SECOND_US);
     let expires_us = membership.expire(SECOND_US).expect("something expires");
     let standing =
         |membership: &Membership, now_us| membership.vm_standing_by_name(&topology, "a", now_us);
@@ -100,8 +103,8 @@
 #[test]
 fn old_failures_do_not_add_up() {
     let mut membership = Membership::new(MembershipPolicy::default());
-    membership.vm_seen("a", Evidence::Refused, SECOND_US);
-    membership.vm_seen("a", Evidence::Refused, 100 * SECOND_US);
+    membership.record_vm_evidence("a", Evidence::Refused, SECOND_US);
+    membership.record_vm_evidence("a", Evidence::Refused, 100 * SECOND_US);
     let standing = membership.vm_standing_by_name(&listed(), "a", 100 * SECOND_US);
     assert_eq!(standing, Standing::Usable);
 }
@@ -109,7 +112,7 @@
 #[test]
 fn targets_and_vms_of_one_name_are_distinct() {
     let mut membership = Membership::new(MembershipPolicy::default());
-    membership.target_seen("a", Evidence::Leaving, SECOND_US);
+    membership.record_target_evidence("a", Evidence::Leaving, SECOND_US);
     assert_eq!(membership.vm_standing_by_name(&listed(), "a", SECOND_US), Standing::Usable);
     assert_eq!(membership.len(), 1);
 }
--- a/crates/core/tests/read_age.rs
+++ b/crates/core/tests/read_age.rs
@@ -1,4 +1,4 @@
-//! What is claimed about the age of members' data, and that it is never younger than the truth.
+//! Tests of the bound on the age of members' data: it never claims data to be newer than it is.
 
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_time_of_sending_counts() {
+fn sending_time_of_the_probe_counts() {
     let mut age = ReadAge::new(1);
     age.probe_answered(0, 100, 9_000, &primary(1, 5));
     assert_eq!(age.fresh_as_of_us(0), Some(100));
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn catching_up_is_told_apart_from_the_age_that_is_shown() {
+fn catch_up_time_differs_from_the_lag() {
     let mut age = ReadAge::new(2);
     age.probe_answered(0, 100, 101, &primary(1, 5));
     age.probe_answered(1, 100, 101, &replica(1, 5));
@@ -81,10 +81,10 @@
     assert!(age.lag_us(1).expect("it was measured") > 1_000, "no probe shows a younger age");
 }
 
-// A caller reads a lookup of at most 1 s and gets data of minutes ago. The primary is cut off from the
-// other members and still believes that it leads; only this process's probes reach it, each answered
-// at once with its standing log. Meanwhile the others have promised themselves to a new term and its
-// primary acknowledges writes. The probes of the old primary alone must not count.
+// Guards against a read with a limit of 1 s that gets data of minutes ago. The primary is isolated
+// from the other members and still believes that it leads; only this process's probes reach it, and
+// are answered immediately with an unchanged log end. Meanwhile the others have promised themselves
+// to a new term, whose primary acknowledges writes. Probes of the old primary alone must not count.
 #[test]
 fn an_isolated_old_primary_gives_no_samples() {
     let mut age = ReadAge::new(3);
@@ -104,16 +104,16 @@
     assert_eq!(age.fresh_as_of_us(1), Some(100), "what was shown stays shown");
 }
 
-// A caller reads data that misses an acknowledged write of long ago. The group shrinks from four
-// members to three, and this process knows the new set. One that knows only the old set may meanwhile
-// promote and acknowledge with the member that left and two others: the answers must be a quorum of
-// the old set too.
+// Guards against reads that miss a write acknowledged long ago. The group shrinks from four members
+// to three, and this process knows the new set. A process that knows only the old set may promote
+// and acknowledge with the removed member and two others, so the answers must form a quorum of the
+// old set too.
 #[test]
 fn a_joint_member_set_needs_both_quorums() {
     let names = |members: &[&str]| members.iter().map(|&name| name.to_owned()).collect();
     let first = MemberSet::new(1, names(&["a", "b", "c", "d"])).expect("four members");
     let second = first.successor(2, names(&["a", "b", "c"])).expect("one left");
-    let mut joint = ReadAge::for_set(second);
+    let mut joint = ReadAge::with_member_set(second);
     joint.probe_answered(0, 100, 101, &primary(1, 5));
     joint.probe_answered(1, 100, 101, &replica(1, 5));
     assert_eq!(joint.fresh_as_of_us(0), None, "two of three are two of four");
@@ -152,7 +152,7 @@
     }
 }
 
-/// One step of the random history: who is probed, and whether the cluster moves on before.
+/// A step of the random history of a group.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Write,
@@ -173,7 +173,7 @@
     }
 }
 
-/// A small group: every write is acknowledged once a majority holds it.
+/// A group of three members that acknowledges every write once a majority holds it.
 struct Group {
     members: [MemberStatus; 3],
     /// The acknowledged positions with their times.
@@ -189,7 +189,7 @@
     }
 
     fn write(&mut self, now_us: u64) {
-        // Every member that believes it leads goes on writing, also one that was replaced.
+        // Every member that believes it leads accepts writes, including a replaced primary.
         for member in &mut self.members {
             if member.role == Role::Primary {
                 member.log.index += 1;
@@ -215,7 +215,7 @@
         self.acknowledge(now_us);
     }
 
-    /// Raises the term at `driver` and one other member, and promotes the one that holds more.
+    /// Raises the term at `driver` and one other member, and promotes the one with the higher log.
     fn failover(&mut self, driver: usize) {
         let other = (driver + 1) % 3;
         let term = Term(self.members.iter().map(|it| it.raised_term.0).max().expect("three") + 1);
@@ -238,14 +238,14 @@
         }
     }
 
-    /// The highest position acknowledged by `time_us`.
+    /// Returns the highest position acknowledged by `time_us`.
     fn acknowledged_by(&self, time_us: u64) -> LogPosition {
         let earlier = self.acknowledged.iter().filter(|(at_us, _)| *at_us <= time_us);
         earlier.map(|(_, position)| *position).max().expect("the first record")
     }
 }
 
-fn claims_are_true(steps: Vec<Step>) -> bool {
+fn claims_hold(steps: Vec<Step>) -> bool {
     let mut group = Group::new();
     let mut age = ReadAge::new(3);
     for (index, step) in steps.into_iter().enumerate() {
@@ -272,11 +272,11 @@
 }
 
 #[test]
-fn no_claim_is_younger_than_the_truth() {
+fn claimed_age_is_never_too_low() {
     for seed in 1..=4 {
         QuickCheck::new()
             .tests(500)
             .rng(Gen::from_size_and_seed(60, seed))
-            .quickcheck(claims_are_true as fn(Vec<Step>) -> bool);
+            .quickcheck(claims_hold as fn(Vec<Step>) -> bool);
     }
 }
--- a/crates/core/tests/store_calls.rs
+++ b/crates/core/tests/store_calls.rs
@@ -1,45 +1,48 @@
-//! What a fleet asks of the store while it does not answer, and whether all learn what it says in time.
+//! Simulates the load of a fleet on the store while the store does not answer, and checks that all
+//! VMs learn its contents in time.
 //!
-//! The store goes away, or turns some VMs away, while VMs are cut off from each other or start all at once.
-//! A fleet whose VMs each went on asking several times a second kept such an outage alive: 295 of them made
-//! 35,600 calls in 41 s. Fleets of 1 to 1,000 VMs are played here in steps, by the decisions that the
-//! proxies use.
+//! The store fails, or refuses some VMs, while VMs are partitioned from each other or all start at
+//! the same time. A fleet whose VMs each kept calling several times a second prolonged such an
+//! outage: 295 of them made 35,600 calls in 41 s. Fleets of 1 to 1,000 VMs are simulated in steps,
+//! with the decision functions that the proxies use.
 
 use skylark_core::process::homes::WATCHERS_PER_ZONE;
 use skylark_core::process::jitter;
 use skylark_core::process::store_calls;
-use skylark_core::process::store_calls::Standing;
-use skylark_core::process::store_calls::StoreNews;
+use skylark_core::process::store_calls::StoreAccess;
+use skylark_core::process::store_calls::StoreStatus;
 
 /// The time between two steps, in microseconds.
 const STEP_US: u64 = 20_000;
 
-/// For how long each fleet is played, in microseconds.
-const PLAYED_US: u64 = 20_000_000;
+/// The simulated time, in microseconds.
+const SIMULATED_US: u64 = 20_000_000;
 
-/// Up to how many VMs each asks by itself.
-const ASK_ALONE: usize = 16;
+/// The largest fleet in which every VM polls the store.
+const MAX_DIRECT_VMS: usize = 16;
 
-/// The time in which each VM that has a path to a new version has to know it, in microseconds.
-const IN_FORCE_US: u64 = 6_000_000;
+/// The time within which each VM that has a path to a new version must know it, in microseconds.
+const VERSION_DEADLINE_US: u64 = 6_000_000;
 
-/// What a VM that the store does not answer waits before it asks others, in microseconds.
+/// How long a polling VM goes without an answer of the store before it asks other VMs, in
+/// microseconds.
 const HELP_AFTER_US: u64 = 1_000_000;
 
-/// The calls a second that those who ask for others may make, each.
-const CALLS_OF_AN_ASKER: usize = 10;
+/// The limit on the calls per second of each polling VM.
+const CALLS_PER_POLLING_VM: usize = 10;
 
-/// The calls a second that all others together may make, and the part of the VMs that may call beyond that
-/// in the same second: those that the limit of their pauses has call more often.
-const CALLS_OF_THE_OTHERS: usize = 80;
-const BEYOND_DIVISOR: usize = 2;
+/// The limit on the calls per second of all other VMs together, and the fraction of them that may
+/// make an additional call in the same second: VMs whose pauses have reached their limit call more
+/// often.
+const CALLS_OF_OTHER_VMS: usize = 80;
+const EXTRA_CALLS_DIVISOR: usize = 2;
 
-/// Which VMs the store answers, and from when to when it does not.
+/// The VMs that the store refuses, and the time of the outage.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     from_us: u64,
     to_us: u64,
-    /// The part of the VMs that it turns away, in hundredths.
+    /// The percentage of the VMs that the store refuses.
     percent: u64,
 }
 
@@ -53,11 +56,11 @@
 struct Vm {
     zone: usize,
     seed: u64,
-    /// The VMs that reach each other have the same side.
-    side: u64,
-    asks: bool,
-    told: Option<StoreNews>,
-    untold_since_us: u64,
+    /// VMs in the same partition reach each other.
+    partition: u64,
+    polls_store: bool,
+    peer_status: Option<StoreStatus>,
+    no_peer_since_us: u64,
     failures: u32,
     failing_since_us: Option<u64>,
     answers: bool,
@@ -72,23 +75,23 @@
     outage: Outage,
 }
 
-/// The most calls without an answer within one second.
-fn most_in_a_second(calls_us: &[u64]) -> usize {
+/// Returns the highest number of failed calls within one second.
+fn max_calls_per_second(calls_us: &[u64]) -> usize {
     let within =
         |at_us: u64| calls_us.iter().filter(move |call| (at_us..at_us + 1_000_000).contains(*call));
-    (0..PLAYED_US).step_by(500_000).map(|at_us| within(at_us).count()).max().unwrap_or(0)
+    (0..SIMULATED_US).step_by(500_000).map(|at_us| within(at_us).count()).max().unwrap_or(0)
 }
 
 impl Fleet {
-    fn new(count: usize, zones: usize, sides: u64, outage: Outage, seed: u64) -> Fleet {
-        let has_many = count > ASK_ALONE;
-        let vm = |place: usize| Vm {
-            zone: place % zones,
-            seed: jitter::below_us(seed, place as u64, u64::MAX),
-            side: jitter::below_us(seed ^ 1, place as u64, sides),
-            asks: !has_many || place < zones * WATCHERS_PER_ZONE,
-            told: None,
-            untold_since_us: 0,
+    fn new(count: usize, zones: usize, partitions: u64, outage: Outage, seed: u64) -> Fleet {
+        let has_many = count > MAX_DIRECT_VMS;
+        let vm = |index: usize| Vm {
+            zone: index % zones,
+            seed: jitter::below_us(seed, index as u64, u64::MAX),
+            partition: jitter::below_us(seed ^ 1, index as u64, partitions),
+            polls_store: !has_many || index < zones * WATCHERS_PER_ZONE,
+            peer_status: None,
+            no_peer_since_us: 0,
             failures: 0,
             failing_since_us: None,
             answers: false,
@@ -96,74 +99,79 @@
             version_us: 0,
         };
         let vms: Vec<Vm> = (0..count).map(vm).collect();
-        let watchers = (0..count).filter(|place| vms[*place].asks).collect();
+        let watchers = (0..count).filter(|index| vms[*index].polls_store).collect();
         Fleet { vms, watchers, outage }
     }
 
-    fn is_turned_away(&self, place: usize, at_us: u64) -> bool {
+    fn is_refused(&self, index: usize, at_us: u64) -> bool {
         self.outage.is_at(at_us)
-            && jitter::below_us(self.vms[place].seed, 2, 100) < self.outage.percent
+            && jitter::below_us(self.vms[index].seed, 2, 100) < self.outage.percent
     }
 
-    fn news_of(&self, place: usize) -> StoreNews {
-        let vm = &self.vms[place];
-        store_calls::news(vm.answers, vm.told.filter(|_| vm.asks))
+    fn status_of(&self, index: usize) -> StoreStatus {
+        let vm = &self.vms[index];
+        store_calls::status_for_peers(vm.answers, vm.peer_status.filter(|_| vm.polls_store))
     }
 
-    /// The VMs that may tell this one, the best first.
-    fn tellers(&self, place: usize) -> Vec<usize> {
-        let vm = &self.vms[place];
-        let reached = |other: &usize| *other != place && self.vms[*other].side == vm.side;
-        let mut tellers: Vec<usize> = self.watchers.iter().copied().filter(reached).collect();
-        tellers.sort_by_key(|other| {
-            (self.news_of(*other) == StoreNews::Away, self.vms[*other].zone != vm.zone)
+    /// Returns the VMs that can serve this one, best first.
+    fn peers(&self, index: usize) -> Vec<usize> {
+        let vm = &self.vms[index];
+        let reached = |other: &usize| *other != index && self.vms[*other].partition == vm.partition;
+        let mut peers: Vec<usize> = self.watchers.iter().copied().filter(reached).collect();
+        peers.sort_by_key(|other| {
+            (self.status_of(*other) == StoreStatus::Unavailable, self.vms[*other].zone != vm.zone)
         });
-        tellers
+        peers
     }
 
-    fn listen(&mut self, place: usize, at_us: u64) {
-        let asks = self.vms[place].asks;
-        let needs = !asks
-            || self.vms[place]
+    fn poll_peers(&mut self, index: usize, at_us: u64) {
+        let polls_store = self.vms[index].polls_store;
+        let needs = !polls_store
+            || self.vms[index]
                 .failing_since_us
                 .is_some_and(|since_us| at_us >= since_us + HELP_AFTER_US);
-        let tellers = if needs { self.tellers(place) } else { Vec::new() };
-        let teller =
-            tellers.into_iter().find(|teller| !asks || self.news_of(*teller) == StoreNews::Answers);
-        let told = teller.map(|teller| (self.news_of(teller), self.vms[teller].version_us));
-        let vm = &mut self.vms[place];
-        let was_told = store_calls::standing(asks, vm.told) == Standing::Told;
-        vm.told = told.map(|(news, _)| news);
-        if let Some((StoreNews::Answers | StoreNews::Relayed, version_us)) = told {
+        let peers = if needs { self.peers(index) } else { Vec::new() };
+        let peer = peers
+            .into_iter()
+            .find(|peer| !polls_store || self.status_of(*peer) == StoreStatus::Answers);
+        let peer_status = peer.map(|peer| (self.status_of(peer), self.vms[peer].version_us));
+        let vm = &mut self.vms[index];
+        let was_via_peer =
+            store_calls::store_access(polls_store, vm.peer_status) == StoreAccess::ViaPeer;
+        vm.peer_status = peer_status.map(|(news, _)| news);
+        if let Some((StoreStatus::Answers | StoreStatus::Relayed, version_us)) = peer_status {
             vm.version_us = vm.version_us.max(version_us);
             (vm.answers, vm.failing_since_us) =
-                (vm.answers && asks, vm.failing_since_us.filter(|_| asks));
-        } else if was_told {
-            vm.untold_since_us = at_us;
+                (vm.answers && polls_store, vm.failing_since_us.filter(|_| polls_store));
+        } else if was_via_peer {
+            vm.no_peer_since_us = at_us;
         }
     }
 
-    /// Asks the store if it is time for that. Returns whether a call was made in vain.
-    fn ask(&mut self, place: usize, at_us: u64) -> bool {
-        let (is_turned_away, count) = (self.is_turned_away(place, at_us), self.vms.len());
-        let vm = &mut self.vms[place];
-        let standing = store_calls::standing(vm.asks, vm.told);
-        let patience_us = store_calls::patience_us(standing, count, vm.seed);
-        if standing == Standing::Told || at_us < vm.untold_since_us + patience_us {
+    /// Calls the store if a call is due. Returns whether a call was made and failed.
+    fn call_store(&mut self, index: usize, at_us: u64) -> bool {
+        let (is_refused, count) = (self.is_refused(index, at_us), self.vms.len());
+        let vm = &mut self.vms[index];
+        let store_access = store_calls::store_access(vm.polls_store, vm.peer_status);
+        let direct_call_delay_us = store_calls::direct_call_delay_us(store_access, count, vm.seed);
+        if store_access == StoreAccess::ViaPeer
+            || at_us < vm.no_peer_since_us + direct_call_delay_us
+        {
             return false;
         }
-        if is_turned_away {
+        if is_refused {
             vm.answers = false;
             vm.failing_since_us.get_or_insert(at_us);
             if at_us < vm.next_call_us {
                 return false;
             }
             vm.failures += 1;
-            let pause_us = store_calls::retry_pause_us(standing, count, vm.failures, vm.seed);
+            let pause_us = store_calls::retry_pause_us(store_access, count, vm.failures, vm.seed);
             vm.next_call_us = at_us + pause_us;
             return true;
         }
-        // A watch that waits at the store brings a change at once; one that failed waits out its pause.
+        // A watch that waits at the store delivers a change immediately; after a failure, the pause
+        // must end first.
         if vm.failures == 0 || at_us >= vm.next_call_us {
             (vm.answers, vm.failures, vm.failing_since_us) = (true, 0, None);
             vm.version_us = at_us;
@@ -171,49 +179,51 @@
         false
     }
 
-    /// Plays the fleet. Returns when calls were made in vain, and the complaints.
-    fn play(&mut self) -> (Vec<u64>, Vec<String>) {
-        let (mut in_vain_us, mut complaints) = (Vec::new(), Vec::new());
+    /// Runs the simulation. Returns the times of the failed calls, and the violations.
+    fn simulate(&mut self) -> (Vec<u64>, Vec<String>) {
+        let (mut failed_calls_us, mut violations) = (Vec::new(), Vec::new());
         let mut has_path_since_us = vec![Some(0); self.vms.len()];
-        for at_us in (0..PLAYED_US).step_by(STEP_US as usize) {
-            for place in 0..self.vms.len() {
-                self.listen(place, at_us);
-                if self.ask(place, at_us) {
-                    in_vain_us.push(at_us);
+        for at_us in (0..SIMULATED_US).step_by(STEP_US as usize) {
+            for index in 0..self.vms.len() {
+                self.poll_peers(index, at_us);
+                if self.call_store(index, at_us) {
+                    failed_calls_us.push(at_us);
                 }
             }
             let served: Vec<u64> = (0..self.vms.len())
-                .filter(|place| !self.is_turned_away(*place, at_us))
-                .filter(|place| self.vms[*place].asks)
-                .map(|place| self.vms[place].side)
+                .filter(|index| !self.is_refused(*index, at_us))
+                .filter(|index| self.vms[*index].polls_store)
+                .map(|index| self.vms[index].partition)
                 .collect();
-            for (place, since_us) in has_path_since_us.iter_mut().enumerate() {
+            for (index, since_us) in has_path_since_us.iter_mut().enumerate() {
                 let has_path =
-                    !self.is_turned_away(place, at_us) || served.contains(&self.vms[place].side);
+                    !self.is_refused(index, at_us) || served.contains(&self.vms[index].partition);
                 *since_us = has_path.then(|| since_us.unwrap_or(at_us));
-                let due_us = since_us.map(|since_us| since_us + IN_FORCE_US);
-                let age_us = at_us - self.vms[place].version_us;
-                if due_us.is_some_and(|due_us| at_us >= due_us) && age_us > IN_FORCE_US {
-                    complaints.push(format!("VM {place} is {age_us} us behind at {at_us}"));
+                let due_us = since_us.map(|since_us| since_us + VERSION_DEADLINE_US);
+                let age_us = at_us - self.vms[index].version_us;
+                if due_us.is_some_and(|due_us| at_us >= due_us) && age_us > VERSION_DEADLINE_US {
+                    violations.push(format!("VM {index} is {age_us} us behind at {at_us}"));
                 }
             }
         }
-        (in_vain_us, complaints)
+        (failed_calls_us, violations)
     }
 }
 
-fn holds(count: usize, zones: usize, sides: u64, outage: Outage, seed: u64) {
-    let mut fleet = Fleet::new(count, zones, sides, outage, seed);
-    let askers = fleet.watchers.len();
-    let (in_vain_us, complaints) = fleet.play();
-    let case = format!("{count} VMs in {zones} zones on {sides} sides, {outage:?}, seed {seed}");
-    assert!(complaints.is_empty(), "{case}: {}", complaints[0]);
-    let most = most_in_a_second(&in_vain_us);
-    let mut bound = askers * CALLS_OF_AN_ASKER + CALLS_OF_THE_OTHERS;
-    bound += (count - askers) / BEYOND_DIVISOR;
-    // Those that nobody tells have no other way to learn that it was one call that failed.
-    let is_split = sides > 1 || outage.from_us == 0;
-    let quick = if is_split { 4 * (count - askers) } else { 0 };
+fn check_fleet(count: usize, zones: usize, partitions: u64, outage: Outage, seed: u64) {
+    let mut fleet = Fleet::new(count, zones, partitions, outage, seed);
+    let polling_vms = fleet.watchers.len();
+    let (failed_calls_us, violations) = fleet.simulate();
+    let case =
+        format!("{count} VMs in {zones} zones in {partitions} partitions, {outage:?}, seed {seed}");
+    assert!(violations.is_empty(), "{case}: {}", violations[0]);
+    let most = max_calls_per_second(&failed_calls_us);
+    let mut bound = polling_vms * CALLS_PER_POLLING_VM + CALLS_OF_OTHER_VMS;
+    bound += (count - polling_vms) / EXTRA_CALLS_DIVISOR;
+    // A VM without a peer can't learn otherwise that a single call failed, so its quick retries are
+    // allowed.
+    let is_split = partitions > 1 || outage.from_us == 0;
+    let quick = if is_split { 4 * (count - polling_vms) } else { 0 };
     assert!(most <= bound + quick, "{case}: {most} calls in a second");
 }
 
@@ -223,13 +233,13 @@
 const AT_THE_START: Outage = Outage { from_us: 0, ..FOR_ALL };
 
 macro_rules! fleets {
-    ($($(#[$doc:meta])* $name:ident: $sides:expr, $outage:expr;)*) => {
+    ($($(#[$doc:meta])* $name:ident: $partitions:expr, $outage:expr;)*) => {
         $($(#[$doc])*
         #[test]
         fn $name() {
-            for (place, count) in [1, 2, 6, 16, 17, 40, 86, 295, 550, 1_000].into_iter().enumerate() {
+            for (index, count) in [1, 2, 6, 16, 17, 40, 86, 295, 550, 1_000].into_iter().enumerate() {
                 for zones in [1, 3, 8] {
-                    holds(count, zones, $sides, $outage, place as u64 * 8 + zones as u64);
+                    check_fleet(count, zones, $partitions, $outage, index as u64 * 8 + zones as u64);
                 }
             }
         })*
@@ -237,28 +247,38 @@
 }
 
 fleets! {
-    /// All VMs lose the store at once. Those that ask for others go on trying; the rest are told so, and
-    /// that it is back.
-    the_store_is_away_for_all: 1, FOR_ALL;
-    /// It turns a third of the VMs away: they are told by the others.
-    the_store_turns_a_third_away: 1, FOR_A_THIRD;
-    /// It answers only a few, most of which ask for nobody: each of these still has a path of its own.
-    the_store_answers_a_few: 1, FOR_NEARLY_ALL;
-    /// All VMs start while it is away, and know nobody.
-    the_store_is_away_at_the_start: 1, AT_THE_START;
-    /// The VMs fall into parts that don't reach each other while it is away.
-    the_store_is_away_during_a_split: 5, FOR_ALL;
-    /// The same while it turns a third of the VMs away.
-    the_store_turns_a_third_away_during_a_split: 5, FOR_A_THIRD;
-    /// No VM reaches another one: each asks by itself, and none too often.
-    nobody_reaches_anybody: u64::MAX, FOR_ALL;
+    /// All VMs lose the store. The polling VMs keep trying, and the others learn from them of the
+    /// outage and of its end.
+    store_unavailable_for_all: 1, FOR_ALL;
+    /// The store refuses a third of the VMs: the others serve them.
+    store_refuses_a_third: 1, FOR_A_THIRD;
+    /// The store answers only a few VMs, most of which do not poll: each of these must still use
+    /// its own path.
+    store_answers_a_few: 1, FOR_NEARLY_ALL;
+    /// All VMs start during the outage, without any peer.
+    store_unavailable_at_the_start: 1, AT_THE_START;
+    /// The VMs are partitioned from each other during the outage.
+    store_unavailable_during_a_partition: 5, FOR_ALL;
+    /// The VMs are partitioned from each other, and the store refuses a third of them.
+    store_refuses_a_third_during_a_partition: 5, FOR_A_THIRD;
+    /// No VM reaches another one: each calls the store directly, but not too often.
+    all_vms_are_isolated: u64::MAX, FOR_ALL;
 }
 
-/// A VM that asks for others never passes on what one tells it that has it from others: two that lost the
-/// store would have told each other for ever that it answers.
+/// A polling VM never passes on second-hand information: two VMs that lost the store would keep
+/// telling each other that it answers.
 #[test]
-fn what_was_passed_on_is_not_passed_on_again() {
-    assert_eq!(store_calls::news(false, Some(StoreNews::Answers)), StoreNews::Relayed);
-    assert_eq!(store_calls::news(false, Some(StoreNews::Relayed)), StoreNews::Away);
-    assert_eq!(store_calls::news(true, Some(StoreNews::Away)), StoreNews::Answers);
+fn relayed_status_is_not_relayed_again() {
+    assert_eq!(
+        store_calls::status_for_peers(false, Some(StoreStatus::Answers)),
+        StoreStatus::Relayed
+    );
+    assert_eq!(
+        store_calls::status_for_peers(false, Some(StoreStatus::Relayed)),
+        StoreStatus::Unavailable
+    );
+    assert_eq!(
+        store_calls::status_for_peers(true, Some(StoreStatus::Unavailable)),
+        StoreStatus::Answers
+    );
 }
--- a/crates/core/tests/takeover_claim.rs
+++ b/crates/core/tests/takeover_claim.rs
@@ -1,4 +1,4 @@
-//! Who may drive a takeover.
+//! Tests of the claim, which decides which proxy may drive a takeover.
 
 use skylark_core::process::takeover_claim;
 use skylark_core::process::takeover_claim::Claim;
@@ -35,19 +35,19 @@
 }
 
 #[test]
-fn others_leave_it_to_the_last_driver_for_a_moment() {
+fn others_wait_for_the_last_driver() {
     let seen = seen("vm-2", ClaimState::Settled, 0);
     let step = takeover_claim::next_claim(Some(&seen), "vm-1", 500, 600);
-    assert_eq!(step, ClaimStep::LeaveUntil { at_us: 500 + HOLDER_GRACE_US });
+    assert_eq!(step, ClaimStep::WaitUntil { at_us: 500 + HOLDER_GRACE_US });
     let step = takeover_claim::next_claim(Some(&seen), "vm-1", 500, 500 + HOLDER_GRACE_US);
     assert_eq!(step, ClaimStep::Write { token: 8 });
 }
 
 #[test]
-fn a_driver_at_work_is_disturbed_only_once_it_counts_as_gone() {
+fn active_driver_is_replaced_only_after_its_silence() {
     let seen = seen("vm-2", ClaimState::Moving, 1_000);
     let step = takeover_claim::next_claim(Some(&seen), "vm-1", 0, 2_000);
-    assert_eq!(step, ClaimStep::LeaveUntil { at_us: 1_000 + DRIVER_SILENCE_US });
+    assert_eq!(step, ClaimStep::WaitUntil { at_us: 1_000 + DRIVER_SILENCE_US });
 }
 
 fn held(unsettled: bool, unsettled_since_us: u64) -> HeldClaim {
@@ -56,17 +56,18 @@
     HeldClaim { claim, revision: 40, written_us: 0, unsettled_since_us }
 }
 
-/// Two drivers promoted in turn: the one that was overtaken called 15 ms after its successor. Its call
-/// has to be answered or given up before anybody may have taken the claim.
+/// Two drivers promoted targets in turn: the superseded one made its call 15 ms after its
+/// successor. A call must be answered or given up before any other process can have taken the
+/// claim.
 #[test]
-fn a_holder_calls_only_while_nobody_can_have_taken_its_claim() {
+fn holder_calls_only_during_its_lease() {
     let held = held(false, 0);
-    assert!(held.may_call(LEASE_US - PROMOTE_CALL_US));
-    assert!(!held.may_call(LEASE_US - PROMOTE_CALL_US + 1));
+    assert!(held.may_send_promote(LEASE_US - PROMOTE_CALL_US));
+    assert!(!held.may_send_promote(LEASE_US - PROMOTE_CALL_US + 1));
     let claim = SeenClaim { claim: held.claim.clone(), revision: 40, seen_us: 0 };
     for now_us in 0..=LEASE_US {
         let step = takeover_claim::next_claim(Some(&claim), "vm-2", 0, now_us);
-        assert!(matches!(step, ClaimStep::LeaveUntil { .. }));
+        assert!(matches!(step, ClaimStep::WaitUntil { .. }));
     }
 }
 
@@ -75,24 +76,24 @@
     let held = held(false, 0);
     assert!(!held.must_renew(RENEW_US - 1));
     assert!(held.must_renew(RENEW_US));
-    assert!(held.may_call(RENEW_US));
+    assert!(held.may_send_promote(RENEW_US));
 }
 
-/// A call without an answer is carried out seconds later, after another target was promoted: that one
-/// loses its lead, and what it acknowledged is lost.
+/// A call without an answer is executed seconds later, after another target was promoted: that
+/// target loses its role, and the commits that it acknowledged are lost.
 #[test]
-fn while_a_call_may_come_late_only_the_same_target_is_promoted() {
+fn pending_call_allows_only_the_same_target() {
     let held = held(true, 1_000);
     let late_us = 1_000 + LATE_EFFECT_US;
     assert!(held.may_promote("a", false, 1_000));
     assert!(!held.may_promote("b", false, late_us - 1));
     assert!(held.may_promote("b", false, late_us));
-    // A higher token has the late call refused.
+    // The platform refuses the late call because of the higher token.
     assert!(held.may_promote("b", true, 1_000));
 }
 
 #[test]
-fn who_drives_next_knows_of_a_call_that_may_come_late() {
+fn successor_claim_keeps_the_pending_call() {
     let held = held(true, 0);
     let next = Claim::next(Some(&held.claim), "vm-2", 8);
     assert_eq!((&*next.chosen, next.unsettled), ("a", true));
--- a/crates/core/tests/timer.rs
+++ b/crates/core/tests/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service.
+//! Tests of the timer service.
 
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
@@ -46,8 +46,9 @@
     assert_eq!(due(&mut timers, 100), [timer]);
 }
 
-// After a pause of minutes a process would probe every member hundreds of times at once, and take the
-// answers' delay for more failures. Missed ticks are one tick.
+// After a pause of minutes, a process that got every missed tick would probe each member hundreds
+// of times at once, and would take the delay of the answers for more failures. All missed ticks
+// must become one.
 #[test]
 fn a_pause_makes_one_tick() {
     let mut timers = Timers::new();
@@ -70,8 +71,8 @@
     assert!(deadlines.iter().any(|at_us| *at_us != deadlines[0]));
 }
 
-/// Changes to three timers as random numbers.
-fn timers_stay_sound(steps: Vec<(u8, u8)>) -> bool {
+/// Checks the invariants of the timer service for random operations.
+fn timers_keep_their_invariants(steps: Vec<(u8, u8)>) -> bool {
     let mut timers = Timers::new();
     let mut active = Vec::new();
     let mut now_us = 0;
@@ -105,11 +106,11 @@
 }
 
 #[test]
-fn timers_stay_sound_through_any_changes() {
+fn timers_keep_their_invariants_for_random_operations() {
     for seed in 1..=3 {
         QuickCheck::new()
             .tests(300)
             .rng(Gen::from_size_and_seed(60, seed))
-            .quickcheck(timers_stay_sound as fn(Vec<(u8, u8)>) -> bool);
+            .quickcheck(timers_keep_their_invariants as fn(Vec<(u8, u8)>) -> bool);
     }
 }
