--- a/crates/proxy/src/connection/caller.rs
+++ b/crates/proxy/src/connection/caller.rs
@@ -135,9 +135,9 @@
     /// Takes the messages that are there.
     async fn take_messages(&mut self) -> Flow {
         let limit_bytes = self.traffic.limits.message_bytes;
-        let stall = self.traffic.limits.slow_sender();
+        let stall_timeout = self.traffic.limits.slow_sender();
         loop {
-            match self.input.next(&self.stream, limit_bytes, stall).await {
+            match self.input.next(&self.stream, limit_bytes, stall_timeout).await {
                 Ok(Some(message)) => {
                     if self.take(message).await == Flow::End {
                         socket::linger(&mut self.stream).await;
--- a/crates/proxy/src/connection/caller_input.rs
+++ b/crates/proxy/src/connection/caller_input.rs
@@ -73,17 +73,17 @@
         &mut self,
         stream: &TcpStream,
         limit_bytes: usize,
-        stall: Duration,
+        stall_timeout: Duration,
     ) -> Result<Option<CallerMessage>, InputError> {
         loop {
             if let Some(message) = self.take(limit_bytes)? {
                 return Ok(Some(message));
             }
-            match socket::read_now(stream, &mut self.buffer) {
+            match socket::try_read(stream, &mut self.buffer) {
                 Ok(Some(0)) => return Err(InputError::Closed),
                 Ok(Some(_)) => continue,
                 Ok(None) if self.buffer.is_empty() => return Ok(None),
-                Ok(None) => match time::timeout(stall, stream.readable()).await {
+                Ok(None) => match time::timeout(stall_timeout, stream.readable()).await {
                     Ok(ready) => ready.map_err(InputError::Broken)?,
                     Err(_) => return Err(InputError::Stalled),
                 },
--- a/crates/proxy/src/connection/lease.rs
+++ b/crates/proxy/src/connection/lease.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use crate::connection::admission::Turnstile;
-use crate::connection::link::Link;
 use crate::connection::pool::Pool;
+use crate::connection::pooled_connection::PooledConnection;
 
 /// A connection out of a pool. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct Lease<L>
 where
-    L: Link,
+    L: PooledConnection,
 {
     connection: Option<L>,
     pool: Arc<Pool<L>>,
@@ -20,7 +20,7 @@
 
 impl<L> Lease<L>
 where
-    L: Link,
+    L: PooledConnection,
 {
     pub(super) fn new(connection: L, pool: &Arc<Pool<L>>, turn: Option<Turnstile>) -> Lease<L> {
         Lease { connection: Some(connection), pool: Arc::clone(pool), turn }
@@ -87,7 +87,7 @@
 
 impl<L> Drop for Lease<L>
 where
-    L: Link,
+    L: PooledConnection,
 {
     fn drop(&mut self) {
         if self.connection.take().is_some() {
--- a/crates/proxy/src/connection/pool.rs
+++ b/crates/proxy/src/connection/pool.rs
@@ -26,11 +26,11 @@
 
 use crate::connection::admission::Turnstile;
 use crate::connection::lease::Lease;
-use crate::connection::link::Link;
 use crate::connection::pool_state::State;
 use crate::connection::pool_state::Upkeep;
 use crate::connection::pool_state::User;
 use crate::connection::pool_state::Waiting;
+use crate::connection::pooled_connection::PooledConnection;
 use crate::connection::target_connection::OpenError;
 use crate::process::clock::MonotonicClock;
 use crate::process::counters::Counters;
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct Pool<L>
 where
-    L: Link,
+    L: PooledConnection,
 {
     pub(super) options: PoolOptions<L::Login>,
     counters: Arc<Counters>,
@@ -70,7 +70,7 @@
 
 impl<L> Pool<L>
 where
-    L: Link,
+    L: PooledConnection,
 {
     /// A pool without connections.
     pub fn new(options: PoolOptions<L::Login>, counters: Arc<Counters>) -> Pool<L> {
@@ -166,7 +166,7 @@
         connection: L,
         turn: Option<Turnstile>,
     ) -> Result<Lease<L>, Failure> {
-        match connection.brought_here() {
+        match connection.move_to_current_thread() {
             Ok(connection) => Ok(Lease::new(connection, self, turn)),
             Err(_) => {
                 self.forget_one();
@@ -225,8 +225,8 @@
                 debug_assert!(taken, "the budget counts each idle connection");
                 connection
             };
-            if let Ok(mut connection) = connection.brought_here()
-                && connection.is_quiet()
+            if let Ok(mut connection) = connection.move_to_current_thread()
+                && connection.is_healthy()
             {
                 return Some(connection);
             }
--- a/crates/proxy/src/connection/pool_state.rs
+++ b/crates/proxy/src/connection/pool_state.rs
@@ -8,7 +8,7 @@
 use skylark_core::request::retry::Failure;
 use tokio::sync::oneshot;
 
-use crate::connection::link::Link;
+use crate::connection::pooled_connection::PooledConnection;
 
 /// How many of the newest idle connections are looked at for one that this thread watches.
 const LOOKED_AT: usize = 32;
@@ -50,7 +50,7 @@
 
 impl<L> State<L>
 where
-    L: Link,
+    L: PooledConnection,
 {
     /// No connections, and nobody who waits.
     pub(super) fn new(budget: ConnectionBudget) -> State<L> {
@@ -90,7 +90,7 @@
         let fits = |(_, connection): &(usize, &L)| connection.serves(user);
         let newest = || self.idle.iter().enumerate().rev().filter(fits);
         let mut looked_at = newest().take(LOOKED_AT);
-        let here = looked_at.find(|(_, connection)| connection.is_here());
+        let here = looked_at.find(|(_, connection)| connection.is_on_current_thread());
         let (place, _) = here.or_else(|| newest().next())?;
         Some(self.idle.remove(place))
     }
--- a/crates/proxy/src/connection/link.rs
+++ b/crates/proxy/src/connection/pooled_connection.rs
@@ -9,7 +9,7 @@
 use crate::connection::target_connection::OpenError;
 
 /// A connection to a target, or to another proxy, that a pool can keep.
-pub trait Link: Debug + Sized + Send + 'static {
+pub trait PooledConnection: Debug + Sized + Send + 'static {
     /// How connections introduce themselves.
     type Login: Clone + Debug + Send + Sync + 'static;
 
@@ -25,13 +25,13 @@
     fn serves(&self, user: Option<&Arc<str>>) -> bool;
 
     /// Whether this thread's event loop watches the stream.
-    fn is_here(&self) -> bool;
+    fn is_on_current_thread(&self) -> bool;
 
     /// Has the stream watched by this thread's event loop.
-    fn brought_here(self) -> io::Result<Self>;
+    fn move_to_current_thread(self) -> io::Result<Self>;
 
     /// Whether an idle connection can be used: still open, and nothing came unasked.
-    fn is_quiet(&mut self) -> bool;
+    fn is_healthy(&mut self) -> bool;
 
     /// Whether the connection is between requests, outside a transaction, with nothing unread.
     fn is_idle(&self) -> bool;
--- a/crates/proxy/src/connection/relay.rs
+++ b/crates/proxy/src/connection/relay.rs
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct Relay<'a> {
     caller: &'a TcpStream,
-    stall: Duration,
+    stall_timeout: Duration,
     /// Written before the run: small pieces that were cut out of the input.
     pending: BytesMut,
     /// How much of the target's input was looked at and may be passed on.
@@ -93,14 +93,14 @@
     /// can't commit.
     pub fn new(
         caller: &'a TcpStream,
-        stall: Duration,
+        stall_timeout: Duration,
         prelude_ready: u32,
         replies: Option<Replies>,
         eager: bool,
     ) -> Relay<'a> {
         Relay {
             caller,
-            stall,
+            stall_timeout,
             pending: BytesMut::new(),
             run_bytes: 0,
             frame_left_bytes: 0,
@@ -203,7 +203,7 @@
             }
         }
         if ready.is_readable() || ready.is_read_closed() {
-            match socket::read_now(&connection.stream, &mut connection.input)? {
+            match socket::try_read(&connection.stream, &mut connection.input)? {
                 Some(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Some(_) => self.begun |= self.prelude_ready == 0,
                 None => (),
@@ -377,7 +377,7 @@
         self.passed_on = true;
         self.flushing = true;
         let run = &connection.input[..self.run_bytes];
-        let written = socket::write_both(self.caller, &self.pending, run, self.stall).await;
+        let written = socket::write_both(self.caller, &self.pending, run, self.stall_timeout).await;
         written.map_err(RelayError::Caller)?;
         self.flushing = false;
         self.pending.clear();
--- a/crates/proxy/src/connection/socket.rs
+++ b/crates/proxy/src/connection/socket.rs
@@ -16,14 +16,14 @@
 pub const READ_BYTES: usize = 16 << 10;
 
 /// How long the other end may take to read a farewell before the socket is closed.
-const LINGER: Duration = Duration::from_millis(500);
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Writes all of `first`, then all of `second`; the other end may take no byte for `stall` at most.
 pub async fn write_both(
     stream: &TcpStream,
     mut first: &[u8],
     mut second: &[u8],
-    stall: Duration,
+    stall_timeout: Duration,
 ) -> io::Result<()> {
     while !first.is_empty() || !second.is_empty() {
         match stream.try_write_vectored(&[IoSlice::new(first), IoSlice::new(second)]) {
@@ -34,7 +34,7 @@
                 second = &second[written - of_first..];
             }
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                match time::timeout(stall, stream.writable()).await {
+                match time::timeout(stall_timeout, stream.writable()).await {
                     Ok(ready) => ready?,
                     Err(_) => return Err(io::ErrorKind::TimedOut.into()),
                 }
@@ -46,12 +46,16 @@
 }
 
 /// Writes all of `bytes`.
-pub async fn write_all(stream: &TcpStream, bytes: &[u8], stall: Duration) -> io::Result<()> {
-    write_both(stream, bytes, &[], stall).await
+pub async fn write_all(
+    stream: &TcpStream,
+    bytes: &[u8],
+    stall_timeout: Duration,
+) -> io::Result<()> {
+    write_both(stream, bytes, &[], stall_timeout).await
 }
 
 /// Appends what can be read without waiting. `None` when there is nothing now; zero at the end.
-pub fn read_now(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<Option<usize>> {
+pub fn try_read(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<Option<usize>> {
     buffer.reserve(READ_BYTES);
     match stream.try_read_buf(buffer) {
         Ok(count) => Ok(Some(count)),
@@ -65,7 +69,7 @@
 /// An event loop that came to watch the stream a moment ago has seen no event of it, and would say
 /// "nothing to read" of a stream that was closed long ago. So the system is asked in any case. What
 /// is read is lost: a stream that is not silent is of no further use.
-pub fn is_silent(stream: &TcpStream) -> bool {
+pub fn is_open_without_input(stream: &TcpStream) -> bool {
     let mut asked = false;
     let mut look = || {
         asked = true;
@@ -83,7 +87,7 @@
 pub async fn read_some(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
     loop {
         stream.readable().await?;
-        if let Some(count) = read_now(stream, buffer)? {
+        if let Some(count) = try_read(stream, buffer)? {
             return Ok(count);
         }
     }
@@ -104,5 +108,5 @@
         }
     };
     // Whether the other end closed or the time ran out, the socket is closed next.
-    let _ = time::timeout(LINGER, drained).await;
+    let _ = time::timeout(LINGER_TIMEOUT, drained).await;
 }
--- a/crates/proxy/src/connection/target_connection.rs
+++ b/crates/proxy/src/connection/target_connection.rs
@@ -15,7 +15,7 @@
 
 use crate::connection::frames;
 use crate::connection::frames::FrameHeader;
-use crate::connection::link::Link;
+use crate::connection::pooled_connection::PooledConnection;
 use crate::connection::prepared::PreparedOnConnection;
 use crate::connection::socket;
 
@@ -89,10 +89,10 @@
     /// The key for cancel requests.
     pub cancel_key: CancelKey,
     /// The thread whose event loop watches the stream.
-    watched_by: ThreadId,
+    registered_on: ThreadId,
 }
 
-impl Link for TargetConnection {
+impl PooledConnection for TargetConnection {
     type Login = Login;
 
     async fn open(
@@ -101,7 +101,7 @@
         _user: Option<&Arc<str>>,
         timeout: Duration,
     ) -> Result<TargetConnection, OpenError> {
-        match time::timeout(timeout, start(address, login)).await {
+        match time::timeout(timeout, connect_and_start(address, login)).await {
             Ok(opened) => opened,
             Err(_) => Err(OpenError::TimedOut),
         }
@@ -112,23 +112,23 @@
         true
     }
 
-    fn is_here(&self) -> bool {
-        self.watched_by == thread::current().id()
+    fn is_on_current_thread(&self) -> bool {
+        self.registered_on == thread::current().id()
     }
 
     /// Another thread's event loop would serve as well, but each wake-up would cross threads.
-    fn brought_here(self) -> io::Result<TargetConnection> {
-        if self.is_here() {
+    fn move_to_current_thread(self) -> io::Result<TargetConnection> {
+        if self.is_on_current_thread() {
             return Ok(self);
         }
         let stream = TcpStream::from_std(self.stream.into_std()?)?;
-        Ok(TargetConnection { stream, watched_by: thread::current().id(), ..self })
+        Ok(TargetConnection { stream, registered_on: thread::current().id(), ..self })
     }
 
     /// A connection that the other end closed while it was idle would swallow a request whose
     /// outcome then can't be known, though it never ran.
-    fn is_quiet(&mut self) -> bool {
-        self.input.is_empty() && socket::is_silent(&self.stream)
+    fn is_healthy(&mut self) -> bool {
+        self.input.is_empty() && socket::is_open_without_input(&self.stream)
     }
 
     fn is_idle(&self) -> bool {
@@ -243,7 +243,7 @@
     }
 }
 
-async fn start(address: &str, login: &Login) -> Result<TargetConnection, OpenError> {
+async fn connect_and_start(address: &str, login: &Login) -> Result<TargetConnection, OpenError> {
     let stream = TcpStream::connect(address).await.map_err(OpenError::Io)?;
     stream.set_nodelay(true).map_err(OpenError::Io)?;
     let mut connection = TargetConnection {
@@ -255,7 +255,7 @@
         session_changed: false,
         prepared: PreparedOnConnection::default(),
         cancel_key: CancelKey::default(),
-        watched_by: thread::current().id(),
+        registered_on: thread::current().id(),
     };
     let mut parameters = vec![
         ("user", TARGET_USER),
@@ -270,7 +270,7 @@
     connection.send(&request).await.map_err(OpenError::Io)?;
     while connection.awaited_ready > 0 {
         let frame = next_frame(&mut connection).await?;
-        take_startup_frame(&mut connection, &frame)?;
+        handle_startup_frame(&mut connection, &frame)?;
     }
     Ok(connection)
 }
@@ -290,7 +290,7 @@
     }
 }
 
-fn take_startup_frame(connection: &mut TargetConnection, frame: &[u8]) -> Result<(), OpenError> {
+fn handle_startup_frame(connection: &mut TargetConnection, frame: &[u8]) -> Result<(), OpenError> {
     let body = &frame[frames::HEADER_BYTES..];
     match frame[0] {
         backend::AUTHENTICATION_TAG if body == [0, 0, 0, 0] => Ok(()),
--- a/crates/proxy/src/request/answer.rs
+++ b/crates/proxy/src/request/answer.rs
@@ -220,8 +220,8 @@
 
 /// Writes to the caller.
 pub async fn write(caller: &Caller, first: &[u8], second: &[u8]) -> Flow {
-    let stall = caller.traffic.limits.slow_reader();
-    match socket::write_both(&caller.stream, first, second, stall).await {
+    let stall_timeout = caller.traffic.limits.slow_reader();
+    match socket::write_both(&caller.stream, first, second, stall_timeout).await {
         Ok(()) => Flow::GoOn,
         Err(error) => {
             if error.kind() == std::io::ErrorKind::TimedOut {
--- a/crates/proxy/src/request/exchange.rs
+++ b/crates/proxy/src/request/exchange.rs
@@ -143,12 +143,12 @@
         for _ in 0..encoded.prepared_again {
             self.traffic.counters.event(Event::StatementsPrepared);
         }
-        let stall = self.traffic.limits.slow_reader();
+        let stall_timeout = self.traffic.limits.slow_reader();
         let eager = self.stakes.effect == Effect::Read;
         let replies = encoded.replies.clone();
         let mut run = Run {
             exchange: self,
-            relay: Relay::new(self.caller, stall, encoded.prelude_ready, replies, eager),
+            relay: Relay::new(self.caller, stall_timeout, encoded.prelude_ready, replies, eager),
             unsent: &encoded.bytes,
             answer: Answer::default(),
             copying: BytesMut::new(),
@@ -363,10 +363,11 @@
     async fn fail_copy(&mut self, connection: &mut TargetConnection) {
         self.copying.clear();
         let _ = frontend::copy_fail("COPY is not supported", &mut self.copying);
-        let stall = self.exchange.traffic.limits.slow_reader();
+        let stall_timeout = self.exchange.traffic.limits.slow_reader();
         // A connection that breaks here shows at the next read.
         let _ =
-            crate::connection::socket::write_all(&connection.stream, &self.copying, stall).await;
+            crate::connection::socket::write_all(&connection.stream, &self.copying, stall_timeout)
+                .await;
     }
 }
 
--- a/crates/proxy/src/sessions/connection/caller.rs
+++ b/crates/proxy/src/sessions/connection/caller.rs
@@ -232,7 +232,7 @@
                 self.stream.readable().await?;
                 // The system may say that there is input where there is none, and waiting for the
                 // rest of a message would notice neither a stop nor a transaction that rests.
-                if let Some(count) = socket::read_now(&self.stream, &mut self.input)? {
+                if let Some(count) = socket::try_read(&self.stream, &mut self.input)? {
                     return io::Result::Ok(count);
                 }
             }
--- a/crates/proxy/src/sessions/connection/link.rs
+++ b/crates/proxy/src/sessions/connection/link.rs
@@ -25,7 +25,7 @@
 use tokio::net::TcpStream;
 use tokio::time;
 
-use crate::connection::link::Link;
+use crate::connection::pooled_connection::PooledConnection;
 use crate::connection::socket;
 use crate::connection::target_connection::OpenError;
 use crate::sessions::codec;
@@ -282,7 +282,7 @@
     }
 }
 
-impl<C> Link for StatementLink<C>
+impl<C> PooledConnection for StatementLink<C>
 where
     C: Codec,
 {
@@ -321,23 +321,23 @@
         self.to_proxy || user.is_none() || self.user.as_ref() == user
     }
 
-    fn is_here(&self) -> bool {
+    fn is_on_current_thread(&self) -> bool {
         self.watched_by == thread::current().id()
     }
 
-    fn brought_here(self) -> io::Result<StatementLink<C>> {
-        if self.is_here() {
+    fn move_to_current_thread(self) -> io::Result<StatementLink<C>> {
+        if self.is_on_current_thread() {
             return Ok(self);
         }
         let stream = TcpStream::from_std(self.stream.into_std()?)?;
         Ok(StatementLink { stream, watched_by: thread::current().id(), ..self })
     }
 
-    fn is_quiet(&mut self) -> bool {
+    fn is_healthy(&mut self) -> bool {
         if self.input.is_empty() && self.input.capacity() > KEPT_INPUT_BYTES {
             self.input = BytesMut::new();
         }
-        self.input.is_empty() && socket::is_silent(&self.stream)
+        self.input.is_empty() && socket::is_open_without_input(&self.stream)
     }
 
     fn is_idle(&self) -> bool {
--- a/crates/proxy/src/sessions/process/target_calls.rs
+++ b/crates/proxy/src/sessions/process/target_calls.rs
@@ -8,7 +8,7 @@
 
 use skylark_core::version::routes::TargetRecord;
 
-use crate::connection::link::Link;
+use crate::connection::pooled_connection::PooledConnection;
 use crate::connection::target_connection::OpenError;
 use crate::sessions::codec::Codec;
 use crate::sessions::codec::Query;
--- a/crates/proxy/tests/pool_users.rs
+++ b/crates/proxy/tests/pool_users.rs
@@ -11,9 +11,9 @@
 use skylark_core::process::connection_budget::BudgetPolicy;
 use skylark_core::request::retry::Failure;
 use skylark_proxy::connection::lease::Lease;
-use skylark_proxy::connection::link::Link;
 use skylark_proxy::connection::pool::Pool;
 use skylark_proxy::connection::pool::PoolOptions;
+use skylark_proxy::connection::pooled_connection::PooledConnection;
 use skylark_proxy::connection::target_connection::OpenError;
 use skylark_proxy::process::clock::MonotonicClock;
 
@@ -42,7 +42,7 @@
     }
 }
 
-impl Link for FakeLink {
+impl PooledConnection for FakeLink {
     type Login = Arc<Target>;
 
     async fn open(
@@ -64,15 +64,15 @@
         user.is_none() || self.user.as_ref() == user
     }
 
-    fn is_here(&self) -> bool {
+    fn is_on_current_thread(&self) -> bool {
         true
     }
 
-    fn brought_here(self) -> io::Result<FakeLink> {
+    fn move_to_current_thread(self) -> io::Result<FakeLink> {
         Ok(self)
     }
 
-    fn is_quiet(&mut self) -> bool {
+    fn is_healthy(&mut self) -> bool {
         true
     }
 
