--- a/crates/proxy/src/connection/admission.rs
+++ b/crates/proxy/src/connection/admission.rs
@@ -26,7 +26,7 @@
 
 /// Who asks for a turn.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct TurnRequest {
+pub struct AdmissionRequest {
     /// The class.
     pub class: ClassId,
     /// The caller, by a hash of its user name.
@@ -47,7 +47,7 @@
     classes: Vec<ClassShare>,
     queue: TargetQueue<Strategy>,
     limits: QueueLimits,
-    waiting: FastMap<Ticket, oneshot::Sender<Result<Turnstile, ErrorKind>>>,
+    waiting: FastMap<Ticket, oneshot::Sender<Result<AdmissionPermit, ErrorKind>>>,
 }
 
 impl Inner {
@@ -59,7 +59,8 @@
 
 /// What a decision does to waiting tasks. Carried out after the lock is given back, since a turn
 /// whose task has gone gives itself back.
-type Wakeup = (oneshot::Sender<Result<Turnstile, ErrorKind>>, Result<Turnstile, ErrorKind>);
+type Wakeup =
+    (oneshot::Sender<Result<AdmissionPermit, ErrorKind>>, Result<AdmissionPermit, ErrorKind>);
 
 impl AdmissionQueue {
     /// An empty queue.
@@ -88,28 +89,31 @@
             inner.classes = classes.to_vec();
             inner.queue.set_classes(classes);
         }
-        let wakeups = self.take_turns(&mut inner);
+        let wakeups = self.grant_turns(&mut inner);
         drop(inner);
         wake(wakeups);
     }
 
     /// How long a request is expected to wait.
-    pub fn predicted_wait_us(&self, request: &TurnRequest) -> u64 {
+    pub fn predicted_wait_us(&self, request: &AdmissionRequest) -> u64 {
         let inner = self.inner.lock();
         let class = inner.known_class(request.class);
         inner.queue.predicted_wait_us(class, self.clock.now_us())
     }
 
     /// Waits for a turn, or is refused.
-    pub async fn admit(self: &Arc<Self>, request: &TurnRequest) -> Result<Turnstile, Refusal> {
+    pub async fn admit(
+        self: &Arc<Self>,
+        request: &AdmissionRequest,
+    ) -> Result<AdmissionPermit, Refusal> {
         let (class, ticket, granted) = {
             let now_us = self.clock.now_us();
             let mut inner = self.inner.lock();
             let class = inner.known_class(request.class);
             match inner.queue.arrive(class, request.caller, request.deadline_us, now_us) {
-                Admission::Granted => return Ok(self.turnstile(class)),
+                Admission::Granted => return Ok(self.new_permit(class)),
                 Admission::Refused { kind, retry_after_us } => {
-                    return Err(Refusal::after(kind, retry_after_us.div_ceil(1_000)));
+                    return Err(Refusal::with_retry_after(kind, retry_after_us.div_ceil(1_000)));
                 }
                 Admission::Queued { ticket, .. } => {
                     let (sender, granted) = oneshot::channel();
@@ -126,9 +130,9 @@
         }
     }
 
-    fn turnstile(self: &Arc<Self>, class: ClassId) -> Turnstile {
+    fn new_permit(self: &Arc<Self>, class: ClassId) -> AdmissionPermit {
         let now_us = self.clock.now_us();
-        Turnstile {
+        AdmissionPermit {
             queue: Arc::clone(self),
             class,
             granted_us: now_us,
@@ -137,11 +141,11 @@
         }
     }
 
-    fn take_turns(self: &Arc<Self>, inner: &mut Inner) -> Vec<Wakeup> {
+    fn grant_turns(self: &Arc<Self>, inner: &mut Inner) -> Vec<Wakeup> {
         let mut wakeups = Vec::new();
         while let Some(turn) = inner.queue.next_turn(self.clock.now_us()) {
             let (ticket, result) = match turn {
-                Turn::Granted(grant) => (grant.ticket, Ok(self.turnstile(grant.class))),
+                Turn::Granted(grant) => (grant.ticket, Ok(self.new_permit(grant.class))),
                 Turn::TimedOut(ticket) => (ticket, Err(ErrorKind::WaitTimedOut)),
             };
             let sender = inner.waiting.remove(&ticket);
@@ -151,13 +155,13 @@
         wakeups
     }
 
-    fn change<F>(self: &Arc<Self>, change: F)
+    fn update_queue<F>(self: &Arc<Self>, update: F)
     where
         F: FnOnce(&mut TargetQueue<Strategy>),
     {
         let mut inner = self.inner.lock();
-        change(&mut inner.queue);
-        let wakeups = self.take_turns(&mut inner);
+        update(&mut inner.queue);
+        let wakeups = self.grant_turns(&mut inner);
         drop(inner);
         wake(wakeups);
     }
@@ -188,7 +192,7 @@
 
 /// A turn at the target: one statement may run, and one connection be held until this is dropped.
 #[derive(Debug)]
-pub struct Turnstile {
+pub struct AdmissionPermit {
     queue: Arc<AdmissionQueue>,
     class: ClassId,
     granted_us: u64,
@@ -196,11 +200,11 @@
     started_us: Option<u64>,
 }
 
-impl Turnstile {
+impl AdmissionPermit {
     /// The statement ended and its transaction goes on.
     pub fn statement_ended(&mut self) {
         if self.stop_running() {
-            self.queue.change(TargetQueue::statement_ended);
+            self.queue.update_queue(TargetQueue::statement_ended);
         }
     }
 
@@ -219,12 +223,12 @@
     }
 }
 
-impl Drop for Turnstile {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         let was_running = self.stop_running();
         let held_us = self.queue.clock.now_us().saturating_sub(self.granted_us);
         let (class, ran_us) = (self.class, self.ran_us);
-        self.queue.change(|queue| {
+        self.queue.update_queue(|queue| {
             if was_running {
                 queue.statement_ended();
             }
--- a/crates/proxy/src/connection/caller.rs
+++ b/crates/proxy/src/connection/caller.rs
@@ -32,13 +32,13 @@
 use crate::request::batch::Batch;
 use crate::request::batch::BatchEnd;
 use crate::request::batch::PlanContext;
+use crate::request::caller_request::CallerRequest;
 use crate::request::execute;
 use crate::request::execute::Flow;
 use crate::request::parameters::LocalStatement;
 use crate::request::parameters::Parameter;
 use crate::request::refusal::Refusal;
 use crate::request::statement::StatementTraits;
-use crate::request::unit::Unit;
 
 /// A caller after its start-up.
 #[derive(Debug)]
@@ -82,7 +82,7 @@
             match self.wait().await {
                 Wake::Gone => break,
                 Wake::Input => {
-                    if Box::pin(self.take_messages()).await == Flow::End {
+                    if Box::pin(self.take_messages()).await == Flow::Close {
                         break;
                     }
                 }
@@ -139,15 +139,15 @@
         loop {
             match self.input.next(&self.stream, limit_bytes, stall_timeout).await {
                 Ok(Some(message)) => {
-                    if self.take(message).await == Flow::End {
+                    if self.take(message).await == Flow::Close {
                         socket::linger(&mut self.stream).await;
-                        return Flow::End;
+                        return Flow::Close;
                     }
                 }
-                Ok(None) => return Flow::GoOn,
+                Ok(None) => return Flow::Continue,
                 Err(error) => {
                     self.refuse_input(&error).await;
-                    return Flow::End;
+                    return Flow::Close;
                 }
             }
         }
@@ -165,10 +165,10 @@
 
     async fn take(&mut self, message: CallerMessage) -> Flow {
         match message.tag {
-            b'X' => return Flow::End,
+            b'X' => return Flow::Close,
             // After an error the protocol has the rest of the batch dropped.
             b'S' if self.skip_to_sync => return self.sync_after_error().await,
-            _ if self.skip_to_sync => return Flow::GoOn,
+            _ if self.skip_to_sync => return Flow::Continue,
             _ => (),
         }
         match message.tag {
@@ -181,7 +181,7 @@
                 self.refuse(Refusal::with_note(ErrorKind::Unsupported, note), true).await
             }
             // Left over from a COPY that was refused.
-            b'd' | b'c' | b'f' => Flow::GoOn,
+            b'd' | b'c' | b'f' => Flow::Continue,
             _ => self.refuse(ErrorKind::ProtocolViolation.into(), true).await,
         }
     }
@@ -205,8 +205,8 @@
             return self.refuse(batch::copy_refused(), true).await;
         }
         let session_set = traits.sets.then(|| text.to_owned());
-        let unit = Unit::Simple { frame: message.frame, traits, session_set };
-        execute::run(self, &unit).await
+        let caller_request = CallerRequest::Simple { frame: message.frame, traits, session_set };
+        execute::run(self, &caller_request).await
     }
 
     async fn answer_locally(&mut self, local: &LocalStatement) -> Flow {
@@ -232,7 +232,7 @@
         let batch = self.batch.get_or_insert_default();
         batch.push(message);
         if batch.bytes() <= self.traffic.limits.message_bytes {
-            return Flow::GoOn;
+            return Flow::Continue;
         }
         self.refuse(ErrorKind::MessageTooLarge.into(), false).await
     }
@@ -261,7 +261,7 @@
             }
             return answer::write(self, &out, &[]).await;
         }
-        execute::run(self, &Unit::Batch { plan, end }).await
+        execute::run(self, &CallerRequest::Batch { plan, end }).await
     }
 
     async fn sync_after_error(&mut self) -> Flow {
--- a/crates/proxy/src/connection/callers.rs
+++ b/crates/proxy/src/connection/callers.rs
@@ -51,15 +51,15 @@
     /// If the newest were turned away instead, a flood of connections that send nothing would hold
     /// every place until the start-up times out, and callers would be refused meanwhile. A caller's
     /// start-up takes a round trip, so it is done long before as many newer ones have come.
-    pub fn begin(self: &Arc<Self>) -> HalfOpenPermit {
+    pub fn begin_startup(self: &Arc<Self>) -> HalfOpenPermit {
         let mut counts = self.counts.lock();
         if counts.half_open.len() >= self.half_open_limit {
             counts.half_open.pop_first();
         }
         let number = counts.next_half_open;
         counts.next_half_open += 1;
-        let (place, evicted) = oneshot::channel();
-        counts.half_open.insert(number, place);
+        let (evict_sender, evicted) = oneshot::channel();
+        counts.half_open.insert(number, evict_sender);
         HalfOpenPermit { callers: Arc::clone(self), number, evicted }
     }
 
@@ -70,12 +70,12 @@
             return Err(ErrorKind::TooManyConnections.into());
         }
         if let Some(user) = user {
-            let of_user = counts.by_user.entry(user.into()).or_default();
-            if *of_user >= self.per_user_limit {
+            let user_count = counts.by_user.entry(user.into()).or_default();
+            if *user_count >= self.per_user_limit {
                 let note = format!("of user `{user}`");
                 return Err(Refusal::with_note(ErrorKind::TooManyConnections, note));
             }
-            *of_user += 1;
+            *user_count += 1;
         }
         counts.callers += 1;
         Ok(CallerPermit { callers: Arc::clone(self), user: user.map(Box::from) })
@@ -116,9 +116,9 @@
         let mut counts = self.callers.counts.lock();
         counts.callers -= 1;
         let Some(user) = &self.user else { return };
-        if let Some(of_user) = counts.by_user.get_mut(user) {
-            *of_user -= 1;
-            if *of_user == 0 {
+        if let Some(user_count) = counts.by_user.get_mut(user) {
+            *user_count -= 1;
+            if *user_count == 0 {
                 counts.by_user.remove(user);
             }
         }
--- a/crates/proxy/src/connection/lease.rs
+++ b/crates/proxy/src/connection/lease.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::connection::admission::Turnstile;
+use crate::connection::admission::AdmissionPermit;
 use crate::connection::pool::Pool;
 use crate::connection::pooled_connection::PooledConnection;
 
@@ -15,15 +15,19 @@
 {
     connection: Option<L>,
     pool: Arc<Pool<L>>,
-    turn: Option<Turnstile>,
+    permit: Option<AdmissionPermit>,
 }
 
 impl<L> Lease<L>
 where
     L: PooledConnection,
 {
-    pub(super) fn new(connection: L, pool: &Arc<Pool<L>>, turn: Option<Turnstile>) -> Lease<L> {
-        Lease { connection: Some(connection), pool: Arc::clone(pool), turn }
+    pub(super) fn new(
+        connection: L,
+        pool: &Arc<Pool<L>>,
+        permit: Option<AdmissionPermit>,
+    ) -> Lease<L> {
+        Lease { connection: Some(connection), pool: Arc::clone(pool), permit }
     }
 
     /// The connection.
@@ -38,33 +42,33 @@
 
     /// The statement ended and its transaction keeps the connection.
     pub fn statement_ended(&mut self) {
-        if let Some(turn) = &mut self.turn {
-            turn.statement_ended();
+        if let Some(permit) = &mut self.permit {
+            permit.statement_ended();
         }
     }
 
     /// The next statement of the transaction runs.
     pub fn statement_started(&mut self) {
-        if let Some(turn) = &mut self.turn {
-            turn.statement_started();
+        if let Some(permit) = &mut self.permit {
+            permit.statement_started();
         }
     }
 
     /// Gives the connection back. One that is not at idle, or whose session may have changed, goes
     /// to another caller only once it is as new.
-    pub fn give_back(mut self) {
+    pub fn return_to_pool(mut self) {
         let Some(connection) = self.connection.take() else { return };
         let is_idle = connection.is_idle();
         if is_idle && !connection.needs_reset() && !self.pool.options.reset_always {
-            self.pool.put_back(connection);
+            self.pool.return_idle(connection);
             return;
         }
         let pool = Arc::clone(&self.pool);
-        let turn = self.turn.take();
+        let permit = self.permit.take();
         tokio::spawn(async move {
             pool.recover(connection, !is_idle).await;
             // The turn ends with the recovery: the target is still busy with it.
-            drop(turn);
+            drop(permit);
         });
     }
 
@@ -74,13 +78,13 @@
         let Some(mut connection) = self.connection.take() else { return };
         let timeout = Duration::from_millis(self.pool.options.drain_ms);
         let pool = Arc::clone(&self.pool);
-        let turn = self.turn.take();
+        let permit = self.permit.take();
         tokio::spawn(async move {
             // A connection that does not end in time is reset by being dropped.
             let _ = connection.terminate(timeout).await;
             drop(connection);
-            pool.forget_one();
-            drop(turn);
+            pool.connection_closed();
+            drop(permit);
         });
     }
 }
@@ -91,7 +95,7 @@
 {
     fn drop(&mut self) {
         if self.connection.take().is_some() {
-            self.pool.forget_one();
+            self.pool.connection_closed();
         }
     }
 }
--- a/crates/proxy/src/connection/pinned.rs
+++ b/crates/proxy/src/connection/pinned.rs
@@ -5,8 +5,8 @@
 use crate::connection::cancel::CancelSlot;
 use crate::connection::lease::Lease;
 use crate::connection::target_connection::TargetConnection;
-use crate::request::context::Scene;
-use crate::request::exchange::Ending;
+use crate::request::context::GroupSnapshot;
+use crate::request::exchange::ExchangeResult;
 
 /// The connection of an open transaction, and what the transaction's later requests need.
 #[derive(Debug)]
@@ -14,7 +14,7 @@
     /// The connection.
     pub lease: Lease<TargetConnection>,
     /// The version that the transaction was routed with.
-    pub scene: Scene,
+    pub snapshot: GroupSnapshot,
     /// Whether the other end is a proxy, which waits for confirmations itself.
     pub is_peer: bool,
     /// Whether the transaction was routed as a read.
@@ -33,16 +33,16 @@
 impl Pinned {
     /// Ends the transaction: the connection goes back, or is closed if a cancel may still hit it.
     pub fn end(self, cancel: &Arc<CancelSlot>) {
-        give_back(self.lease, cancel);
+        return_to_pool(self.lease, cancel);
     }
 }
 
 /// Gives a connection back, unless a cancel was passed on to it that may arrive late and hit the
 /// request of the next caller.
-pub fn give_back(lease: Lease<TargetConnection>, cancel: &Arc<CancelSlot>) {
+pub fn return_to_pool(lease: Lease<TargetConnection>, cancel: &Arc<CancelSlot>) {
     match cancel.release() {
         true => lease.close(),
-        false => lease.give_back(),
+        false => lease.return_to_pool(),
     }
 }
 
@@ -54,9 +54,13 @@
 
 /// Ends the hold of a request that has no answer: a connection that still works is drained and
 /// reset, one that said goodbye is closed.
-pub fn close_or_recover(lease: Lease<TargetConnection>, cancel: &Arc<CancelSlot>, ending: &Ending) {
-    match ending {
-        Ending::Farewell(_) => close(lease, cancel),
-        _ => give_back(lease, cancel),
+pub fn close_or_recover(
+    lease: Lease<TargetConnection>,
+    cancel: &Arc<CancelSlot>,
+    result: &ExchangeResult,
+) {
+    match result {
+        ExchangeResult::Terminated(_) => close(lease, cancel),
+        _ => return_to_pool(lease, cancel),
     }
 }
--- a/crates/proxy/src/connection/pool.rs
+++ b/crates/proxy/src/connection/pool.rs
@@ -24,12 +24,12 @@
 use tokio::sync::oneshot;
 use tokio::time;
 
-use crate::connection::admission::Turnstile;
+use crate::connection::admission::AdmissionPermit;
 use crate::connection::lease::Lease;
-use crate::connection::pool_state::State;
-use crate::connection::pool_state::Upkeep;
+use crate::connection::pool_state::MaintenancePlan;
+use crate::connection::pool_state::PoolState;
 use crate::connection::pool_state::User;
-use crate::connection::pool_state::Waiting;
+use crate::connection::pool_state::Waiter;
 use crate::connection::pooled_connection::PooledConnection;
 use crate::connection::target_connection::OpenError;
 use crate::process::clock::MonotonicClock;
@@ -65,7 +65,7 @@
 {
     pub(super) options: PoolOptions<L::Login>,
     counters: Arc<Counters>,
-    state: Mutex<State<L>>,
+    state: Mutex<PoolState<L>>,
 }
 
 impl<L> Pool<L>
@@ -76,7 +76,7 @@
     pub fn new(options: PoolOptions<L::Login>, counters: Arc<Counters>) -> Pool<L> {
         let now_us = options.clock.now_us();
         let budget = ConnectionBudget::new(options.budget, 0, options.jitter_seed, now_us);
-        Pool { options, counters, state: Mutex::new(State::new(budget)) }
+        Pool { options, counters, state: Mutex::new(PoolState::new(budget)) }
     }
 
     /// The address that the pool connects to.
@@ -90,19 +90,21 @@
     }
 
     /// Whether there are no connections, nobody waits for one, and none failed.
-    pub fn rests(&self) -> bool {
+    pub fn is_unused(&self) -> bool {
         let state = self.state.lock();
-        state.budget.total() == 0 && state.waiting.is_empty() && state.failing.is_none()
+        state.budget.total() == 0
+            && state.waiting.is_empty()
+            && state.last_connect_failure.is_none()
     }
 
     /// Whether the last try to connect failed.
     pub fn is_failing(&self) -> bool {
-        self.state.lock().failing.is_some()
+        self.state.lock().last_connect_failure.is_some()
     }
 
     /// Why the last try to connect failed; none if it succeeded.
-    pub fn failing(&self) -> Option<Failure> {
-        self.state.lock().failing
+    pub fn last_connect_failure(&self) -> Option<Failure> {
+        self.state.lock().last_connect_failure
     }
 
     /// Changes how connections are kept and opened.
@@ -117,7 +119,8 @@
 
     /// Opens connections ahead of need and closes those that are no longer needed.
     pub fn maintain(self: &Arc<Self>) {
-        let Upkeep { open, closed, replaced } = self.state.lock().plan(self.options.clock.now_us());
+        let MaintenancePlan { open, closed, replaced } =
+            self.state.lock().plan(self.options.clock.now_us());
         self.count_closed(closed.len());
         self.counters.add(Event::ConnectionsReplaced, u64::from(replaced));
         // Closed before others are opened in their place: the target counts both otherwise.
@@ -135,26 +138,26 @@
     pub async fn take(
         self: &Arc<Self>,
         user: Option<&Arc<str>>,
-        turn: Option<Turnstile>,
+        permit: Option<AdmissionPermit>,
         deadline: Instant,
     ) -> Result<Lease<L>, Failure> {
         if let Some(connection) = self.take_idle(user) {
             self.counters.event(Event::ConnectionsFound);
-            return Ok(Lease::new(connection, self, turn));
+            return Ok(Lease::new(connection, self, permit));
         }
         self.counters.event(Event::ConnectionsMissed);
         let mut receiver = {
             let (sender, receiver) = oneshot::channel();
-            self.state.lock().waiting.push_back(Waiting { user: user.cloned(), sender });
+            self.state.lock().waiting.push_back(Waiter { user: user.cloned(), sender });
             receiver
         };
         self.maintain();
-        self.give_up_if_unreachable();
+        self.fail_waiters_if_unreachable();
         match time::timeout_at(deadline.into(), &mut receiver).await {
-            Ok(Ok(taken)) => self.lease(taken?, turn),
+            Ok(Ok(taken)) => self.lease(taken?, permit),
             Ok(Err(_)) => Err(Failure::Broken),
             Err(_) => {
-                self.take_back(receiver);
+                self.cancel_wait(receiver);
                 Err(Failure::TimedOut)
             }
         }
@@ -164,12 +167,12 @@
     fn lease(
         self: &Arc<Self>,
         connection: L,
-        turn: Option<Turnstile>,
+        permit: Option<AdmissionPermit>,
     ) -> Result<Lease<L>, Failure> {
         match connection.move_to_current_thread() {
-            Ok(connection) => Ok(Lease::new(connection, self, turn)),
+            Ok(connection) => Ok(Lease::new(connection, self, permit)),
             Err(_) => {
-                self.forget_one();
+                self.connection_closed();
                 Err(Failure::Broken)
             }
         }
@@ -177,40 +180,40 @@
 
     /// Those who wait for a target that can't be reached at all had better go elsewhere. While a
     /// connection is open or being opened, it is waited for.
-    fn give_up_if_unreachable(&self) {
+    fn fail_waiters_if_unreachable(&self) {
         let mut state = self.state.lock();
-        let Some(failure) = state.failing else { return };
+        let Some(failure) = state.last_connect_failure else { return };
         if state.budget.total() > 0 {
             return;
         }
         let waiting = std::mem::take(&mut state.waiting);
         drop(state);
-        for waiting in waiting {
-            let _ = waiting.sender.send(Err(failure));
+        for waiter in waiting {
+            let _ = waiter.sender.send(Err(failure));
         }
     }
 
     /// A target that refuses connections, for instance because it is leaving, would refuse the statements of
     /// those who wait for one as well. Without this they wait for a connection that is in use until their time
     /// is up.
-    fn refuse_waiting(&self, user: &User, failure: Failure) {
+    fn fail_waiters_of_user(&self, user: &User, failure: Failure) {
         let mut state = self.state.lock();
         let all = std::mem::take(&mut state.waiting);
         let (refused, others): (VecDeque<_>, VecDeque<_>) =
-            all.into_iter().partition(|waiting| waiting.user == *user);
+            all.into_iter().partition(|waiter| waiter.user == *user);
         state.waiting = others;
         drop(state);
-        for waiting in refused {
+        for waiter in refused {
             // One whose time is up waits no longer.
-            let _ = waiting.sender.send(Err(failure));
+            let _ = waiter.sender.send(Err(failure));
         }
     }
 
     /// Stops waiting; a connection that was handed over at the last moment goes back.
-    fn take_back(self: &Arc<Self>, mut receiver: oneshot::Receiver<Result<L, Failure>>) {
+    fn cancel_wait(self: &Arc<Self>, mut receiver: oneshot::Receiver<Result<L, Failure>>) {
         receiver.close();
         if let Ok(Ok(connection)) = receiver.try_recv() {
-            self.put_back(connection);
+            self.return_idle(connection);
         }
     }
 
@@ -219,7 +222,7 @@
         loop {
             let connection = {
                 let mut state = self.state.lock();
-                state.has_users |= user.is_some();
+                state.is_per_user |= user.is_some();
                 let connection = state.pop_idle(user)?;
                 let taken = state.budget.take(self.options.clock.now_us());
                 debug_assert!(taken, "the budget counts each idle connection");
@@ -242,9 +245,9 @@
             Ok(connection) => {
                 self.counters.event(Event::ConnectionsOpened);
                 let mut state = self.state.lock();
-                state.opening_ended(&user);
+                state.remove_opening(&user);
                 state.budget.opened();
-                state.failing = None;
+                state.last_connect_failure = None;
                 self.hand_over(state, connection);
             }
             Err(error) => {
@@ -253,20 +256,20 @@
                 {
                     let mut state = self.state.lock();
                     let now_us = self.options.clock.now_us();
-                    state.opening_ended(&user);
+                    state.remove_opening(&user);
                     state.budget.open_failed(connect_failure(failure), now_us);
-                    state.failing = Some(failure);
+                    state.last_connect_failure = Some(failure);
                 }
                 if is_refusal(failure) {
-                    self.refuse_waiting(&user, failure);
+                    self.fail_waiters_of_user(&user, failure);
                 }
-                self.give_up_if_unreachable();
+                self.fail_waiters_if_unreachable();
             }
         }
     }
 
     /// Takes back an idle connection.
-    pub(super) fn put_back(self: &Arc<Self>, connection: L) {
+    pub(super) fn return_idle(self: &Arc<Self>, connection: L) {
         let mut state = self.state.lock();
         state.budget.gave_back();
         self.hand_over(state, connection);
@@ -274,12 +277,12 @@
 
     /// Hands a connection that counts as idle to the first whom it serves, or keeps it. Where others wait it may
     /// give way to one of theirs.
-    fn hand_over(self: &Arc<Self>, mut state: MutexGuard<'_, State<L>>, mut connection: L) {
-        let serves =
-            |waiting: &Waiting<L>, connection: &L| connection.serves(waiting.user.as_ref());
-        while let Some(place) = state.waiting.iter().position(|it| serves(it, &connection)) {
-            let Some(waiting) = state.waiting.remove(place) else { break };
-            match waiting.sender.send(Ok(connection)) {
+    fn hand_over(self: &Arc<Self>, mut state: MutexGuard<'_, PoolState<L>>, mut connection: L) {
+        let serves = |waiter: &Waiter<L>, connection: &L| connection.serves(waiter.user.as_ref());
+        while let Some(index) = state.waiting.iter().position(|waiter| serves(waiter, &connection))
+        {
+            let Some(waiter) = state.waiting.remove(index) else { break };
+            match waiter.sender.send(Ok(connection)) {
                 Ok(()) => {
                     state.budget.take(self.options.clock.now_us());
                     return;
@@ -296,7 +299,7 @@
         }
     }
 
-    pub(super) fn forget_one(self: &Arc<Self>) {
+    pub(super) fn connection_closed(self: &Arc<Self>) {
         self.state.lock().budget.used_closed();
         self.count_closed(1);
         self.maintain();
@@ -317,12 +320,12 @@
         };
         self.counters.event(event);
         if recovered {
-            self.put_back(connection);
+            self.return_idle(connection);
             return;
         }
         // The socket is closed before its place is given to a new connection.
         drop(connection);
-        self.forget_one();
+        self.connection_closed();
     }
 }
 
--- a/crates/proxy/src/connection/pool_state.rs
+++ b/crates/proxy/src/connection/pool_state.rs
@@ -11,21 +11,21 @@
 use crate::connection::pooled_connection::PooledConnection;
 
 /// How many of the newest idle connections are looked at for one that this thread watches.
-const LOOKED_AT: usize = 32;
+const MAX_THREAD_MATCH_CANDIDATES: usize = 32;
 
 /// The connections of a pool and who waits for them.
 #[derive(Debug)]
-pub(super) struct State<L> {
+pub(super) struct PoolState<L> {
     /// Idle connections, the one that was not used for longest first.
     pub(super) idle: Vec<L>,
-    pub(super) waiting: VecDeque<Waiting<L>>,
+    pub(super) waiting: VecDeque<Waiter<L>>,
     /// The users for whom connections are being opened.
     pub(super) opening: Vec<User>,
     /// Whether connections are taken for users.
-    pub(super) has_users: bool,
+    pub(super) is_per_user: bool,
     pub(super) budget: ConnectionBudget,
     /// Why the last try to connect failed, until one succeeds.
-    pub(super) failing: Option<Failure>,
+    pub(super) last_connect_failure: Option<Failure>,
 }
 
 /// Whose statements a connection is for; none if anybody's connection will do.
@@ -33,13 +33,13 @@
 
 /// A request that waits for a connection.
 #[derive(Debug)]
-pub(super) struct Waiting<L> {
+pub(super) struct Waiter<L> {
     pub(super) user: User,
     pub(super) sender: oneshot::Sender<Result<L, Failure>>,
 }
 
 /// What is to be done about a pool now.
-pub(super) struct Upkeep<L> {
+pub(super) struct MaintenancePlan<L> {
     /// For whom connections are to be opened.
     pub(super) open: Vec<User>,
     /// Connections to close.
@@ -48,27 +48,27 @@
     pub(super) replaced: u32,
 }
 
-impl<L> State<L>
+impl<L> PoolState<L>
 where
     L: PooledConnection,
 {
     /// No connections, and nobody who waits.
-    pub(super) fn new(budget: ConnectionBudget) -> State<L> {
-        State {
+    pub(super) fn new(budget: ConnectionBudget) -> PoolState<L> {
+        PoolState {
             idle: Vec::new(),
             waiting: VecDeque::new(),
             opening: Vec::new(),
-            has_users: false,
+            is_per_user: false,
             budget,
-            failing: None,
+            last_connect_failure: None,
         }
     }
 
     /// Decides which connections are opened and closed now.
-    pub(super) fn plan(&mut self, now_us: u64) -> Upkeep<L> {
-        let (plan, open) = match self.has_users {
+    pub(super) fn plan(&mut self, now_us: u64) -> MaintenancePlan<L> {
+        let (plan, open) = match self.is_per_user {
             true => {
-                let waiting = self.waiting.iter().map(|waiting| &waiting.user);
+                let waiting = self.waiting.iter().map(|waiter| &waiter.user);
                 let mut missing = connection_budget::missing_users(waiting, &self.opening);
                 let plan = self.budget.plan_for_users(missing.len() as u32, now_us);
                 missing.truncate(plan.open as usize);
@@ -82,22 +82,22 @@
         };
         self.opening.extend_from_slice(&open);
         let closed = self.idle.drain(..plan.close as usize).collect();
-        Upkeep { open, closed, replaced: plan.replaced }
+        MaintenancePlan { open, closed, replaced: plan.replaced }
     }
 
     /// The newest idle connection that serves a user, sooner one that this thread watches already.
     pub(super) fn pop_idle(&mut self, user: Option<&Arc<str>>) -> Option<L> {
         let fits = |(_, connection): &(usize, &L)| connection.serves(user);
         let newest = || self.idle.iter().enumerate().rev().filter(fits);
-        let mut looked_at = newest().take(LOOKED_AT);
-        let here = looked_at.find(|(_, connection)| connection.is_on_current_thread());
-        let (place, _) = here.or_else(|| newest().next())?;
-        Some(self.idle.remove(place))
+        let mut candidates = newest().take(MAX_THREAD_MATCH_CANDIDATES);
+        let on_this_thread = candidates.find(|(_, connection)| connection.is_on_current_thread());
+        let (index, _) = on_this_thread.or_else(|| newest().next())?;
+        Some(self.idle.remove(index))
     }
 
-    pub(super) fn opening_ended(&mut self, user: &User) {
-        if let Some(place) = self.opening.iter().position(|known| known == user) {
-            self.opening.swap_remove(place);
+    pub(super) fn remove_opening(&mut self, user: &User) {
+        if let Some(index) = self.opening.iter().position(|known| known == user) {
+            self.opening.swap_remove(index);
         }
     }
 }
--- a/crates/proxy/src/connection/pools.rs
+++ b/crates/proxy/src/connection/pools.rs
@@ -90,12 +90,12 @@
         if let Some(known) = targets.get(&target.name).filter(is_current) {
             return Arc::clone(known);
         }
-        let made = self.new_target(published, id);
-        if let Some(old) = targets.insert(target.name.clone(), Arc::clone(&made)) {
+        let created = self.new_target(published, id);
+        if let Some(old) = targets.insert(target.name.clone(), Arc::clone(&created)) {
             old.pool.set_share(0);
             old.pool.maintain();
         }
-        made
+        created
     }
 
     /// The pool towards another proxy for one group.
@@ -132,7 +132,7 @@
 
     /// Brings the pools to what a version says, and lets each open and close connections.
     pub fn maintain(&self, published: &Published) {
-        self.close_left(published);
+        self.close_removed(published);
         for index in 0..published.homes.len() {
             let id = TargetId(index as u32);
             if published.is_home(id) {
@@ -147,7 +147,7 @@
     }
 
     /// Gives up the connections to targets that this VM is no longer home to, and to VMs that went.
-    fn close_left(&self, published: &Published) {
+    fn close_removed(&self, published: &Published) {
         let topology = &published.topology;
         self.targets.write().retain(|name, entry| {
             let is_home = topology.target_id(name).is_some_and(|id| published.is_home(id));
@@ -181,14 +181,14 @@
     fn queue_limits(&self, target: &Target, homes: usize, rank: usize) -> QueueLimits {
         let queued = self.limits.queue_length;
         let queued_per_class = queued / 2 + 1;
-        let usual = QueueLimits::default();
+        let defaults = QueueLimits::default();
         QueueLimits {
             running: homes::connection_share(target.slots, homes, rank) + RUNNING_BEYOND_SLOTS,
             connections: homes::connection_share(target.connections, homes, rank),
             queued,
             queued_per_class,
-            queued_per_caller: (queued_per_class / 8).clamp(1, usual.queued_per_caller),
-            ..usual
+            queued_per_caller: (queued_per_class / 8).clamp(1, defaults.queued_per_caller),
+            ..defaults
         }
     }
 
--- a/crates/proxy/src/process/traffic.rs
+++ b/crates/proxy/src/process/traffic.rs
@@ -204,7 +204,7 @@
 fn begin(traffic: &Arc<Traffic>, stream: TcpStream, event_loop: &Handle) {
     // A socket that can't be taken out of this loop is of no use; dropping it closes it.
     let Ok(stream) = stream.into_std() else { return };
-    let permit = traffic.callers.begin();
+    let permit = traffic.callers.begin_startup();
     let traffic = Arc::clone(traffic);
     event_loop.spawn(serve_one(traffic, stream, permit));
 }
--- a/crates/proxy/src/request/answer.rs
+++ b/crates/proxy/src/request/answer.rs
@@ -23,15 +23,15 @@
 use crate::process::counters::Event;
 use crate::request::acknowledge;
 use crate::request::acknowledge::Verdict;
+use crate::request::caller_request::CallerRequest;
 use crate::request::exchange::Answer;
-use crate::request::exchange::Ending;
+use crate::request::exchange::ExchangeResult;
 use crate::request::execute::Flow;
 use crate::request::refusal::Refusal;
-use crate::request::unit::Unit;
 
 /// The circumstances of an answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Written {
+pub struct AnswerContext {
     /// When the request is given up.
     pub deadline: Instant,
     /// Whether it belonged to an open transaction.
@@ -49,12 +49,12 @@
 /// Ends a request whose answer came whole.
 pub async fn complete(
     caller: &mut Caller,
-    unit: &Unit,
+    caller_request: &CallerRequest,
     mut held: Pinned,
     answer: Answer,
-    written: Written,
+    answer_context: AnswerContext,
 ) -> Flow {
-    let scene = held.scene.clone();
+    let snapshot = held.snapshot.clone();
     let commit = answer.commit.map(|position| Commit {
         position,
         identity: held.identity.clone(),
@@ -65,11 +65,11 @@
     let is_over = answer.status.is_some_and(|status| status == frames::STATUS_IDLE);
     if is_over {
         // The connection serves others while this answer waits for its confirmation.
-        pinned::give_back(held.lease, &caller.cancel);
-        remember_set(caller, unit, &answer, written);
+        pinned::return_to_pool(held.lease, &caller.cancel);
+        remember_set(caller, caller_request, &answer, answer_context);
     } else {
         held.lease.statement_ended();
-        let begins_implicit = held.is_implicit || !written.was_in_transaction;
+        let begins_implicit = held.is_implicit || !answer_context.was_in_transaction;
         held.is_implicit = answer.status.is_none() && begins_implicit;
         held.awaits_sync = answer.status.is_none();
         caller.skip_to_sync = held.awaits_sync && answer.has_error;
@@ -77,9 +77,9 @@
     }
     let mut out = BytesMut::new();
     if let Some(commit) = commit {
-        match settle(caller, &scene, &commit, written.deadline).await {
+        match confirm_and_record(caller, &snapshot, &commit, answer_context.deadline).await {
             true => report_commit(caller, &commit, &mut out),
-            false => return lose(caller, ErrorKind::NotConfirmed).await,
+            false => return fail_and_close(caller, ErrorKind::NotConfirmed).await,
         }
     }
     report_served(caller, &mut out);
@@ -91,15 +91,15 @@
 }
 
 /// Waits until the commit may be seen: confirmed by a majority, and recorded for its session.
-async fn settle(
+async fn confirm_and_record(
     caller: &Caller,
-    scene: &crate::request::context::Scene,
+    snapshot: &crate::request::context::GroupSnapshot,
     commit: &Commit,
     deadline: Instant,
 ) -> bool {
     let traffic = &caller.traffic;
     if !commit.confirmed {
-        let live = &scene.published.group(scene.group).live;
+        let live = &snapshot.published.group(snapshot.group).live;
         let confirm_by = traffic.confirm_deadline(deadline);
         if acknowledge::wait(live, commit.position, confirm_by).await == Verdict::Unknown {
             return false;
@@ -111,12 +111,12 @@
     traffic.counters.event(Event::WritesAcknowledged);
     let (sender, recorded) = oneshot::channel();
     let event = ControlEvent::WriteAcknowledged {
-        group: scene.group,
+        group: snapshot.group,
         session: commit.identity.as_deref().map(str::to_owned),
         position: commit.position,
         recorded: sender,
     };
-    traffic.control.send(Arc::clone(&scene.published), event);
+    traffic.control.send(Arc::clone(&snapshot.published), event);
     if commit.identity.is_none() {
         return true;
     }
@@ -144,12 +144,17 @@
 }
 
 /// Remembers a session's `SET` that took effect outside a transaction.
-fn remember_set(caller: &mut Caller, unit: &Unit, answer: &Answer, written: Written) {
+fn remember_set(
+    caller: &mut Caller,
+    caller_request: &CallerRequest,
+    answer: &Answer,
+    answer_context: AnswerContext,
+) {
     let is_forwarded = caller.session.forwarded_by.is_some();
-    if written.was_in_transaction || answer.has_error || is_forwarded {
+    if answer_context.was_in_transaction || answer.has_error || is_forwarded {
         return;
     }
-    if let Some(set) = unit.session_set() {
+    if let Some(set) = caller_request.session_set() {
         // One setting too many stays without effect, as if it had been reset; the caller can't be
         // refused any more, since it ran.
         let _ = caller.session.remember_setting(set);
@@ -157,39 +162,47 @@
 }
 
 /// Ends a request that has no answer of its own.
-pub async fn end(caller: &mut Caller, lease: Lease<TargetConnection>, ending: Ending) -> Flow {
-    pinned::close_or_recover(lease, &caller.cancel, &ending);
-    match ending {
-        Ending::NotConfirmed => lose(caller, ErrorKind::NotConfirmed).await,
-        Ending::Farewell(frame) => {
+pub async fn finish_without_answer(
+    caller: &mut Caller,
+    lease: Lease<TargetConnection>,
+    result: ExchangeResult,
+) -> Flow {
+    pinned::close_or_recover(lease, &caller.cancel, &result);
+    match result {
+        ExchangeResult::NotConfirmed => fail_and_close(caller, ErrorKind::NotConfirmed).await,
+        ExchangeResult::Terminated(frame) => {
             write(caller, &frame, &[]).await;
-            Flow::End
+            Flow::Close
         }
-        Ending::CallerTooSlow => {
+        ExchangeResult::CallerTooSlow => {
             caller.traffic.counters.refusal(ErrorKind::CallerTooSlow);
-            Flow::End
+            Flow::Close
         }
-        Ending::Torn | Ending::CallerGone => Flow::End,
-        Ending::Complete(_) | Ending::Failed(_) => {
+        ExchangeResult::PartialMessage | ExchangeResult::CallerGone => Flow::Close,
+        ExchangeResult::Complete(_) | ExchangeResult::FailedAttempt(_) => {
             unreachable!("complete answers and failed tries are ended elsewhere")
         }
     }
 }
 
 /// Answers with a kind that ends the caller's connection.
-async fn lose(caller: &mut Caller, kind: ErrorKind) -> Flow {
+async fn fail_and_close(caller: &mut Caller, kind: ErrorKind) -> Flow {
     caller.end_transaction();
     let mut out = BytesMut::new();
     caller.traffic.counters.refusal(kind);
     Refusal::from(kind).write(&mut out);
     write(caller, &out, &[]).await;
-    Flow::End
+    Flow::Close
 }
 
 /// Answers a request with another proxy's refusal.
-pub async fn pass_on(caller: &mut Caller, unit: &Unit, refusal: &[u8]) -> Flow {
+pub async fn relay_refusal(
+    caller: &mut Caller,
+    caller_request: &CallerRequest,
+    refusal: &[u8],
+) -> Flow {
     let mut end = BytesMut::new();
-    match unit.awaits_ready() {
+    match caller_request.awaits_ready() {
         true => frames::ready_for_query(&mut end, caller.status()),
         false => caller.skip_to_sync = true,
     }
@@ -197,8 +210,12 @@
 }
 
 /// Answers a request with a refusal.
-pub async fn refuse(caller: &mut Caller, unit: &Unit, refusal: &Refusal) -> Flow {
-    refuse_message(caller, refusal, unit.awaits_ready()).await
+pub async fn refuse(
+    caller: &mut Caller,
+    caller_request: &CallerRequest,
+    refusal: &Refusal,
+) -> Flow {
+    refuse_message(caller, refusal, caller_request.awaits_ready()).await
 }
 
 /// Answers with a refusal, and a ReadyForQuery where the request awaits one.
@@ -206,10 +223,10 @@
     caller.traffic.counters.refusal(refusal.kind);
     let mut out = BytesMut::new();
     refusal.write(&mut out);
-    if refusal.closes() {
+    if refusal.closes_connection() {
         caller.end_transaction();
         write(caller, &out, &[]).await;
-        return Flow::End;
+        return Flow::Close;
     }
     match awaits_ready {
         true => frames::ready_for_query(&mut out, caller.status()),
@@ -222,12 +239,12 @@
 pub async fn write(caller: &Caller, first: &[u8], second: &[u8]) -> Flow {
     let stall_timeout = caller.traffic.limits.slow_reader();
     match socket::write_both(&caller.stream, first, second, stall_timeout).await {
-        Ok(()) => Flow::GoOn,
+        Ok(()) => Flow::Continue,
         Err(error) => {
             if error.kind() == std::io::ErrorKind::TimedOut {
                 caller.traffic.counters.refusal(ErrorKind::CallerTooSlow);
             }
-            Flow::End
+            Flow::Close
         }
     }
 }
--- a/crates/proxy/src/request/unit.rs
+++ b/crates/proxy/src/request/caller_request.rs
@@ -9,12 +9,12 @@
 use crate::connection::target_connection::TargetConnection;
 use crate::request::batch::BatchEnd;
 use crate::request::batch::Plan;
-use crate::request::exchange::Encoded;
+use crate::request::exchange::EncodedRequest;
 use crate::request::statement::StatementTraits;
 
 /// A request of a caller.
 #[derive(Clone, Debug)]
-pub enum Unit {
+pub enum CallerRequest {
     /// A simple query.
     Simple {
         /// The frame.
@@ -33,28 +33,28 @@
     },
 }
 
-impl Unit {
+impl CallerRequest {
     /// What its texts show.
     pub fn traits(&self) -> &StatementTraits {
         match self {
-            Unit::Simple { traits, .. } => traits,
-            Unit::Batch { plan, .. } => &plan.traits,
+            CallerRequest::Simple { traits, .. } => traits,
+            CallerRequest::Batch { plan, .. } => &plan.traits,
         }
     }
 
     /// The text of the session's parameter that it sets, if that is all it does.
     pub fn session_set(&self) -> Option<&str> {
         match self {
-            Unit::Simple { session_set, .. } => session_set.as_deref(),
-            Unit::Batch { plan, .. } => plan.session_set.as_deref(),
+            CallerRequest::Simple { session_set, .. } => session_set.as_deref(),
+            CallerRequest::Batch { plan, .. } => plan.session_set.as_deref(),
         }
     }
 
     /// Whether its answer ends with a ReadyForQuery.
     pub fn awaits_ready(&self) -> bool {
         match self {
-            Unit::Simple { .. } => true,
-            Unit::Batch { end, .. } => *end == BatchEnd::Sync,
+            CallerRequest::Simple { .. } => true,
+            CallerRequest::Batch { end, .. } => *end == BatchEnd::Sync,
         }
     }
 
@@ -74,22 +74,22 @@
         prelude: BytesMut,
         prelude_ready: u32,
         prepared_limit: usize,
-    ) -> std::io::Result<Encoded> {
-        let mut encoded = Encoded {
+    ) -> std::io::Result<EncodedRequest> {
+        let mut encoded = EncodedRequest {
             prelude_bytes: prelude.len(),
             prelude_ready,
             awaits_ready: self.awaits_ready(),
             changes_session: self.traits().changes_session,
-            ..Encoded::default()
+            ..EncodedRequest::default()
         };
         let mut out = prelude;
         match self {
-            Unit::Simple { frame, .. } if out.is_empty() => encoded.bytes = frame.clone(),
-            Unit::Simple { frame, .. } => {
+            CallerRequest::Simple { frame, .. } if out.is_empty() => encoded.bytes = frame.clone(),
+            CallerRequest::Simple { frame, .. } => {
                 out.extend_from_slice(frame);
                 encoded.bytes = out.freeze();
             }
-            Unit::Batch { plan, end } => {
+            CallerRequest::Batch { plan, end } => {
                 let mut replies = Replies::default();
                 encoded.prepared_again =
                     plan.encode(&mut connection.prepared, prepared_limit, &mut out, &mut replies)?;
--- a/crates/proxy/src/request/context.rs
+++ b/crates/proxy/src/request/context.rs
@@ -13,7 +13,7 @@
 use skylark_core::request::retry;
 use skylark_core::version::topology::Service;
 
-use crate::connection::admission::TurnRequest;
+use crate::connection::admission::AdmissionRequest;
 use crate::connection::session::Session;
 use crate::process::traffic::Traffic;
 use crate::request::forward::Forward;
@@ -53,7 +53,7 @@
     /// How often it was forwarded to get here.
     pub hops: u8,
     /// The target that the sender chose.
-    pub wanted: Option<String>,
+    pub preferred_target: Option<String>,
     /// The session's settings of the target's parameters.
     pub settings: Vec<String>,
 }
@@ -72,14 +72,14 @@
                 let note = "a forwarded transaction begins with `SET skylark.forward`".to_owned();
                 return Err(Refusal::with_note(ErrorKind::ProtocolViolation, note));
             };
-            return Ok(RequestContext::of_forward(traffic, *forward, traits));
+            return Ok(RequestContext::from_forward(traffic, *forward, traits));
         }
         let service = published.topology.service_of(group);
         let deadline_ms = session.declared.deadline_ms.unwrap_or(traffic.limits.deadline_ms);
-        let (deadline, deadline_us) = deadline_in(traffic, deadline_ms);
+        let (deadline, deadline_us) = deadline_after(traffic, deadline_ms);
         let identity = session.declared.identity.clone();
         Ok(RequestContext {
-            max_age_us: declared_age_us(session, service, traits),
+            max_age_us: declared_max_age_us(session, service, traits),
             only_reads: traits.only_reads && !traits.opens_writable,
             floor_known: session.declared.has_token || identity.is_none(),
             class: declared_class(session, service),
@@ -91,13 +91,17 @@
             deadline,
             deadline_us,
             hops: 0,
-            wanted: None,
+            preferred_target: None,
             settings: session.settings.iter().map(|set| set.to_string()).collect(),
         })
     }
 
-    fn of_forward(traffic: &Traffic, forward: Forward, traits: &StatementTraits) -> RequestContext {
-        let (deadline, deadline_us) = deadline_in(traffic, forward.deadline_ms);
+    fn from_forward(
+        traffic: &Traffic,
+        forward: Forward,
+        traits: &StatementTraits,
+    ) -> RequestContext {
+        let (deadline, deadline_us) = deadline_after(traffic, forward.deadline_ms);
         let max_age_us = forward.max_age_ms.filter(|_| traits.only_reads);
         RequestContext {
             max_age_us: max_age_us.map(|age_ms| age_ms * MS_US),
@@ -112,7 +116,7 @@
             deadline,
             deadline_us,
             hops: forward.hops,
-            wanted: forward.target,
+            preferred_target: forward.target,
             settings: forward.settings,
         }
     }
@@ -123,9 +127,9 @@
     }
 
     /// How the request asks for a turn.
-    pub fn turn(&self, published: &Published, group: GroupId) -> TurnRequest {
+    pub fn admission_request(&self, published: &Published, group: GroupId) -> AdmissionRequest {
         let class = published.topology.service_of(group).class(&self.class);
-        TurnRequest {
+        AdmissionRequest {
             class: class.unwrap_or(ClassId(0)),
             caller: self.caller,
             deadline_us: self.deadline_us,
@@ -141,10 +145,10 @@
     ) -> Result<Forward, Refusal> {
         let left = self.deadline.saturating_duration_since(Instant::now());
         let left_us = left.as_micros() as u64;
-        let way_back_us =
+        let reserve_us =
             (left_us / HOP_RESERVE_DIVISOR).clamp(MIN_HOP_RESERVE_US, MAX_HOP_RESERVE_US);
         let deadline_ms =
-            retry::hop_deadline_ms(left_us, way_back_us).ok_or(ErrorKind::WaitTimedOut)?;
+            retry::hop_deadline_ms(left_us, reserve_us).ok_or(ErrorKind::WaitTimedOut)?;
         if self.hops >= max_hops {
             return Err(ErrorKind::TooManyHops.into());
         }
@@ -170,13 +174,17 @@
 const MIN_HOP_RESERVE_US: u64 = 5_000;
 const MAX_HOP_RESERVE_US: u64 = 50_000;
 
-fn deadline_in(traffic: &Traffic, deadline_ms: u64) -> (Instant, u64) {
+fn deadline_after(traffic: &Traffic, deadline_ms: u64) -> (Instant, u64) {
     let deadline = Instant::now() + Duration::from_millis(deadline_ms);
     (deadline, traffic.clock.now_us() + deadline_ms * MS_US)
 }
 
 /// The oldest age that the caller declared, if the text only reads. `None` for what may write.
-fn declared_age_us(session: &Session, service: &Service, traits: &StatementTraits) -> Option<u64> {
+fn declared_max_age_us(
+    session: &Session,
+    service: &Service,
+    traits: &StatementTraits,
+) -> Option<u64> {
     if !traits.only_reads {
         return None;
     }
@@ -199,21 +207,21 @@
 
 /// A version with the group that a request is for.
 #[derive(Clone, Debug)]
-pub struct Scene {
+pub struct GroupSnapshot {
     /// The version.
     pub published: Arc<Published>,
     /// The group.
     pub group: GroupId,
 }
 
-impl Scene {
+impl GroupSnapshot {
     /// The newest version, if it still has the group.
-    pub fn now(traffic: &Traffic, group_name: &str) -> Result<Scene, Refusal> {
+    pub fn latest(traffic: &Traffic, group_name: &str) -> Result<GroupSnapshot, Refusal> {
         let published = traffic.slot.load_full();
         let group = published.topology.group_id(group_name);
         let group = group.filter(|group| group.index() < published.groups.len());
         match group {
-            Some(group) => Ok(Scene { published, group }),
+            Some(group) => Ok(GroupSnapshot { published, group }),
             None if published.ready => Err(ErrorKind::UnknownGroup.into()),
             None => Err(ErrorKind::NotReady.into()),
         }
--- a/crates/proxy/src/request/exchange.rs
+++ b/crates/proxy/src/request/exchange.rs
@@ -33,7 +33,7 @@
 
 /// What is sent for one request.
 #[derive(Debug, Default)]
-pub struct Encoded {
+pub struct EncodedRequest {
     /// The bytes, the proxy's own requests first.
     pub bytes: Bytes,
     /// How many of the bytes are the proxy's own requests.
@@ -52,7 +52,7 @@
 
 /// What a failure of the request would mean.
 #[derive(Clone, Copy, Debug)]
-pub struct Stakes<'a> {
+pub struct RetryContext<'a> {
     /// What the request would do.
     pub effect: Effect,
     /// Whether it belongs to a transaction that is open already.
@@ -67,17 +67,17 @@
 
 /// What became of a request.
 #[derive(Debug)]
-pub enum Ending {
+pub enum ExchangeResult {
     /// The answer is complete; this is the part not written yet, without its ReadyForQuery.
     Complete(Answer),
     /// It failed, and this is what to do.
-    Failed(Failed),
+    FailedAttempt(FailedAttempt),
     /// The other end said goodbye with this answer, which is to be passed on as the last one.
-    Farewell(BytesMut),
+    Terminated(BytesMut),
     /// A commit was not confirmed.
     NotConfirmed,
     /// The caller has part of a message, and nothing else can follow.
-    Torn,
+    PartialMessage,
     /// The caller is gone.
     CallerGone,
     /// The caller does not read.
@@ -103,7 +103,7 @@
 
 /// A failed try.
 #[derive(Clone, Debug)]
-pub struct Failed {
+pub struct FailedAttempt {
     /// [`RetryVerdict::Again`], or the kind of the answer.
     pub verdict: RetryVerdict,
     /// What was seen.
@@ -125,9 +125,9 @@
     /// The caller.
     pub caller: &'a TcpStream,
     /// What is sent.
-    pub encoded: &'a Encoded,
+    pub encoded: &'a EncodedRequest,
     /// What a failure would mean.
-    pub stakes: Stakes<'a>,
+    pub retry_context: RetryContext<'a>,
     /// The group's state where the connection goes straight to a target; none where another proxy
     /// waits for the confirmation.
     pub live: Option<&'a GroupLive>,
@@ -135,7 +135,7 @@
 
 impl Exchange<'_> {
     /// Sends the request and passes its answer on.
-    pub async fn run(&self, connection: &mut TargetConnection) -> Ending {
+    pub async fn run(&self, connection: &mut TargetConnection) -> ExchangeResult {
         let encoded = self.encoded;
         connection.awaited_ready += encoded.prelude_ready + u32::from(encoded.awaits_ready);
         connection.needs_sync = !encoded.awaits_ready;
@@ -144,47 +144,49 @@
             self.traffic.counters.event(Event::StatementsPrepared);
         }
         let stall_timeout = self.traffic.limits.slow_reader();
-        let eager = self.stakes.effect == Effect::Read;
+        let eager = self.retry_context.effect == Effect::Read;
         let replies = encoded.replies.clone();
-        let mut run = Run {
+        let mut run = ExchangeRun {
             exchange: self,
             relay: Relay::new(self.caller, stall_timeout, encoded.prelude_ready, replies, eager),
             unsent: &encoded.bytes,
             answer: Answer::default(),
-            copying: BytesMut::new(),
+            copy_fail_message: BytesMut::new(),
         };
-        let pumped = time::timeout_at(self.stakes.deadline.into(), run.pump(connection)).await;
-        match pumped {
-            Ok(Some(ending)) => ending,
+        let relayed =
+            time::timeout_at(self.retry_context.deadline.into(), run.relay_answer(connection))
+                .await;
+        match relayed {
+            Ok(Some(result)) => result,
             Ok(None) => {
-                let Run { relay, mut answer, .. } = run;
+                let ExchangeRun { relay, mut answer, .. } = run;
                 answer.rest = relay.finish(connection);
-                Ending::Complete(answer)
+                ExchangeResult::Complete(answer)
             }
-            Err(_) => run.failed(Failure::TimedOut),
+            Err(_) => run.failure_result(Failure::TimedOut),
         }
     }
 }
 
-struct Run<'a> {
+struct ExchangeRun<'a> {
     exchange: &'a Exchange<'a>,
     relay: Relay<'a>,
     unsent: &'a [u8],
     answer: Answer,
-    copying: BytesMut,
+    copy_fail_message: BytesMut,
 }
 
-impl Run<'_> {
+impl ExchangeRun<'_> {
     /// Passes the answer on until it is complete (`None`) or ends otherwise.
-    async fn pump(&mut self, connection: &mut TargetConnection) -> Option<Ending> {
+    async fn relay_answer(&mut self, connection: &mut TargetConnection) -> Option<ExchangeResult> {
         loop {
             let notice = match self.relay.next(connection, &mut self.unsent).await {
                 Ok(notice) => notice,
-                Err(RelayError::Target(_)) => return Some(self.failed(Failure::Broken)),
+                Err(RelayError::Target(_)) => return Some(self.failure_result(Failure::Broken)),
                 Err(RelayError::Caller(error)) if error.kind() == std::io::ErrorKind::TimedOut => {
-                    return Some(Ending::CallerTooSlow);
+                    return Some(ExchangeResult::CallerTooSlow);
                 }
-                Err(RelayError::Caller(_)) => return Some(Ending::CallerGone),
+                Err(RelayError::Caller(_)) => return Some(ExchangeResult::CallerGone),
             };
             match notice {
                 Notice::Ready(status) => {
@@ -193,22 +195,22 @@
                 }
                 Notice::Flushed => return None,
                 Notice::Commit(position) => {
-                    if !self.committed(&position) {
-                        return Some(Ending::NotConfirmed);
+                    if !self.handle_commit(&position) {
+                        return Some(ExchangeResult::NotConfirmed);
                     }
                 }
                 Notice::HeldEnough => {
                     if !self.confirm().await {
-                        return Some(Ending::NotConfirmed);
+                        return Some(ExchangeResult::NotConfirmed);
                     }
                     if let Err(error) = self.relay.release_held(connection).await {
-                        return Some(caller_ending(&error));
+                        return Some(caller_error_result(&error));
                     }
                 }
                 Notice::Served(served) => self.answer.served = Some(served),
                 Notice::Error(frame) => {
-                    if let Some(ending) = self.error(connection, &frame) {
-                        return Some(ending);
+                    if let Some(result) = self.handle_error(connection, &frame) {
+                        return Some(result);
                     }
                 }
                 Notice::PreludeError(frame) if self.exchange.live.is_none() => {
@@ -218,7 +220,7 @@
                 Notice::PreludeError(_) => (),
                 Notice::Copy(backend::COPY_IN_RESPONSE_TAG) => self.fail_copy(connection).await,
                 // The caller would take the data for an answer that it did not ask for.
-                Notice::Copy(_) => return Some(self.failed(Failure::Broken)),
+                Notice::Copy(_) => return Some(self.failure_result(Failure::Broken)),
             }
         }
     }
@@ -226,7 +228,7 @@
     /// From a commit on the answer is held back: its success may not be seen before it is confirmed.
     /// Returns whether the position can be read. Nothing confirms one that can't, and a success passed
     /// on regardless could be a write that the next primary lacks.
-    fn committed(&mut self, position: &str) -> bool {
+    fn handle_commit(&mut self, position: &str) -> bool {
         let Ok(position) = position.parse::<LogPosition>() else { return false };
         self.answer.commit = self.answer.commit.max(Some(position));
         self.answer.confirmed = self.exchange.live.is_none();
@@ -240,52 +242,63 @@
         let (Some(live), Some(position)) = (self.exchange.live, self.answer.commit) else {
             return true;
         };
-        let deadline = self.exchange.traffic.confirm_deadline(self.exchange.stakes.deadline);
+        let deadline = self.exchange.traffic.confirm_deadline(self.exchange.retry_context.deadline);
         let verdict = acknowledge::wait(live, position, deadline).await;
         self.answer.confirmed = verdict == Verdict::Confirmed;
         self.answer.confirmed
     }
 
-    fn error(&mut self, connection: &mut TargetConnection, frame: &[u8]) -> Option<Ending> {
-        let stakes = &self.exchange.stakes;
+    fn handle_error(
+        &mut self,
+        connection: &mut TargetConnection,
+        frame: &[u8],
+    ) -> Option<ExchangeResult> {
+        let retry_context = &self.exchange.retry_context;
         let is_fatal = is_fatal(frame);
         let is_first = !self.relay.passed_on
             && self.answer.commit.is_none()
             && !self.answer.has_error
-            && !stakes.in_transaction;
+            && !retry_context.in_transaction;
         self.answer.has_error = true;
         if !is_first && !is_fatal {
             self.relay.add(connection, frame);
             return None;
         }
-        let said = self.said(frame);
+        let reported_failure = self.reported_failure(frame);
         // A declared read that turns out to write is the caller's own error.
-        let own_error = stakes.effect == Effect::Read && is_code(&said, b"25006");
-        let verdict = match own_error {
+        let is_caller_error =
+            retry_context.effect == Effect::Read && has_sqlstate(&reported_failure, b"25006");
+        let verdict = match is_caller_error {
             true => RetryVerdict::PassOn,
-            false => self.decide(said, self.answer_stage()),
+            false => self.decide(reported_failure, self.answer_stage()),
         };
         if verdict != RetryVerdict::PassOn {
             let stage = self.answer_stage();
             let is_refusal = !is_fatal && self.exchange.live.is_none();
             let refusal = is_refusal.then(|| BytesMut::from(frame));
-            let failed = Failed { verdict, failure: said, stage, broken: is_fatal, refusal };
-            return Some(self.unless_torn(Ending::Failed(failed)));
+            let failed = FailedAttempt {
+                verdict,
+                failure: reported_failure,
+                stage,
+                broken: is_fatal,
+                refusal,
+            };
+            return Some(self.unless_partial_message(ExchangeResult::FailedAttempt(failed)));
         }
         self.relay.add(connection, frame);
-        is_fatal.then(|| Ending::Farewell(BytesMut::from(frame)))
+        is_fatal.then(|| ExchangeResult::Terminated(BytesMut::from(frame)))
     }
 
     /// Another proxy refused the context of the request, and with it the request.
-    fn refused_by_peer(&mut self, frame: &[u8]) -> Ending {
-        let said = self.said(frame);
-        match self.decide(said, Stage::Sent) {
-            RetryVerdict::PassOn => Ending::Farewell(BytesMut::from(frame)),
+    fn refused_by_peer(&mut self, frame: &[u8]) -> ExchangeResult {
+        let reported_failure = self.reported_failure(frame);
+        match self.decide(reported_failure, Stage::Sent) {
+            RetryVerdict::PassOn => ExchangeResult::Terminated(BytesMut::from(frame)),
             verdict => {
                 let stage = Stage::Sent;
-                Ending::Failed(Failed {
+                ExchangeResult::FailedAttempt(FailedAttempt {
                     verdict,
-                    failure: said,
+                    failure: reported_failure,
                     stage,
                     broken: true,
                     refusal: None,
@@ -294,7 +307,7 @@
         }
     }
 
-    fn said(&self, frame: &[u8]) -> Failure {
+    fn reported_failure(&self, frame: &[u8]) -> Failure {
         let sqlstate = frames::error_field(frame, b'C').unwrap_or("");
         let sqlstate = sqlstate.as_bytes().try_into().unwrap_or(*b"XX000");
         let detail = frames::error_field(frame, b'D').unwrap_or("");
@@ -329,19 +342,23 @@
     }
 
     fn decide(&self, failure: Failure, stage: Stage) -> RetryVerdict {
-        let stakes = &self.exchange.stakes;
+        let retry_context = &self.exchange.retry_context;
         let attempt = Attempt {
-            effect: if self.answer.commit.is_some() { Effect::Commit } else { stakes.effect },
+            effect: if self.answer.commit.is_some() {
+                Effect::Commit
+            } else {
+                retry_context.effect
+            },
             stage,
-            in_transaction: stakes.in_transaction,
+            in_transaction: retry_context.in_transaction,
             failure,
-            retries: stakes.retries,
+            retries: retry_context.retries,
         };
-        let left = stakes.deadline.saturating_duration_since(Instant::now());
-        retry::decide(&attempt, stakes.budget, left.as_micros() as u64)
+        let left = retry_context.deadline.saturating_duration_since(Instant::now());
+        retry::decide(&attempt, retry_context.budget, left.as_micros() as u64)
     }
 
-    fn failed(&self, failure: Failure) -> Ending {
+    fn failure_result(&self, failure: Failure) -> ExchangeResult {
         let stage = self.stage();
         let verdict = match self.decide(failure, stage) {
             // There is nothing to pass on where no answer came.
@@ -349,34 +366,43 @@
             verdict => verdict,
         };
         let broken = failure == Failure::Broken;
-        self.unless_torn(Ending::Failed(Failed { verdict, failure, stage, broken, refusal: None }))
+        self.unless_partial_message(ExchangeResult::FailedAttempt(FailedAttempt {
+            verdict,
+            failure,
+            stage,
+            broken,
+            refusal: None,
+        }))
     }
 
-    fn unless_torn(&self, ending: Ending) -> Ending {
+    fn unless_partial_message(&self, result: ExchangeResult) -> ExchangeResult {
         match self.relay.is_within_frame() {
-            true => Ending::Torn,
-            false => ending,
+            true => ExchangeResult::PartialMessage,
+            false => result,
         }
     }
 
     /// Ends a COPY that got past the look at the statement's text.
     async fn fail_copy(&mut self, connection: &mut TargetConnection) {
-        self.copying.clear();
-        let _ = frontend::copy_fail("COPY is not supported", &mut self.copying);
+        self.copy_fail_message.clear();
+        let _ = frontend::copy_fail("COPY is not supported", &mut self.copy_fail_message);
         let stall_timeout = self.exchange.traffic.limits.slow_reader();
         // A connection that breaks here shows at the next read.
-        let _ =
-            crate::connection::socket::write_all(&connection.stream, &self.copying, stall_timeout)
-                .await;
+        let _ = crate::connection::socket::write_all(
+            &connection.stream,
+            &self.copy_fail_message,
+            stall_timeout,
+        )
+        .await;
     }
 }
 
-fn caller_ending(error: &RelayError) -> Ending {
+fn caller_error_result(error: &RelayError) -> ExchangeResult {
     match error {
         RelayError::Caller(error) if error.kind() == std::io::ErrorKind::TimedOut => {
-            Ending::CallerTooSlow
+            ExchangeResult::CallerTooSlow
         }
-        _ => Ending::CallerGone,
+        _ => ExchangeResult::CallerGone,
     }
 }
 
@@ -385,7 +411,7 @@
     matches!(severity, Some("FATAL" | "PANIC"))
 }
 
-fn is_code(failure: &Failure, code: &[u8; 5]) -> bool {
+fn has_sqlstate(failure: &Failure, code: &[u8; 5]) -> bool {
     matches!(failure, Failure::Said { sqlstate, .. } if sqlstate == code)
 }
 
--- a/crates/proxy/src/request/mod.rs
+++ b/crates/proxy/src/request/mod.rs
@@ -3,6 +3,7 @@
 pub mod acknowledge;
 pub mod answer;
 pub mod batch;
+pub mod caller_request;
 pub mod context;
 pub mod exchange;
 pub mod execute;
@@ -11,4 +12,3 @@
 pub mod refusal;
 pub mod route;
 pub mod statement;
-pub mod unit;
--- a/crates/proxy/src/request/refusal.rs
+++ b/crates/proxy/src/request/refusal.rs
@@ -25,7 +25,7 @@
 
 impl Refusal {
     /// A refusal with an estimate of when to come back.
-    pub fn after(kind: ErrorKind, retry_after_ms: u64) -> Refusal {
+    pub fn with_retry_after(kind: ErrorKind, retry_after_ms: u64) -> Refusal {
         Refusal { kind, retry_after_ms: Some(retry_after_ms), note: String::new() }
     }
 
@@ -35,7 +35,7 @@
     }
 
     /// Whether the caller's connection ends with this answer.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connection(&self) -> bool {
         self.kind.answer().closes
     }
 
--- a/crates/proxy/src/request/route.rs
+++ b/crates/proxy/src/request/route.rs
@@ -26,18 +26,18 @@
 
 use crate::process::counters::Event;
 use crate::process::traffic::Traffic;
+use crate::request::context::GroupSnapshot;
 use crate::request::context::RequestContext;
-use crate::request::context::Scene;
 use crate::request::refusal::Refusal;
 use crate::version::published::GroupView;
 use crate::version::published::Leader;
 
 /// How often a waiting request looks again.
-const LOOK_AGAIN: Duration = Duration::from_millis(2);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Where a request goes.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Place {
+pub enum Destination {
     /// To a target that this VM is home to.
     Target(TargetId),
     /// To another proxy, which sends it to the target if one is chosen.
@@ -48,9 +48,9 @@
 #[derive(Clone, Debug)]
 pub struct Route {
     /// The version whose indices the route uses.
-    pub scene: Scene,
+    pub snapshot: GroupSnapshot,
     /// Where it goes.
-    pub place: Place,
+    pub destination: Destination,
     /// Why there, in a word that `SHOW skylark.last_reason` shows.
     pub reason: &'static str,
 }
@@ -58,13 +58,13 @@
 impl Route {
     /// Whether another proxy serves the request.
     pub fn is_peer(&self) -> bool {
-        matches!(self.place, Place::Peer(..))
+        matches!(self.destination, Destination::Peer(..))
     }
 }
 
 /// What earlier tries of the same request found out.
 #[derive(Clone, Debug, Default)]
-pub struct Tried {
+pub struct RetryState {
     /// Members that failed.
     pub targets: Vec<TargetId>,
     /// Proxies that failed.
@@ -78,14 +78,14 @@
     traffic: &Arc<Traffic>,
     group_name: &str,
     context: &RequestContext,
-    tried: &Tried,
+    retry_state: &RetryState,
 ) -> Result<Route, Refusal> {
-    let mut search = Search::new(traffic, context, tried);
+    let mut search = Search::new(traffic, context, retry_state);
     loop {
-        let scene = Scene::now(traffic, group_name)?;
-        let step = search.step(&scene)?;
+        let snapshot = GroupSnapshot::latest(traffic, group_name)?;
+        let step = search.step(&snapshot)?;
         let wait = match step {
-            Step::Go(place, reason) => return Ok(Route { scene, place, reason }),
+            Step::Send(destination, reason) => return Ok(Route { snapshot, destination, reason }),
             Step::Wait(wait) => wait,
         };
         search.waiting_since.get_or_insert_with(Instant::now);
@@ -102,22 +102,22 @@
 /// Meanwhile the target's data grew older, another primary may lead, or confirmations stall. Sent
 /// now it would show data older than the caller accepts, or end as unknown where it could still be
 /// refused as not run.
-pub fn is_still_fit(traffic: &Traffic, context: &RequestContext, route: &Route) -> bool {
-    let Place::Target(target) = route.place else { return true };
-    let group_name = &route.scene.published.topology.group(route.scene.group).name;
-    let Ok(scene) = Scene::now(traffic, group_name) else { return false };
+pub fn is_still_eligible(traffic: &Traffic, context: &RequestContext, route: &Route) -> bool {
+    let Destination::Target(target) = route.destination else { return true };
+    let group_name = &route.snapshot.published.topology.group(route.snapshot.group).name;
+    let Ok(snapshot) = GroupSnapshot::latest(traffic, group_name) else { return false };
     // Another version may number targets differently; the request is routed again by it.
-    if !Arc::ptr_eq(&scene.published.topology, &route.scene.published.topology) {
+    if !Arc::ptr_eq(&snapshot.published.topology, &route.snapshot.published.topology) {
         return false;
     }
-    let view = scene.published.group(scene.group);
+    let view = snapshot.published.group(snapshot.group);
     if !context.is_read() {
         let leads = view.leader.is_some_and(|leader| leader.target == target);
         return leads && (context.only_reads || !view.moving && !view.stalled);
     }
-    let tried = Tried::default();
-    let search = Search::new(traffic, context, &tried);
-    let members = search.members(&scene, view);
+    let retry_state = RetryState::default();
+    let search = Search::new(traffic, context, &retry_state);
+    let members = search.members(&snapshot, view);
     let member = members.iter().find(|member| member.target == target);
     let leader = view.leader.map(leader_view);
     let now_us = traffic.clock.now_us();
@@ -127,25 +127,29 @@
 }
 
 enum Step {
-    Go(Place, &'static str),
+    Send(Destination, &'static str),
     Wait(Duration),
 }
 
 struct Search<'a> {
     traffic: &'a Traffic,
     context: &'a RequestContext,
-    tried: &'a Tried,
+    retry_state: &'a RetryState,
     waiting_since: Option<Instant>,
     spread: u32,
     counted_wait: bool,
 }
 
 impl<'a> Search<'a> {
-    fn new(traffic: &'a Traffic, context: &'a RequestContext, tried: &'a Tried) -> Search<'a> {
+    fn new(
+        traffic: &'a Traffic,
+        context: &'a RequestContext,
+        retry_state: &'a RetryState,
+    ) -> Search<'a> {
         Search {
             traffic,
             context,
-            tried,
+            retry_state,
             waiting_since: None,
             spread: traffic.next_spread(),
             counted_wait: false,
@@ -156,44 +160,48 @@
         self.waiting_since.map_or(Duration::ZERO, |since| since.elapsed())
     }
 
-    fn step(&mut self, scene: &Scene) -> Result<Step, Refusal> {
-        let view = scene.published.group(scene.group);
+    fn step(&mut self, snapshot: &GroupSnapshot) -> Result<Step, Refusal> {
+        let view = snapshot.published.group(snapshot.group);
         if !view.tracked {
-            return self.any_home(scene, view);
+            return self.route_to_any_home(snapshot, view);
         }
         match self.context.is_read() {
-            true => self.read(scene, view),
-            false => self.at_primary(scene, view),
+            true => self.route_read(snapshot, view),
+            false => self.route_to_primary(snapshot, view),
         }
     }
 
     /// A proxy that does not track the group leaves the choice to a home of the nearest member, or
     /// of the primary for what may write.
-    fn any_home(&mut self, scene: &Scene, view: &GroupView) -> Result<Step, Refusal> {
-        let topology = &scene.published.topology;
+    fn route_to_any_home(
+        &mut self,
+        snapshot: &GroupSnapshot,
+        view: &GroupView,
+    ) -> Result<Step, Refusal> {
+        let topology = &snapshot.published.topology;
         let own_zone = topology.zone_id(&self.traffic.zone);
         let primary = view.leader.map(|leader| leader.target);
-        let mut members = topology.group(scene.group).members.clone();
+        let mut members = topology.group(snapshot.group).members.clone();
         members.sort_by_key(|member| {
-            let is_wanted = !self.context.is_read() && primary == Some(*member);
+            let is_preferred = !self.context.is_read() && primary == Some(*member);
             let is_near = own_zone == Some(topology.target(*member).zone);
-            (!is_wanted, !is_near)
+            (!is_preferred, !is_near)
         });
-        let homes = members.iter().flat_map(|member| scene.published.homes_of(*member));
-        let chosen = self.usable_home(scene, homes)?;
-        Ok(Step::Go(Place::Peer(chosen, None), "forwarded"))
+        let homes = members.iter().flat_map(|member| snapshot.published.homes_of(*member));
+        let chosen = self.usable_home(snapshot, homes)?;
+        Ok(Step::Send(Destination::Peer(chosen, None), "forwarded"))
     }
 
-    fn usable_home<'b, I>(&self, scene: &Scene, homes: I) -> Result<VmId, Refusal>
+    fn usable_home<'b, I>(&self, snapshot: &GroupSnapshot, homes: I) -> Result<VmId, Refusal>
     where
         I: Iterator<Item = &'b VmId> + Clone,
     {
         if self.context.hops >= self.traffic.limits.max_hops {
             return Err(ErrorKind::TooManyHops.into());
         }
-        let topology = &scene.published.topology;
+        let topology = &snapshot.published.topology;
         let mut candidates = homes.filter(|home| {
-            Some(**home) != scene.published.own_vm && !self.tried.peers.contains(home)
+            Some(**home) != snapshot.published.own_vm && !self.retry_state.peers.contains(home)
         });
         // A VM that leaves still answers; it is only better to ask another.
         let staying = candidates.clone().find(|home| !topology.vm(**home).leaving);
@@ -201,29 +209,31 @@
         chosen.copied().ok_or_else(|| ErrorKind::TargetUnreachable.into())
     }
 
-    fn read(&mut self, scene: &Scene, view: &GroupView) -> Result<Step, Refusal> {
-        let members = self.members(scene, view);
+    fn route_read(&mut self, snapshot: &GroupSnapshot, view: &GroupView) -> Result<Step, Refusal> {
+        let members = self.members(snapshot, view);
         let request = self.read_request();
         let now_us = self.traffic.clock.now_us();
         let leader = view.leader.map(leader_view);
-        if let Some(wanted) = self.fit_wanted(scene, &request, leader, &members, now_us) {
-            return Ok(Step::Go(Place::Target(wanted), "chosen_by_sender"));
+        if let Some(preferred_target) =
+            self.eligible_preferred(snapshot, &request, leader, &members, now_us)
+        {
+            return Ok(Step::Send(Destination::Target(preferred_target), "chosen_by_sender"));
         }
         let policy = RoutingPolicy::default();
         let verdict = routing::route(&policy, &request, leader, &members, now_us);
         match verdict {
             ReadVerdict::Send { target, reason } => {
                 self.traffic.counters.read(reason);
-                Ok(Step::Go(self.place_of(scene, target)?, reason.name()))
+                Ok(Step::Send(self.destination_of(snapshot, target)?, reason.name()))
             }
             ReadVerdict::Wait { wait_us, reason, .. } => {
                 self.count_wait(reason);
-                let wait = Duration::from_micros(wait_us).min(LOOK_AGAIN);
+                let wait = Duration::from_micros(wait_us).min(RECHECK_INTERVAL);
                 Ok(Step::Wait(wait))
             }
             ReadVerdict::Refuse { kind, retry_after_us, reason } => {
                 self.traffic.counters.read(reason);
-                Err(Refusal::after(kind, retry_after_us.div_ceil(1_000)))
+                Err(Refusal::with_retry_after(kind, retry_after_us.div_ceil(1_000)))
             }
         }
     }
@@ -246,40 +256,41 @@
     }
 
     /// The member that the sender chose, if this VM is home to it and it is fit.
-    fn fit_wanted(
+    fn eligible_preferred(
         &self,
-        scene: &Scene,
+        snapshot: &GroupSnapshot,
         request: &ReadRequest,
         leader: Option<LeaderView>,
         members: &[MemberView],
         now_us: u64,
     ) -> Option<TargetId> {
-        let wanted = scene.published.topology.target_id(self.context.wanted.as_deref()?)?;
-        if !scene.published.is_home(wanted) {
+        let preferred_target =
+            snapshot.published.topology.target_id(self.context.preferred_target.as_deref()?)?;
+        if !snapshot.published.is_home(preferred_target) {
             return None;
         }
-        let member = members.iter().find(|member| member.target == wanted)?;
-        routing::shortfall(request, leader, member, now_us).is_none().then_some(wanted)
+        let member = members.iter().find(|member| member.target == preferred_target)?;
+        routing::shortfall(request, leader, member, now_us).is_none().then_some(preferred_target)
     }
 
-    fn members(&self, scene: &Scene, view: &GroupView) -> Vec<MemberView> {
-        let topology = &scene.published.topology;
+    fn members(&self, snapshot: &GroupSnapshot, view: &GroupView) -> Vec<MemberView> {
+        let topology = &snapshot.published.topology;
         let own_zone = topology.zone_id(&self.traffic.zone);
-        let ids = &topology.group(scene.group).members;
+        let ids = &topology.group(snapshot.group).members;
         let pairs = ids.iter().zip(&view.live.members);
         pairs
             .map(|(target, live)| MemberView {
                 target: *target,
                 applied: *live.applied.lock(),
                 fresh_as_of_us: live.fresh_as_of_us.load(Ordering::Acquire),
-                lag_us: known_us(&live.lag_us),
-                catch_up_us: known_us(&live.catch_up_us),
+                lag_us: nonzero(&live.lag_us),
+                catch_up_us: nonzero(&live.catch_up_us),
                 reachable: live.reachable.load(Ordering::Relaxed)
-                    && !self.tried.targets.contains(target)
-                    && !self.refuses_connections(scene, *target),
+                    && !self.retry_state.targets.contains(target)
+                    && !self.refuses_connections(snapshot, *target),
                 leaving: live.leaving.load(Ordering::Relaxed),
                 nearness: nearness(own_zone, topology.target(*target).zone),
-                predicted_wait_us: self.predicted_wait_us(scene, *target),
+                predicted_wait_us: self.predicted_wait_us(snapshot, *target),
             })
             .collect()
     }
@@ -289,27 +300,33 @@
     /// The control side notices a target that is gone only with its next probes. Reads sent there
     /// meanwhile each spend a retry, and once the budget is spent they are refused although another
     /// member could serve them. The pool's own tries go on and clear the mark.
-    fn refuses_connections(&self, scene: &Scene, target: TargetId) -> bool {
-        let published = &scene.published;
+    fn refuses_connections(&self, snapshot: &GroupSnapshot, target: TargetId) -> bool {
+        let published = &snapshot.published;
         published.is_home(target) && self.traffic.pools.target(published, target).pool.is_failing()
     }
 
-    fn predicted_wait_us(&self, scene: &Scene, target: TargetId) -> u64 {
-        if !scene.published.is_home(target) {
+    fn predicted_wait_us(&self, snapshot: &GroupSnapshot, target: TargetId) -> u64 {
+        if !snapshot.published.is_home(target) {
             return 0;
         }
-        let entry = self.traffic.pools.target(&scene.published, target);
-        entry.queue.predicted_wait_us(&self.context.turn(&scene.published, scene.group))
+        let entry = self.traffic.pools.target(&snapshot.published, target);
+        entry
+            .queue
+            .predicted_wait_us(&self.context.admission_request(&snapshot.published, snapshot.group))
     }
 
     /// What is not declared a read goes to the primary.
-    fn at_primary(&mut self, scene: &Scene, view: &GroupView) -> Result<Step, Refusal> {
+    fn route_to_primary(
+        &mut self,
+        snapshot: &GroupSnapshot,
+        view: &GroupView,
+    ) -> Result<Step, Refusal> {
         let Some(leader) = view.leader else {
             return self.wait_for_primary(ErrorKind::NoPrimary);
         };
-        if let Some((term, target, kind)) = self.tried.primary {
+        if let Some((term, target, kind)) = self.retry_state.primary {
             let is_same = target == leader.target && term == Some(leader.term);
-            if is_same && !self.is_back(scene, target, kind) {
+            if is_same && !self.is_reachable_again(snapshot, target, kind) {
                 return self.wait_for_primary(kind);
             }
         }
@@ -324,15 +341,20 @@
             return self.wait_for_floor();
         }
         self.traffic.counters.event(Event::WritesRouted);
-        Ok(Step::Go(self.place_of(scene, leader.target)?, "primary"))
+        Ok(Step::Send(self.destination_of(snapshot, leader.target)?, "primary"))
     }
 
     /// Whether a primary that could not be connected to can be again. One that refused the work
     /// itself does so until the control side says otherwise.
-    fn is_back(&self, scene: &Scene, target: TargetId, kind: ErrorKind) -> bool {
+    fn is_reachable_again(
+        &self,
+        snapshot: &GroupSnapshot,
+        target: TargetId,
+        kind: ErrorKind,
+    ) -> bool {
         kind == ErrorKind::TargetUnreachable
-            && scene.published.is_home(target)
-            && !self.refuses_connections(scene, target)
+            && snapshot.published.is_home(target)
+            && !self.refuses_connections(snapshot, target)
     }
 
     fn wait_for_primary(&mut self, kind: ErrorKind) -> Result<Step, Refusal> {
@@ -357,16 +379,20 @@
             self.counted_wait = true;
             self.traffic.counters.event(event);
         }
-        Ok(Step::Wait(LOOK_AGAIN))
+        Ok(Step::Wait(RECHECK_INTERVAL))
     }
 
-    fn place_of(&self, scene: &Scene, target: TargetId) -> Result<Place, Refusal> {
-        if scene.published.is_home(target) {
-            return Ok(Place::Target(target));
+    fn destination_of(
+        &self,
+        snapshot: &GroupSnapshot,
+        target: TargetId,
+    ) -> Result<Destination, Refusal> {
+        if snapshot.published.is_home(target) {
+            return Ok(Destination::Target(target));
         }
-        let homes = scene.published.homes_of(target);
-        let home = self.usable_home(scene, homes.iter())?;
-        Ok(Place::Peer(home, Some(target)))
+        let homes = snapshot.published.homes_of(target);
+        let home = self.usable_home(snapshot, homes.iter())?;
+        Ok(Destination::Peer(home, Some(target)))
     }
 }
 
@@ -375,7 +401,7 @@
 }
 
 /// A published time; zero stands for unknown.
-fn known_us(published: &AtomicU64) -> Option<u64> {
+fn nonzero(published: &AtomicU64) -> Option<u64> {
     Some(published.load(Ordering::Relaxed)).filter(|time_us| *time_us > 0)
 }
 
--- a/crates/proxy/src/sessions/connection/peer.rs
+++ b/crates/proxy/src/sessions/connection/peer.rs
@@ -148,7 +148,7 @@
         while peer.serve_one().await {}
     }
     if let Some(held) = peer.held.take() {
-        held.give_back();
+        held.return_to_pool();
     }
 }
 
@@ -238,7 +238,7 @@
             }
             Statement::Rollback => {
                 if let Some(held) = self.held.take() {
-                    held.give_back();
+                    held.return_to_pool();
                 }
                 (self.status, self.wrote) = (TransactionStatus::Idle, false);
                 Ok(None)
@@ -358,7 +358,7 @@
                     && (self.wrote || (is_done && work.writes()));
                 self.status = reply.status;
                 match reply.status {
-                    TransactionStatus::Idle => lease.give_back(),
+                    TransactionStatus::Idle => lease.return_to_pool(),
                     TransactionStatus::Open | TransactionStatus::Failed => {
                         lease.statement_ended();
                         self.held = Some(lease);
--- a/crates/proxy/src/sessions/process/quota/mod.rs
+++ b/crates/proxy/src/sessions/process/quota/mod.rs
@@ -187,7 +187,7 @@
             };
             if self.clock.now_us() + retry_after_us > until_us {
                 let retry_after_ms = retry_after_us.div_ceil(MS_US);
-                return Err(Refusal::after(ErrorKind::OverLimit, retry_after_ms));
+                return Err(Refusal::with_retry_after(ErrorKind::OverLimit, retry_after_ms));
             }
             time::sleep(Duration::from_micros(retry_after_us)).await;
         }
--- a/crates/proxy/src/sessions/process/targets.rs
+++ b/crates/proxy/src/sessions/process/targets.rs
@@ -241,7 +241,7 @@
     /// Whether nothing is to be done about the path to it until somebody needs it: it leads through another VM,
     /// has no connections, and nothing came of it that did not work.
     pub fn rests(&self) -> bool {
-        let is_at_rest = |path: &Arc<TargetPath<C>>| path.via.is_some() && path.pool.rests();
+        let is_at_rest = |path: &Arc<TargetPath<C>>| path.via.is_some() && path.pool.is_unused();
         is_at_rest(&self.path.load())
             && self.user_paths.load().iter().all(is_at_rest)
             && self.health.lock().path_failed_since_us.is_none()
--- a/crates/proxy/src/sessions/request/acquire.rs
+++ b/crates/proxy/src/sessions/request/acquire.rs
@@ -5,7 +5,7 @@
 use skylark_core::log_position::LogPosition;
 use skylark_core::request::retry::Failure;
 
-use crate::connection::admission::TurnRequest;
+use crate::connection::admission::AdmissionRequest;
 use crate::connection::lease::Lease;
 use crate::connection::pool::Pool;
 use crate::request::refusal::Refusal;
@@ -58,7 +58,7 @@
     if let Err(NotTaken::NotConnected(failure)) = &taken {
         // A wait that ran out says nothing of the target, but the last try to connect may.
         let seen = match failure {
-            Failure::TimedOut => path.pool.failing(),
+            Failure::TimedOut => path.pool.last_connect_failure(),
             other => Some(*other),
         };
         if let Some(failure) = seen.filter(|failure| !is_full(*failure)) {
@@ -78,7 +78,7 @@
     C: Codec,
 {
     let (class, caller) = (call.class(), call.caller());
-    let request = TurnRequest { class, caller, deadline_us: until_us };
+    let request = AdmissionRequest { class, caller, deadline_us: until_us };
     let turn = target.queue.admit(&request).await.map_err(NotTaken::Queue)?;
     let until = call.gateway.clock.instant_at(until_us);
     let taken = pool.take(call.user, Some(turn), until).await;
--- a/crates/proxy/src/sessions/request/at_primary.rs
+++ b/crates/proxy/src/sessions/request/at_primary.rs
@@ -102,7 +102,7 @@
                 held.lease.connection().forget_session();
             }
             // The answer to the rollback is awaited while the connection goes back.
-            held.lease.give_back();
+            held.lease.return_to_pool();
             Ok(reply)
         }
         Err(lost) => {
@@ -130,7 +130,7 @@
         match acquire::settle(call, link, owed, until_us).await {
             Ok(Some(reply)) if reply.error().is_some() => {
                 call.gateway.counters.retry(RetryReason::Busy);
-                lease.give_back();
+                lease.return_to_pool();
                 pause(call).await?;
                 continue;
             }
@@ -162,7 +162,7 @@
         target.replied(reply.error(), now_us, None);
         match reply.error() {
             None => {
-                lease.give_back();
+                lease.return_to_pool();
                 acknowledged(call, session, &target, sent_us, &reply).await?;
                 return Ok(reply);
             }
@@ -170,12 +170,12 @@
             Some(TargetError::Busy | TargetError::Unreachable) => (),
             Some(TargetError::UnknownPrepared) => lease.connection().forget_session(),
             Some(_) => {
-                lease.give_back();
+                lease.return_to_pool();
                 return Ok(reply);
             }
         }
         call.gateway.counters.retry(reason_of(&reply));
-        lease.give_back();
+        lease.return_to_pool();
         pause(call).await.map_err(|refusal| refused_as(&reply, refusal))?;
     }
 }
@@ -228,12 +228,12 @@
                     }
                     (ReadGuarantee::Lead, Err(Unproved::Superseded)) => {
                         call.gateway.counters.retry(RetryReason::NotPrimary);
-                        lease.give_back();
+                        lease.return_to_pool();
                         pause(call).await?;
                         continue;
                     }
                     (ReadGuarantee::Lead, Err(Unproved::NoReply)) => {
-                        lease.give_back();
+                        lease.return_to_pool();
                         return Err(ErrorKind::LeadUnproved.into());
                     }
                 }
@@ -245,7 +245,7 @@
                     call.gateway.refused_lead(&target);
                 }
                 call.gateway.counters.retry(reason_of(&reply));
-                lease.give_back();
+                lease.return_to_pool();
                 Some(reply)
             }
             Ok(None) | Err(_) => {
--- a/crates/proxy/src/sessions/request/prove.rs
+++ b/crates/proxy/src/sessions/request/prove.rs
@@ -274,7 +274,7 @@
     let mut lease = path.pool.take(None, None, until).await?;
     match lease.connection().ask(&Query::Standing, until).await {
         Ok(reply) => {
-            lease.give_back();
+            lease.return_to_pool();
             member.replied(reply.error(), gateway.clock.now_us(), None);
             Ok(reply)
         }
--- a/crates/proxy/src/sessions/request/read.rs
+++ b/crates/proxy/src/sessions/request/read.rs
@@ -219,7 +219,7 @@
         }
     };
     let offered = judge(target, lease.connection(), reply, sent_us, now_us);
-    lease.give_back();
+    lease.return_to_pool();
     offered
 }
 
--- a/crates/proxy/src/sessions/request/sample.rs
+++ b/crates/proxy/src/sessions/request/sample.rs
@@ -71,7 +71,7 @@
         target.failed(gateway.clock.now_us());
         return None;
     };
-    lease.give_back();
+    lease.return_to_pool();
     target.answered(gateway.clock.now_us(), None);
     match reply.error() {
         None => {
@@ -100,7 +100,7 @@
     let sent_us = gateway.clock.now_us();
     let until = gateway.clock.instant_at(sent_us + LIMIT_US);
     let reply = lease.connection().ask(&Query::Position { max_age_us }, until).await.ok()?;
-    lease.give_back();
+    lease.return_to_pool();
     if !matches!(reply.end, End::Complete { .. }) {
         return None;
     }
--- a/crates/proxy/src/sessions/request/transaction.rs
+++ b/crates/proxy/src/sessions/request/transaction.rs
@@ -117,7 +117,7 @@
                     target.lagged(call.now_us());
                 }
                 call.gateway.counters.retry(RetryReason::Lagging);
-                lease.give_back();
+                lease.return_to_pool();
             }
             Err(lost) => {
                 target.failed(call.now_us());
@@ -144,7 +144,7 @@
         && let Err(refusal) = prove_for_reads(call, &mut held).await
     {
         // Its connection rolls back as it goes back.
-        held.lease.give_back();
+        held.lease.return_to_pool();
         session.state = SessionState::Failed(ErrorKind::ProtocolViolation);
         return Err(refusal);
     }
@@ -184,7 +184,7 @@
     transaction.wrote |= work.effect() == Effect::Write;
     if is_commit {
         session.state = SessionState::Idle;
-        held.lease.give_back();
+        held.lease.return_to_pool();
         if reply.error().is_none() && transaction.wrote {
             at_primary::acknowledged(call, session, &held.target, sent_us, &reply).await?;
         }
@@ -192,7 +192,7 @@
     }
     if reply.error().is_some() && reply.status != TransactionStatus::Open {
         session.state = SessionState::Failed(ErrorKind::ProtocolViolation);
-        held.lease.give_back();
+        held.lease.return_to_pool();
         return Ok(reply);
     }
     transaction.held = Some(held);
@@ -218,6 +218,6 @@
     C: Codec,
 {
     if let Some(held) = transaction.held {
-        held.lease.give_back();
+        held.lease.return_to_pool();
     }
 }
--- a/crates/proxy/tests/pool_users.rs
+++ b/crates/proxy/tests/pool_users.rs
@@ -128,7 +128,7 @@
     for user in users {
         let mut lease = take(pool, user).await.expect("a connection can be opened");
         assert_eq!(user_of(&mut lease), *user);
-        lease.give_back();
+        lease.return_to_pool();
     }
 }
 
@@ -170,7 +170,7 @@
             async move { take(&pool, "hill").await.map(|mut lease| user_of(&mut lease)) }
         });
         tokio::task::yield_now().await;
-        held.give_back();
+        held.return_to_pool();
         assert_eq!(waiting.await.expect("it ends"), Ok("hill".to_owned()));
         assert_eq!(target.most_open.load(Ordering::Relaxed), 2);
     }
