--- a/crates/proxy/src/connection/caller.rs
+++ b/crates/proxy/src/connection/caller.rs
@@ -68,7 +68,7 @@
 }
 
 /// Why an idle caller's task goes on.
-enum Wake {
+enum WakeReason {
     Input,
     Stopping,
     IdleInTransaction,
@@ -80,18 +80,18 @@
     pub async fn serve(mut self) {
         loop {
             match self.wait().await {
-                Wake::Gone => break,
-                Wake::Input => {
-                    if Box::pin(self.take_messages()).await == Flow::Close {
+                WakeReason::Gone => break,
+                WakeReason::Input => {
+                    if Box::pin(self.process_messages()).await == Flow::Close {
                         break;
                     }
                 }
-                Wake::Stopping => {
-                    Box::pin(self.say_goodbye(ErrorKind::ShuttingDown)).await;
+                WakeReason::Stopping => {
+                    Box::pin(self.close_with_error(ErrorKind::ShuttingDown)).await;
                     break;
                 }
-                Wake::IdleInTransaction => {
-                    Box::pin(self.say_goodbye(ErrorKind::IdleInTransaction)).await;
+                WakeReason::IdleInTransaction => {
+                    Box::pin(self.close_with_error(ErrorKind::IdleInTransaction)).await;
                     break;
                 }
             }
@@ -114,32 +114,32 @@
         }
     }
 
-    async fn wait(&mut self) -> Wake {
+    async fn wait(&mut self) -> WakeReason {
         self.input.shrink();
         if self.pinned.is_none() {
             self.session.shrink();
             tokio::select! {
                 biased;
-                ready = self.stream.readable() => wake_of(ready.is_ok()),
-                _ = self.stopping.wait_for(|stopping| *stopping) => Wake::Stopping,
+                ready = self.stream.readable() => wake_reason(ready.is_ok()),
+                _ = self.stopping.wait_for(|stopping| *stopping) => WakeReason::Stopping,
             }
         } else {
             let limit = Duration::from_millis(self.traffic.limits.idle_in_transaction_ms);
             match time::timeout(limit, self.stream.readable()).await {
-                Ok(ready) => wake_of(ready.is_ok()),
-                Err(_) => Wake::IdleInTransaction,
+                Ok(ready) => wake_reason(ready.is_ok()),
+                Err(_) => WakeReason::IdleInTransaction,
             }
         }
     }
 
     /// Takes the messages that are there.
-    async fn take_messages(&mut self) -> Flow {
+    async fn process_messages(&mut self) -> Flow {
         let limit_bytes = self.traffic.limits.message_bytes;
         let stall_timeout = self.traffic.limits.slow_sender();
         loop {
             match self.input.next(&self.stream, limit_bytes, stall_timeout).await {
                 Ok(Some(message)) => {
-                    if self.take(message).await == Flow::Close {
+                    if self.process_message(message).await == Flow::Close {
                         socket::linger(&mut self.stream).await;
                         return Flow::Close;
                     }
@@ -160,10 +160,10 @@
             InputError::Stalled => ErrorKind::CallerTooSlow,
             InputError::BadFrame => ErrorKind::ProtocolViolation,
         };
-        self.say_goodbye(kind).await;
+        self.close_with_error(kind).await;
     }
 
-    async fn take(&mut self, message: CallerMessage) -> Flow {
+    async fn process_message(&mut self, message: CallerMessage) -> Flow {
         match message.tag {
             b'X' => return Flow::Close,
             // After an error the protocol has the rest of the batch dropped.
@@ -172,7 +172,7 @@
             _ => (),
         }
         match message.tag {
-            b'Q' => self.simple(message).await,
+            b'Q' => self.simple_query(message).await,
             b'P' | b'B' | b'D' | b'E' | b'C' => self.add_to_batch(message).await,
             b'S' => self.end_batch(BatchEnd::Sync).await,
             b'H' => self.end_batch(BatchEnd::Flush).await,
@@ -190,7 +190,7 @@
         answer::refuse_message(self, &refusal, awaits_ready).await
     }
 
-    async fn simple(&mut self, message: CallerMessage) -> Flow {
+    async fn simple_query(&mut self, message: CallerMessage) -> Flow {
         let text = frames::split_cstr(message.body()).map(|(text, _)| text);
         let Some(text) = text.and_then(|text| std::str::from_utf8(text).ok()) else {
             return self.refuse(ErrorKind::ProtocolViolation.into(), true).await;
@@ -200,11 +200,11 @@
             Ok(None) => (),
             Err(refusal) => return self.refuse(refusal, true).await,
         }
-        let traits = StatementTraits::of(text);
-        if traits.copies {
+        let traits = StatementTraits::analyze(text);
+        if traits.has_copy {
             return self.refuse(batch::copy_refused(), true).await;
         }
-        let session_set = traits.sets.then(|| text.to_owned());
+        let session_set = traits.sets_parameter.then(|| text.to_owned());
         let caller_request = CallerRequest::Simple { frame: message.frame, traits, session_set };
         execute::run(self, &caller_request).await
     }
@@ -271,7 +271,7 @@
     }
 
     /// Ends the connection with an answer that the caller gets to read.
-    async fn say_goodbye(&mut self, kind: ErrorKind) {
+    async fn close_with_error(&mut self, kind: ErrorKind) {
         self.traffic.counters.refusal(kind);
         self.end_transaction();
         let mut out = BytesMut::new();
@@ -281,10 +281,10 @@
     }
 }
 
-fn wake_of(is_ready: bool) -> Wake {
+fn wake_reason(is_ready: bool) -> WakeReason {
     match is_ready {
-        true => Wake::Input,
-        false => Wake::Gone,
+        true => WakeReason::Input,
+        false => WakeReason::Gone,
     }
 }
 
@@ -295,9 +295,9 @@
 }
 
 /// The messages of a start-up that succeeded. A token that came with it is reported as after a `SET`.
-pub fn write_greeting(out: &mut BytesMut, key: CancelKey, token: &str) {
+pub fn write_startup_response(out: &mut BytesMut, key: CancelKey, token: &str) {
     frames::authentication_ok(out);
-    for (name, value) in GREETING_PARAMETERS {
+    for (name, value) in SERVER_PARAMETERS {
         frames::parameter_status(out, name, value);
     }
     if !token.is_empty() {
@@ -309,7 +309,7 @@
 }
 
 /// What drivers expect to be told of a server. A caller is greeted before any target is asked.
-const GREETING_PARAMETERS: [(&str, &str); 7] = [
+const SERVER_PARAMETERS: [(&str, &str); 7] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
     ("client_encoding", "UTF8"),
--- a/crates/proxy/src/connection/caller_input.rs
+++ b/crates/proxy/src/connection/caller_input.rs
@@ -76,7 +76,7 @@
         stall_timeout: Duration,
     ) -> Result<Option<CallerMessage>, InputError> {
         loop {
-            if let Some(message) = self.take(limit_bytes)? {
+            if let Some(message) = self.take_message(limit_bytes)? {
                 return Ok(Some(message));
             }
             match socket::try_read(stream, &mut self.buffer) {
@@ -92,7 +92,7 @@
         }
     }
 
-    fn take(&mut self, limit_bytes: usize) -> Result<Option<CallerMessage>, InputError> {
+    fn take_message(&mut self, limit_bytes: usize) -> Result<Option<CallerMessage>, InputError> {
         let header = FrameHeader::parse(&self.buffer).map_err(|_| InputError::BadFrame)?;
         let Some(header) = header else { return Ok(None) };
         if header.frame_bytes > limit_bytes {
--- a/crates/proxy/src/connection/limits.rs
+++ b/crates/proxy/src/connection/limits.rs
@@ -56,13 +56,13 @@
 
 impl Default for TrafficLimits {
     fn default() -> TrafficLimits {
-        TrafficLimits::of(&ProxySettings::default())
+        TrafficLimits::from_settings(&ProxySettings::default())
     }
 }
 
 impl TrafficLimits {
     /// The bounds in a proxy's settings.
-    pub fn of(settings: &ProxySettings) -> TrafficLimits {
+    pub fn from_settings(settings: &ProxySettings) -> TrafficLimits {
         let limits = &settings.limits;
         TrafficLimits {
             message_bytes: limits.max_message_bytes as usize,
--- a/crates/proxy/src/connection/prepared.rs
+++ b/crates/proxy/src/connection/prepared.rs
@@ -46,7 +46,7 @@
     pub fn new(id: u64, definition: Bytes) -> Option<Result<PreparedStatement, Refusal>> {
         let (text, _) = frames::split_cstr(&definition)?;
         let text = String::from_utf8_lossy(text);
-        let traits = StatementTraits::of(&text);
+        let traits = StatementTraits::analyze(&text);
         let parsed = LocalStatement::parse(&text);
         Some(parsed.map(|local| PreparedStatement { id, definition, traits, local }))
     }
@@ -102,7 +102,7 @@
 
 impl PreparedOnConnection {
     /// Whether the statement is prepared.
-    pub fn has(&self, id: u64) -> bool {
+    pub fn is_prepared(&self, id: u64) -> bool {
         self.ids.contains(&id)
     }
 
--- a/crates/proxy/src/connection/relay.rs
+++ b/crates/proxy/src/connection/relay.rs
@@ -21,7 +21,7 @@
 use crate::connection::target_connection::TargetConnection;
 
 /// The largest message that must be read whole to be understood.
-const MAX_NOTICE_BYTES: usize = 1 << 20;
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// Up to this size a run before a notice is kept to be written together with what follows.
 const MAX_PENDING_BYTES: usize = 8 << 10;
@@ -31,7 +31,7 @@
 
 /// What the relay stops at.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum Notice {
+pub enum RelayEvent {
     /// A commit that wrote something, with the position's text. What follows is held back.
     Commit(String),
     /// The other proxy says who served the request.
@@ -47,7 +47,7 @@
     /// The target waits for COPY data, or sends some.
     Copy(u8),
     /// So much of the answer is held back that the position must be confirmed first.
-    HeldEnough,
+    HoldLimitReached,
 }
 
 /// Why the relay can't go on.
@@ -82,9 +82,9 @@
     /// A write to the caller was begun and not ended.
     flushing: bool,
     /// Whether any of the answer went to the caller.
-    pub passed_on: bool,
+    pub sent_to_caller: bool,
     /// Whether any of the answer came.
-    pub begun: bool,
+    pub answer_begun: bool,
 }
 
 impl<'a> Relay<'a> {
@@ -110,14 +110,14 @@
             eager,
             has_result: false,
             flushing: false,
-            passed_on: false,
-            begun: false,
+            sent_to_caller: false,
+            answer_begun: false,
         }
     }
 
     /// Whether the caller has part of a message, so that nothing but its rest can follow.
     pub fn is_within_frame(&self) -> bool {
-        self.flushing || (self.passed_on && self.frame_left_bytes > 0)
+        self.flushing || (self.sent_to_caller && self.frame_left_bytes > 0)
     }
 
     /// Whether something of the answer waits to be written.
@@ -140,14 +140,14 @@
     }
 
     /// Adds a message of the proxy's own where the answer is now.
-    pub fn add(&mut self, connection: &mut TargetConnection, bytes: &[u8]) {
-        self.keep_run(connection);
+    pub fn append(&mut self, connection: &mut TargetConnection, bytes: &[u8]) {
+        self.buffer_run(connection);
         self.pending.extend_from_slice(bytes);
     }
 
     /// What is left to be written once the answer is complete; the connection can be given back.
     pub fn finish(mut self, connection: &mut TargetConnection) -> BytesMut {
-        self.keep_run(connection);
+        self.buffer_run(connection);
         self.pending
     }
 
@@ -158,17 +158,17 @@
         &mut self,
         connection: &mut TargetConnection,
         unsent: &mut &[u8],
-    ) -> Result<Notice, RelayError> {
+    ) -> Result<RelayEvent, RelayError> {
         loop {
-            if let Some(notice) = self.scan(connection).await? {
-                return Ok(notice);
+            if let Some(relay_event) = self.scan(connection).await? {
+                return Ok(relay_event);
             }
             let awaits_ready = connection.awaited_ready > 0;
             if !awaits_ready && unsent.is_empty() && self.is_flushed() {
-                return Ok(Notice::Flushed);
+                return Ok(RelayEvent::Flushed);
             }
             if self.holding && self.run_bytes + self.pending.len() > MAX_HELD_BYTES {
-                return Ok(Notice::HeldEnough);
+                return Ok(RelayEvent::HoldLimitReached);
             }
             let small = self.run_bytes + self.pending.len() < MAX_PENDING_BYTES;
             let waits_for_more = small && !(self.eager && self.has_result);
@@ -205,7 +205,7 @@
         if ready.is_readable() || ready.is_read_closed() {
             match socket::try_read(&connection.stream, &mut connection.input)? {
                 Some(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                Some(_) => self.begun |= self.prelude_ready == 0,
+                Some(_) => self.answer_begun |= self.prelude_ready == 0,
                 None => (),
             }
         }
@@ -216,9 +216,9 @@
     async fn scan(
         &mut self,
         connection: &mut TargetConnection,
-    ) -> Result<Option<Notice>, RelayError> {
+    ) -> Result<Option<RelayEvent>, RelayError> {
         loop {
-            self.take_locals(connection);
+            self.append_local_replies(connection);
             let rest = &connection.input[self.run_bytes..];
             if self.frame_left_bytes > 0 {
                 let passed = self.frame_left_bytes.min(rest.len());
@@ -231,82 +231,82 @@
             }
             let header = FrameHeader::parse(rest).map_err(|_| bad_frame())?;
             let Some(header) = header else { return Ok(None) };
-            if is_opaque(header.tag) && self.prelude_ready == 0 {
+            if is_streamed(header.tag) && self.prelude_ready == 0 {
                 self.has_result = true;
                 self.frame_left_bytes = header.frame_bytes;
                 continue;
             }
             if rest.len() < header.frame_bytes {
                 return match header.frame_bytes {
-                    0..=MAX_NOTICE_BYTES => Ok(None),
+                    0..=MAX_EVENT_BYTES => Ok(None),
                     _ => Err(bad_frame()),
                 };
             }
-            if let Some(notice) = self.take_frame(connection, header).await? {
-                return Ok(Some(notice));
+            if let Some(relay_event) = self.handle_frame(connection, header).await? {
+                return Ok(Some(relay_event));
             }
         }
     }
 
-    fn take_locals(&mut self, connection: &mut TargetConnection) {
+    fn append_local_replies(&mut self, connection: &mut TargetConnection) {
         let at_boundary = self.frame_left_bytes == 0 && self.prelude_ready == 0;
         while let Some(local) = match (&mut self.replies, at_boundary) {
             (Some(replies), true) => replies.take_local(),
             _ => None,
         } {
-            self.add(connection, &local);
+            self.append(connection, &local);
         }
     }
 
     /// Handles a message that is there whole.
-    async fn take_frame(
+    async fn handle_frame(
         &mut self,
         connection: &mut TargetConnection,
         header: FrameHeader,
-    ) -> Result<Option<Notice>, RelayError> {
+    ) -> Result<Option<RelayEvent>, RelayError> {
         if self.prelude_ready > 0 {
-            let frame = self.cut(connection, header);
+            let frame = self.split_frame(connection, header);
             if header.tag == backend::READY_FOR_QUERY_TAG {
                 self.prelude_ready -= 1;
                 connection.awaited_ready -= 1;
             }
-            self.begun |= self.prelude_ready == 0 && !connection.input.is_empty();
+            self.answer_begun |= self.prelude_ready == 0 && !connection.input.is_empty();
             let is_error = header.tag == backend::ERROR_RESPONSE_TAG;
-            return Ok(is_error.then_some(Notice::PreludeError(frame)));
+            return Ok(is_error.then_some(RelayEvent::PreludeError(frame)));
         }
         match header.tag {
             backend::READY_FOR_QUERY_TAG => {
-                let frame = self.cut_after_run(connection, header).await?;
+                let frame = self.split_frame_after_run(connection, header).await?;
                 let status = frame.last().copied().unwrap_or(0);
                 connection.awaited_ready -= 1;
                 connection.status = status;
-                Ok(Some(Notice::Ready(status)))
+                Ok(Some(RelayEvent::Ready(status)))
             }
             backend::ERROR_RESPONSE_TAG => {
-                let frame = self.cut_after_run(connection, header).await?;
+                let frame = self.split_frame_after_run(connection, header).await?;
                 if let Some(replies) = &mut self.replies {
                     replies.clear();
                 }
-                Ok(Some(Notice::Error(frame)))
+                Ok(Some(RelayEvent::Error(frame)))
             }
-            backend::PARAMETER_STATUS_TAG => self.take_parameter(connection, header).await,
+            backend::PARAMETER_STATUS_TAG => self.handle_parameter_status(connection, header).await,
             // Nobody who listens keeps this connection.
             backend::NOTIFICATION_RESPONSE_TAG => {
-                self.cut_after_run(connection, header).await?;
+                self.split_frame_after_run(connection, header).await?;
                 Ok(None)
             }
             tag @ (backend::COPY_IN_RESPONSE_TAG | backend::COPY_OUT_RESPONSE_TAG | b'W') => {
-                self.cut_after_run(connection, header).await?;
-                Ok(Some(Notice::Copy(tag)))
+                self.split_frame_after_run(connection, header).await?;
+                Ok(Some(RelayEvent::Copy(tag)))
             }
             tag => {
-                self.take_reply(connection, header, tag).await?;
+                self.handle_reply(connection, header, tag).await?;
                 Ok(None)
             }
         }
     }
 
-    async fn take_reply(
+    async fn handle_reply(
         &mut self,
         connection: &mut TargetConnection,
         header: FrameHeader,
@@ -320,7 +320,7 @@
             _ => (),
         }
         if reply.is_some_and(|reply| reply.is_injected()) {
-            self.cut_after_run(connection, header).await?;
+            self.split_frame_after_run(connection, header).await?;
             return Ok(());
         }
         self.has_result |= ends_statement(tag);
@@ -328,16 +328,16 @@
         Ok(())
     }
 
-    async fn take_parameter(
+    async fn handle_parameter_status(
         &mut self,
         connection: &mut TargetConnection,
         header: FrameHeader,
-    ) -> Result<Option<Notice>, RelayError> {
-        let frame = self.cut_after_run(connection, header).await?;
+    ) -> Result<Option<RelayEvent>, RelayError> {
+        let frame = self.split_frame_after_run(connection, header).await?;
         let (name, value) = frames::parse_parameter_status(&frame).ok_or_else(bad_frame)?;
         match name {
-            COMMIT_PARAMETER => Ok(Some(Notice::Commit(value.to_owned()))),
-            SERVED_PARAMETER => Ok(Some(Notice::Served(value.to_owned()))),
+            COMMIT_PARAMETER => Ok(Some(RelayEvent::Commit(value.to_owned()))),
+            SERVED_PARAMETER => Ok(Some(RelayEvent::Served(value.to_owned()))),
             // Another proxy's token speaks of that proxy's session, not of this caller's.
             _ if name.starts_with("skylark.") => Ok(None),
             _ => {
@@ -348,7 +348,7 @@
     }
 
     /// Cuts the message that follows the run out of the input. The run is kept, or written if large.
-    async fn cut_after_run(
+    async fn split_frame_after_run(
         &mut self,
         connection: &mut TargetConnection,
         header: FrameHeader,
@@ -356,15 +356,15 @@
         if self.run_bytes > MAX_PENDING_BYTES && !self.holding {
             self.flush(connection).await?;
         }
-        self.keep_run(connection);
-        Ok(self.cut(connection, header))
+        self.buffer_run(connection);
+        Ok(self.split_frame(connection, header))
     }
 
-    fn cut(&mut self, connection: &mut TargetConnection, header: FrameHeader) -> BytesMut {
+    fn split_frame(&mut self, connection: &mut TargetConnection, header: FrameHeader) -> BytesMut {
         connection.input.split_to(header.frame_bytes)
     }
 
-    fn keep_run(&mut self, connection: &mut TargetConnection) {
+    fn buffer_run(&mut self, connection: &mut TargetConnection) {
         self.pending.extend_from_slice(&connection.input[..self.run_bytes]);
         connection.input.advance(self.run_bytes);
         self.run_bytes = 0;
@@ -374,7 +374,7 @@
         if self.pending.is_empty() && self.run_bytes == 0 {
             return Ok(());
         }
-        self.passed_on = true;
+        self.sent_to_caller = true;
         self.flushing = true;
         let run = &connection.input[..self.run_bytes];
         let written = socket::write_both(self.caller, &self.pending, run, self.stall_timeout).await;
@@ -394,7 +394,7 @@
 pub const SERVED_PARAMETER: &str = "skylark.served";
 
 /// Messages that are passed on as they come, however large.
-fn is_opaque(tag: u8) -> bool {
+fn is_streamed(tag: u8) -> bool {
     matches!(tag, backend::DATA_ROW_TAG | backend::NOTICE_RESPONSE_TAG)
 }
 
--- a/crates/proxy/src/connection/session.rs
+++ b/crates/proxy/src/connection/session.rs
@@ -101,7 +101,7 @@
     }
 
     /// Keeps the declarations made so far as those of the start-up.
-    pub fn startup_ends(&mut self) {
+    pub fn record_initial_declarations(&mut self) {
         if self.declared != Declared::default() {
             self.initial = Some(Box::new(self.declared.clone()));
         }
--- a/crates/proxy/src/connection/startup.rs
+++ b/crates/proxy/src/connection/startup.rs
@@ -60,17 +60,17 @@
 }
 
 /// A caller that passed its start-up, with its place among the callers.
-pub type Welcomed = (Caller, CallerPermit);
+pub type StartedCaller = (Caller, CallerPermit);
 
 /// Takes a new connection through its start-up. `None` when it ended there.
-pub async fn welcome(traffic: &Arc<Traffic>, stream: TcpStream) -> Option<Welcomed> {
+pub async fn run_startup(traffic: &Arc<Traffic>, stream: TcpStream) -> Option<StartedCaller> {
     let limit = Duration::from_millis(traffic.limits.startup_ms);
     let mut input = BytesMut::new();
     let packet = time::timeout(limit, read_packets(&stream, &mut input)).await;
     let refusal = match packet {
         Ok(Ok(Packet::Startup(parameters))) => match start_session(traffic, &parameters) {
             Ok((session, permit)) => {
-                return greet(traffic, stream, input, session, permit).await;
+                return finish_startup(traffic, stream, input, session, permit).await;
             }
             Err(refusal) => refusal,
         },
@@ -203,13 +203,13 @@
     // Another proxy's connections are bounded by that proxy, and carry many users.
     let permit = traffic.callers.admit(session.forwarded_by.is_none().then_some(user))?;
     for (name, value) in parameters {
-        set_at_startup(traffic, &mut session, name, value)?;
+        apply_startup_parameter(traffic, &mut session, name, value)?;
     }
-    session.startup_ends();
+    session.record_initial_declarations();
     Ok((session, permit))
 }
 
-fn set_at_startup(
+fn apply_startup_parameter(
     traffic: &Traffic,
     session: &mut Session,
     name: &str,
@@ -218,7 +218,7 @@
     let lower = name.to_ascii_lowercase();
     match lower.as_str() {
         "user" | "database" | FORWARDED_PARAMETER => Ok(()),
-        "options" => set_options(traffic, session, value),
+        "options" => apply_options(traffic, session, value),
         "client_encoding" => check_encoding(value),
         // Names that a later minor version of the protocol brings may be left out by the server.
         _ if lower.starts_with("_pq_.") => Ok(()),
@@ -251,7 +251,7 @@
 }
 
 /// Reads `-c NAME=VALUE` and `--NAME=VALUE`, with `\` in front of blanks within values.
-fn set_options(traffic: &Traffic, session: &mut Session, options: &str) -> Result<(), Refusal> {
+fn apply_options(traffic: &Traffic, session: &mut Session, options: &str) -> Result<(), Refusal> {
     let words = split_words(options);
     let mut words = words.iter().map(String::as_str);
     while let Some(word) = words.next() {
@@ -266,7 +266,7 @@
             let note = format!("`options` has `{word}`, accepted is `-c NAME=VALUE`");
             return Err(Refusal::with_note(ErrorKind::BadParameter, note));
         };
-        set_at_startup(traffic, session, name, value)?;
+        apply_startup_parameter(traffic, session, name, value)?;
     }
     Ok(())
 }
@@ -287,17 +287,17 @@
     words
 }
 
-async fn greet(
+async fn finish_startup(
     traffic: &Arc<Traffic>,
     stream: TcpStream,
     input: BytesMut,
     session: Session,
     permit: CallerPermit,
-) -> Option<Welcomed> {
+) -> Option<StartedCaller> {
     let cancel = Arc::new(CancelSlot::default());
     let cancel_key = traffic.cancels.register(&cancel);
     let mut out = BytesMut::new();
-    caller::write_greeting(&mut out, cancel_key, &session.token());
+    caller::write_startup_response(&mut out, cancel_key, &session.token());
     let budget = traffic.budget_of(&session.group);
     let caller = Caller {
         traffic: Arc::clone(traffic),
--- a/crates/proxy/src/process/daemon.rs
+++ b/crates/proxy/src/process/daemon.rs
@@ -130,7 +130,7 @@
             slot: Arc::clone(&published),
             control: handle,
             counters,
-            limits: TrafficLimits::of(&settings),
+            limits: TrafficLimits::from_settings(&settings),
             vm: settings.vm.clone(),
             zone: settings.zone.clone(),
             clock,
--- a/crates/proxy/src/process/traffic.rs
+++ b/crates/proxy/src/process/traffic.rs
@@ -220,7 +220,7 @@
     }
     let welcomed = tokio::select! {
         biased;
-        welcomed = Box::pin(startup::welcome(&traffic, stream)) => welcomed,
+        welcomed = Box::pin(startup::run_startup(&traffic, stream)) => welcomed,
         // Closed without a word: in a flood of connections that never start, an answer would cost
         // more than the flood does.
         () = half_open.evicted() => {
--- a/crates/proxy/src/request/acknowledge.rs
+++ b/crates/proxy/src/request/acknowledge.rs
@@ -17,7 +17,7 @@
 
 /// Whether a commit may be acknowledged.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Verdict {
+pub enum Confirmation {
     /// A majority holds it.
     Confirmed,
     /// It can't be said whether it lasts: no confirmation came in time, or a newer term has begun.
@@ -25,7 +25,7 @@
 }
 
 /// A group's confirmed position, and this thread's copy of it.
-struct Followed {
+struct LocalPosition {
     published: watch::Receiver<LogPosition>,
     copy: watch::Receiver<LogPosition>,
 }
@@ -33,33 +33,37 @@
 thread_local! {
     /// The groups that commits of this thread wait for. The control thread wakes one task of each
     /// thread, not one for each commit: each wake-up of another thread is a system call of its own.
-    static FOLLOWED: RefCell<Vec<Followed>> = const { RefCell::new(Vec::new()) };
+    static LOCAL_POSITIONS: RefCell<Vec<LocalPosition>> = const { RefCell::new(Vec::new()) };
 }
 
 /// This thread's copy of a group's confirmed position. It is never ahead of what is published, and
 /// ends with it.
-fn follow(live: &GroupLive) -> watch::Receiver<LogPosition> {
+fn local_position(live: &GroupLive) -> watch::Receiver<LogPosition> {
     let published = live.confirmed.subscribe();
-    FOLLOWED.with_borrow_mut(|followed| {
-        followed.retain(|group| group.copy.has_changed().is_ok());
-        if let Some(known) = followed.iter().find(|group| group.published.same_channel(&published))
+    LOCAL_POSITIONS.with_borrow_mut(|local_positions| {
+        local_positions.retain(|group| group.copy.has_changed().is_ok());
+        if let Some(known) =
+            local_positions.iter().find(|group| group.published.same_channel(&published))
         {
             return known.copy.clone();
         }
         let (sender, copy) = watch::channel(*published.borrow());
-        tokio::spawn(keep_up(published.clone(), sender));
-        followed.push(Followed { published, copy: copy.clone() });
+        tokio::spawn(forward_updates(published.clone(), sender));
+        local_positions.push(LocalPosition { published, copy: copy.clone() });
         copy
     })
 }
 
-async fn keep_up(mut published: watch::Receiver<LogPosition>, copy: watch::Sender<LogPosition>) {
+async fn forward_updates(
+    mut published: watch::Receiver<LogPosition>,
+    copy: watch::Sender<LogPosition>,
+) {
     loop {
         let confirmed = *published.borrow_and_update();
         copy.send_if_modified(|copied| {
-            let grew = confirmed > *copied;
+            let advanced = confirmed > *copied;
             *copied = confirmed;
-            grew
+            advanced
         });
         if published.changed().await.is_err() {
             return;
@@ -69,11 +73,11 @@
 
 /// Waits until `position` is confirmed in its own term, a newer term is confirmed, or the deadline
 /// comes.
-pub async fn wait(live: &GroupLive, position: LogPosition, deadline: Instant) -> Verdict {
-    let mut confirmed = follow(live);
+pub async fn wait(live: &GroupLive, position: LogPosition, deadline: Instant) -> Confirmation {
+    let mut confirmed = local_position(live);
     let decided = confirmed.wait_for(|confirmed| *confirmed >= position);
     match time::timeout_at(deadline.into(), decided).await {
-        Ok(Ok(confirmed)) if confirmed.term == position.term => Verdict::Confirmed,
-        _ => Verdict::Unknown,
+        Ok(Ok(confirmed)) if confirmed.term == position.term => Confirmation::Confirmed,
+        _ => Confirmation::Unknown,
     }
 }
--- a/crates/proxy/src/request/answer.rs
+++ b/crates/proxy/src/request/answer.rs
@@ -22,7 +22,7 @@
 use crate::process::control_handle::ControlEvent;
 use crate::process::counters::Event;
 use crate::request::acknowledge;
-use crate::request::acknowledge::Verdict;
+use crate::request::acknowledge::Confirmation;
 use crate::request::caller_request::CallerRequest;
 use crate::request::exchange::Answer;
 use crate::request::exchange::ExchangeResult;
@@ -101,7 +101,7 @@
     if !commit.confirmed {
         let live = &snapshot.published.group(snapshot.group).live;
         let confirm_by = traffic.confirm_deadline(deadline);
-        if acknowledge::wait(live, commit.position, confirm_by).await == Verdict::Unknown {
+        if acknowledge::wait(live, commit.position, confirm_by).await == Confirmation::Unknown {
             return false;
         }
     }
--- a/crates/proxy/src/request/batch.rs
+++ b/crates/proxy/src/request/batch.rs
@@ -70,7 +70,7 @@
         tag: u8,
         before: Bytes,
         after: Bytes,
-        statement: Used,
+        statement: StatementRef,
         reply: Reply,
     },
     Raw(Bytes, Reply),
@@ -78,7 +78,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Used {
+enum StatementRef {
     Named(Arc<PreparedStatement>),
     /// The unnamed statement, with its definition if this batch does not parse it itself.
     Unnamed(Option<Bytes>),
@@ -116,7 +116,7 @@
             unnamed_in_batch: false,
             plan: Plan {
                 steps: Vec::with_capacity(self.messages.len()),
-                traits: StatementTraits::of(""),
+                traits: StatementTraits::analyze(""),
                 session_set: None,
                 parsed_names: Vec::new(),
             },
@@ -155,7 +155,10 @@
 
     fn named_uses(&self) -> usize {
         let named = |step: &&Step| {
-            matches!(step, Step::ParseNamed(_) | Step::Use { statement: Used::Named(_), .. })
+            matches!(
+                step,
+                Step::ParseNamed(_) | Step::Use { statement: StatementRef::Named(_), .. }
+            )
         };
         self.steps.iter().filter(named).count()
     }
@@ -213,14 +216,14 @@
 
     fn parse(&mut self, message: &CallerMessage) -> Result<(), Refusal> {
         let (name, definition) = split_name(message.body())?;
-        let made = match name {
+        let created = match name {
             "" => PreparedStatement::new(0, Bytes::copy_from_slice(definition))
-                .map(|made| made.map(Arc::new)),
+                .map(|created| created.map(Arc::new)),
             _ => self.context.statements.intern(definition),
         };
-        let statement = made.ok_or(ErrorKind::ProtocolViolation)??;
+        let statement = created.ok_or(ErrorKind::ProtocolViolation)??;
         let step = match (&statement.local, name) {
-            (Some(_), _) => Step::Local(message_of(backend::PARSE_COMPLETE_TAG)),
+            (Some(_), _) => Step::Local(empty_message(backend::PARSE_COMPLETE_TAG)),
             (None, "") => Step::ParseUnnamed(message.frame.clone()),
             (None, _) => Step::ParseNamed(Arc::clone(&statement)),
         };
@@ -246,12 +249,12 @@
         let known = self.session.prepared(name).cloned();
         if let Some(statement) = known.as_ref().filter(|known| known.local.is_some()) {
             self.session.local_portals.push((portal.into(), Arc::clone(statement)));
-            self.plan.steps.push(Step::Local(message_of(backend::BIND_COMPLETE_TAG)));
+            self.plan.steps.push(Step::Local(empty_message(backend::BIND_COMPLETE_TAG)));
             return Ok(());
         }
         if let Some(statement) = &known {
             self.plan.traits = self.plan.traits.join(statement.traits);
-            self.note_set(statement);
+            self.record_session_set(statement);
             self.refuse_copy()?;
         }
         let name_at = frames::HEADER_BYTES + portal.len() + 1;
@@ -259,8 +262,8 @@
         Ok(())
     }
 
-    fn note_set(&mut self, statement: &PreparedStatement) {
-        if statement.traits.sets {
+    fn record_session_set(&mut self, statement: &PreparedStatement) {
+        if statement.traits.sets_parameter {
             let text = frames::split_cstr(&statement.definition).map(|(text, _)| text);
             let text = text.and_then(|text| std::str::from_utf8(text).ok());
             self.plan.session_set = text.map(str::to_owned);
@@ -315,12 +318,12 @@
         let (variant, name) = split_variant(message.body())?;
         if variant == b'S' {
             self.session.close_statement(name);
-            self.plan.steps.push(Step::Local(message_of(backend::CLOSE_COMPLETE_TAG)));
+            self.plan.steps.push(Step::Local(empty_message(backend::CLOSE_COMPLETE_TAG)));
             return Ok(());
         }
         if self.local_portal(name).is_some() {
             self.session.local_portals.retain(|(known, _)| **known != *name);
-            self.plan.steps.push(Step::Local(message_of(backend::CLOSE_COMPLETE_TAG)));
+            self.plan.steps.push(Step::Local(empty_message(backend::CLOSE_COMPLETE_TAG)));
             return Ok(());
         }
         self.plan.steps.push(Step::Raw(message.frame.clone(), Reply::Close));
@@ -333,7 +336,7 @@
     }
 
     fn refuse_copy(&self) -> Result<(), Refusal> {
-        match self.plan.traits.copies {
+        match self.plan.traits.has_copy {
             true => Err(copy_refused()),
             false => Ok(()),
         }
@@ -348,10 +351,10 @@
         reply: Reply,
     ) {
         let statement = match (known, name) {
-            (Some(_), "") if self.unnamed_in_batch => Used::Unnamed(None),
-            (Some(known), "") => Used::Unnamed(Some(known.definition.clone())),
-            (Some(known), _) => Used::Named(known),
-            (None, _) => Used::Unknown,
+            (Some(_), "") if self.unnamed_in_batch => StatementRef::Unnamed(None),
+            (Some(known), "") => StatementRef::Unnamed(Some(known.definition.clone())),
+            (Some(known), _) => StatementRef::Named(known),
+            (None, _) => StatementRef::Unknown,
         };
         self.plan.steps.push(Step::Use {
             tag: message.tag,
@@ -389,8 +392,8 @@
                 self.out.extend_from_slice(frame);
                 self.replies.push(Reply::UnnamedParse);
             }
-            Step::ParseNamed(statement) if self.has(statement.id) => {
-                self.replies.push(Reply::Local(message_of(backend::PARSE_COMPLETE_TAG)));
+            Step::ParseNamed(statement) if self.is_prepared(statement.id) => {
+                self.replies.push(Reply::Local(empty_message(backend::PARSE_COMPLETE_TAG)));
             }
             Step::ParseNamed(statement) => {
                 self.parse(statement);
@@ -409,29 +412,29 @@
         Ok(())
     }
 
-    fn has(&self, id: u64) -> bool {
-        self.prepared.has(id) || self.parsing.contains(&id)
+    fn is_prepared(&self, id: u64) -> bool {
+        self.prepared.is_prepared(id) || self.parsing.contains(&id)
     }
 
-    fn name_of(&mut self, statement: &Used) -> std::io::Result<String> {
+    fn name_of(&mut self, statement: &StatementRef) -> std::io::Result<String> {
         match statement {
-            Used::Named(statement) => {
-                if !self.has(statement.id) {
+            StatementRef::Named(statement) => {
+                if !self.is_prepared(statement.id) {
                     self.parse(statement);
                     self.replies.push(Reply::InjectedParse { id: statement.id });
                     self.injected += 1;
                 }
                 Ok(statement.name())
             }
-            Used::Unnamed(None) => Ok(String::new()),
-            Used::Unnamed(Some(definition)) => {
+            StatementRef::Unnamed(None) => Ok(String::new()),
+            StatementRef::Unnamed(Some(definition)) => {
                 write_parse(self.out, "", definition);
                 self.replies.push(Reply::InjectedUnnamedParse);
                 self.injected += 1;
                 Ok(String::new())
             }
             // No statement has this name, and the target says so.
-            Used::Unknown => Ok("unknown".to_owned()),
+            StatementRef::Unknown => Ok("unknown".to_owned()),
         }
     }
 
@@ -457,7 +460,7 @@
     });
 }
 
-fn message_of(tag: u8) -> Bytes {
+fn empty_message(tag: u8) -> Bytes {
     let mut out = BytesMut::with_capacity(frames::HEADER_BYTES);
     frames::empty(&mut out, tag);
     out.freeze()
--- a/crates/proxy/src/request/exchange.rs
+++ b/crates/proxy/src/request/exchange.rs
@@ -20,15 +20,15 @@
 use tokio::time;
 
 use crate::connection::frames;
-use crate::connection::relay::Notice;
 use crate::connection::relay::Relay;
 use crate::connection::relay::RelayError;
+use crate::connection::relay::RelayEvent;
 use crate::connection::reply::Replies;
 use crate::connection::target_connection::TargetConnection;
 use crate::process::counters::Event;
 use crate::process::traffic::Traffic;
 use crate::request::acknowledge;
-use crate::request::acknowledge::Verdict;
+use crate::request::acknowledge::Confirmation;
 use crate::version::published::GroupLive;
 
 /// What is sent for one request.
@@ -180,26 +180,26 @@
     /// Passes the answer on until it is complete (`None`) or ends otherwise.
     async fn relay_answer(&mut self, connection: &mut TargetConnection) -> Option<ExchangeResult> {
         loop {
-            let notice = match self.relay.next(connection, &mut self.unsent).await {
-                Ok(notice) => notice,
+            let relay_event = match self.relay.next(connection, &mut self.unsent).await {
+                Ok(relay_event) => relay_event,
                 Err(RelayError::Target(_)) => return Some(self.failure_result(Failure::Broken)),
                 Err(RelayError::Caller(error)) if error.kind() == std::io::ErrorKind::TimedOut => {
                     return Some(ExchangeResult::CallerTooSlow);
                 }
                 Err(RelayError::Caller(_)) => return Some(ExchangeResult::CallerGone),
             };
-            match notice {
-                Notice::Ready(status) => {
+            match relay_event {
+                RelayEvent::Ready(status) => {
                     self.answer.status = Some(status);
                     return None;
                 }
-                Notice::Flushed => return None,
-                Notice::Commit(position) => {
+                RelayEvent::Flushed => return None,
+                RelayEvent::Commit(position) => {
                     if !self.handle_commit(&position) {
                         return Some(ExchangeResult::NotConfirmed);
                     }
                 }
-                Notice::HeldEnough => {
+                RelayEvent::HoldLimitReached => {
                     if !self.confirm().await {
                         return Some(ExchangeResult::NotConfirmed);
                     }
@@ -207,20 +207,20 @@
                         return Some(caller_error_result(&error));
                     }
                 }
-                Notice::Served(served) => self.answer.served = Some(served),
-                Notice::Error(frame) => {
+                RelayEvent::Served(served) => self.answer.served = Some(served),
+                RelayEvent::Error(frame) => {
                     if let Some(result) = self.handle_error(connection, &frame) {
                         return Some(result);
                     }
                 }
-                Notice::PreludeError(frame) if self.exchange.live.is_none() => {
+                RelayEvent::PreludeError(frame) if self.exchange.live.is_none() => {
                     return Some(self.refused_by_peer(&frame));
                 }
                 // A setting that the target no longer accepts.
-                Notice::PreludeError(_) => (),
-                Notice::Copy(backend::COPY_IN_RESPONSE_TAG) => self.fail_copy(connection).await,
+                RelayEvent::PreludeError(_) => (),
+                RelayEvent::Copy(backend::COPY_IN_RESPONSE_TAG) => self.fail_copy(connection).await,
                 // The caller would take the data for an answer that it did not ask for.
-                Notice::Copy(_) => return Some(self.failure_result(Failure::Broken)),
+                RelayEvent::Copy(_) => return Some(self.failure_result(Failure::Broken)),
             }
         }
     }
@@ -244,7 +244,7 @@
         };
         let deadline = self.exchange.traffic.confirm_deadline(self.exchange.retry_context.deadline);
         let verdict = acknowledge::wait(live, position, deadline).await;
-        self.answer.confirmed = verdict == Verdict::Confirmed;
+        self.answer.confirmed = verdict == Confirmation::Confirmed;
         self.answer.confirmed
     }
 
@@ -255,13 +255,13 @@
     ) -> Option<ExchangeResult> {
         let retry_context = &self.exchange.retry_context;
         let is_fatal = is_fatal(frame);
-        let is_first = !self.relay.passed_on
+        let is_first = !self.relay.sent_to_caller
             && self.answer.commit.is_none()
             && !self.answer.has_error
             && !retry_context.in_transaction;
         self.answer.has_error = true;
         if !is_first && !is_fatal {
-            self.relay.add(connection, frame);
+            self.relay.append(connection, frame);
             return None;
         }
         let reported_failure = self.reported_failure(frame);
@@ -285,7 +285,7 @@
             };
             return Some(self.unless_partial_message(ExchangeResult::FailedAttempt(failed)));
         }
-        self.relay.add(connection, frame);
+        self.relay.append(connection, frame);
         is_fatal.then(|| ExchangeResult::Terminated(BytesMut::from(frame)))
     }
 
@@ -320,7 +320,7 @@
 
     /// How far an answer has come whose latest message is an error.
     fn answer_stage(&self) -> Stage {
-        match (self.relay.passed_on, self.relay.has_pending()) {
+        match (self.relay.sent_to_caller, self.relay.has_pending()) {
             (true, _) => Stage::AnswerPassedOn,
             (false, true) => Stage::AnswerBegun,
             (false, false) => Stage::Sent,
@@ -332,8 +332,8 @@
         let sent_bytes = encoded.bytes.len() - self.unsent.len();
         let is_simple = encoded.replies.is_none();
         match () {
-            _ if self.relay.passed_on => Stage::AnswerPassedOn,
-            _ if self.relay.begun => Stage::AnswerBegun,
+            _ if self.relay.sent_to_caller => Stage::AnswerPassedOn,
+            _ if self.relay.answer_begun => Stage::AnswerBegun,
             _ if sent_bytes == 0 => Stage::NothingSent,
             _ if sent_bytes <= encoded.prelude_bytes => Stage::PartlySent,
             _ if is_simple && !self.unsent.is_empty() => Stage::PartlySent,
--- a/crates/proxy/src/request/parameters.rs
+++ b/crates/proxy/src/request/parameters.rs
@@ -7,7 +7,7 @@
 
 use crate::request::refusal::Refusal;
 use crate::request::statement;
-use crate::request::statement::Parts;
+use crate::request::statement::Statements;
 
 /// What all names of the proxy's parameters begin with.
 pub const PREFIX: &str = "skylark.";
@@ -92,24 +92,24 @@
     /// Reads a query text. `None` where it is for a target; an error where it names a parameter of
     /// the proxy in a way that is not accepted.
     pub fn parse(text: &str) -> Result<Option<LocalStatement>, Refusal> {
-        let mut parts = Parts::of(text);
-        let Some(first) = parts.next() else { return Ok(None) };
+        let mut statements = Statements::new(text);
+        let Some(first) = statements.next() else { return Ok(None) };
         let parsed = LocalStatement::parse_one(first)?;
-        if parsed.is_some() && parts.next().is_some() {
+        if parsed.is_some() && statements.next().is_some() {
             let note = "a statement about the session must be alone in its query".to_owned();
             return Err(Refusal::with_note(ErrorKind::Unsupported, note));
         }
         Ok(parsed)
     }
 
-    fn parse_one(part: &str) -> Result<Option<LocalStatement>, Refusal> {
-        let keyword = statement::first_word(part);
-        let rest = statement::after_word(part);
+    fn parse_one(statement_text: &str) -> Result<Option<LocalStatement>, Refusal> {
+        let keyword = statement::first_word(statement_text);
+        let rest = statement::after_first_word(statement_text);
         if keyword.eq_ignore_ascii_case("SHOW") {
-            return Ok(named(rest.trim())?.map(LocalStatement::Show));
+            return Ok(proxy_parameter(rest.trim())?.map(LocalStatement::Show));
         }
         if keyword.eq_ignore_ascii_case("RESET") {
-            return Ok(named(rest.trim())?.map(LocalStatement::Reset));
+            return Ok(proxy_parameter(rest.trim())?.map(LocalStatement::Reset));
         }
         if keyword.eq_ignore_ascii_case("SET") {
             return parse_set(rest);
@@ -139,12 +139,12 @@
 fn parse_set(rest: &str) -> Result<Option<LocalStatement>, Refusal> {
     let first = statement::first_word(rest);
     let scoped = first.eq_ignore_ascii_case("SESSION") || first.eq_ignore_ascii_case("LOCAL");
-    let rest = match statement::after_word(rest) {
+    let rest = match statement::after_first_word(rest) {
         after if scoped && !after.starts_with(['=', '.']) => after,
         _ => rest,
     };
     let name_end = rest.find(|c: char| c == '=' || c.is_whitespace()).unwrap_or(rest.len());
-    let Some(parameter) = named(&rest[..name_end])? else { return Ok(None) };
+    let Some(parameter) = proxy_parameter(&rest[..name_end])? else { return Ok(None) };
     if !parameter.can_set() {
         let note = format!("`{}` can't be set", parameter.name());
         return Err(Refusal::with_note(ErrorKind::BadParameter, note));
@@ -153,15 +153,15 @@
     let value = match value.strip_prefix('=') {
         Some(value) => value,
         None if statement::first_word(value).eq_ignore_ascii_case("TO") => {
-            statement::after_word(value)
+            statement::after_first_word(value)
         }
         None => return Err(bad_value(parameter, value)),
     };
-    let value = unquoted(value.trim()).ok_or_else(|| bad_value(parameter, value))?;
+    let value = unquote(value.trim()).ok_or_else(|| bad_value(parameter, value))?;
     Ok(Some(LocalStatement::Set(parameter, value)))
 }
 
-fn named(name: &str) -> Result<Option<Parameter>, Refusal> {
+fn proxy_parameter(name: &str) -> Result<Option<Parameter>, Refusal> {
     let name = name.trim_matches('"');
     let has_prefix =
         name.get(..PREFIX.len()).is_some_and(|start| start.eq_ignore_ascii_case(PREFIX));
@@ -188,7 +188,7 @@
 }
 
 /// The text of a literal: quoted with doubled quotes inside, or one bare word or number.
-fn unquoted(literal: &str) -> Option<String> {
+fn unquote(literal: &str) -> Option<String> {
     if let Some(quoted) = literal.strip_prefix('\'') {
         let inner = quoted.strip_suffix('\'')?;
         let single = inner.replace("''", "");
--- a/crates/proxy/src/request/statement.rs
+++ b/crates/proxy/src/request/statement.rs
@@ -13,13 +13,13 @@
     /// Some part may change the state of the target's session beyond the transaction.
     pub changes_session: bool,
     /// Some part is a COPY.
-    pub copies: bool,
+    pub has_copy: bool,
     /// Some part opens a transaction that may write.
     pub opens_writable: bool,
     /// The text is one statement that opens a transaction.
     pub begins: Option<Access>,
     /// The text is one SET or RESET of a parameter for the session.
-    pub sets: bool,
+    pub sets_parameter: bool,
     /// There is no statement in the text.
     pub is_empty: bool,
 }
@@ -32,36 +32,36 @@
     /// `READ WRITE`.
     ReadWrite,
     /// Neither is said.
-    Unsaid,
+    Unspecified,
 }
 
 impl StatementTraits {
     /// Reads the text.
-    pub fn of(text: &str) -> StatementTraits {
+    pub fn analyze(text: &str) -> StatementTraits {
         let mut all = StatementTraits {
             only_reads: true,
             may_commit: false,
             changes_session: false,
-            copies: false,
+            has_copy: false,
             opens_writable: false,
             begins: None,
-            sets: false,
+            sets_parameter: false,
             is_empty: true,
         };
-        let mut parts = 0;
-        for part in Parts::of(text) {
-            parts += 1;
-            all.add(part);
+        let mut statements = 0;
+        for statement_text in Statements::new(text) {
+            statements += 1;
+            all.add(statement_text);
         }
-        all.is_empty = parts == 0;
-        if is_opaque(text) {
+        all.is_empty = statements == 0;
+        if has_unsupported_quoting(text) {
             all.only_reads = false;
             all.may_commit = true;
             all.changes_session = true;
         }
-        if parts > 1 {
+        if statements > 1 {
             all.begins = None;
-            all.sets = false;
+            all.sets_parameter = false;
         }
         all
     }
@@ -78,24 +78,25 @@
             only_reads: self.only_reads && other.only_reads,
             may_commit: self.may_commit || other.may_commit,
             changes_session: self.changes_session || other.changes_session,
-            copies: self.copies || other.copies,
+            has_copy: self.has_copy || other.has_copy,
             opens_writable: self.opens_writable || other.opens_writable,
             begins: self.begins.or(other.begins),
-            sets: false,
+            sets_parameter: false,
             is_empty: false,
         }
     }
 
-    fn add(&mut self, part: &str) {
-        let keyword = first_word(part).to_ascii_uppercase();
+    fn add(&mut self, statement_text: &str) {
+        let keyword = first_word(statement_text).to_ascii_uppercase();
         let keyword = keyword.as_str();
-        self.only_reads &= only_reads(keyword, part);
-        self.may_commit |= !COMMITS_NOTHING.contains(&keyword);
-        self.changes_session |= changes_session(keyword, part);
-        self.copies |= keyword == "COPY";
-        self.sets = matches!(keyword, "SET" | "RESET") && changes_session(keyword, part);
+        self.only_reads &= only_reads(keyword, statement_text);
+        self.may_commit |= !NEVER_COMMIT.contains(&keyword);
+        self.changes_session |= changes_session(keyword, statement_text);
+        self.has_copy |= keyword == "COPY";
+        self.sets_parameter =
+            matches!(keyword, "SET" | "RESET") && changes_session(keyword, statement_text);
         if matches!(keyword, "BEGIN" | "START") {
-            let access = access(part);
+            let access = access(statement_text);
             self.begins = Some(access);
             self.opens_writable |= access != Access::ReadOnly;
         }
@@ -103,7 +104,7 @@
 }
 
 /// Statements that can't contain a commit. A procedure (`CALL`, `DO`) can.
-const COMMITS_NOTHING: &[&str] = &[
+const NEVER_COMMIT: &[&str] = &[
     "SELECT",
     "INSERT",
     "UPDATE",
@@ -134,7 +135,7 @@
 ];
 
 /// Statements that leave the session as it was once their transaction has ended.
-const LEAVES_SESSION: &[&str] = &[
+const PRESERVE_SESSION: &[&str] = &[
     "SELECT",
     "INSERT",
     "UPDATE",
@@ -165,45 +166,47 @@
 
 /// Words within a statement that show a change of the session: a parameter set by a function, an
 /// advisory lock, a temporary table.
-const SESSION_WORDS: &[&str] = &["set_config", "advisory", "temp"];
+const SESSION_CHANGE_MARKERS: &[&str] = &["set_config", "advisory", "temp"];
 
-fn only_reads(keyword: &str, part: &str) -> bool {
+fn only_reads(keyword: &str, statement_text: &str) -> bool {
     match keyword {
-        "SELECT" | "VALUES" | "TABLE" => !contains_any(part, &["into", "for update", "for share"]),
+        "SELECT" | "VALUES" | "TABLE" => {
+            !contains_any(statement_text, &["into", "for update", "for share"])
+        }
         "SHOW" => true,
-        "EXPLAIN" => !contains_any(part, &["analy"]),
-        "WITH" => !contains_any(part, &["insert", "update", "delete", "merge", "into"]),
-        "BEGIN" | "START" => access(part) != Access::ReadWrite,
+        "EXPLAIN" => !contains_any(statement_text, &["analy"]),
+        "WITH" => !contains_any(statement_text, &["insert", "update", "delete", "merge", "into"]),
+        "BEGIN" | "START" => access(statement_text) != Access::ReadWrite,
         "COMMIT" | "END" | "ROLLBACK" | "ABORT" => true,
         _ => false,
     }
 }
 
-fn changes_session(keyword: &str, part: &str) -> bool {
+fn changes_session(keyword: &str, statement_text: &str) -> bool {
     if keyword == "SET" {
-        let second = first_word(after_word(part)).to_ascii_uppercase();
+        let second = first_word(after_first_word(statement_text)).to_ascii_uppercase();
         return !matches!(second.as_str(), "LOCAL" | "TRANSACTION" | "CONSTRAINTS");
     }
-    !LEAVES_SESSION.contains(&keyword) || contains_any(part, SESSION_WORDS)
+    !PRESERVE_SESSION.contains(&keyword) || contains_any(statement_text, SESSION_CHANGE_MARKERS)
 }
 
-fn access(part: &str) -> Access {
-    if contains_any(part, &["read only"]) {
+fn access(statement_text: &str) -> Access {
+    if contains_any(statement_text, &["read only"]) {
         return Access::ReadOnly;
     }
-    if contains_any(part, &["read write"]) {
+    if contains_any(statement_text, &["read write"]) {
         return Access::ReadWrite;
     }
-    Access::Unsaid
+    Access::Unspecified
 }
 
 /// Whether the text contains one of the lower-case words in any case, also within a literal or as
 /// part of a longer word. A run of white space counts as one blank.
 fn contains_any(text: &str, words: &[&str]) -> bool {
-    words.iter().any(|word| find_ignoring_case(text.as_bytes(), word.as_bytes()))
+    words.iter().any(|word| contains_ignoring_case(text.as_bytes(), word.as_bytes()))
 }
 
-fn find_ignoring_case(text: &[u8], word: &[u8]) -> bool {
+fn contains_ignoring_case(text: &[u8], word: &[u8]) -> bool {
     (0..text.len()).any(|start| starts_ignoring_case(&text[start..], word))
 }
 
@@ -226,30 +229,30 @@
 }
 
 /// What follows the first word, without leading white space.
-pub fn after_word(text: &str) -> &str {
+pub fn after_first_word(text: &str) -> &str {
     text[first_word(text).len()..].trim_start()
 }
 
 /// The statements of a text: cut at semicolons outside literals, quoted names and comments, without
 /// leading white space and comments.
 #[derive(Debug)]
-pub struct Parts<'a> {
+pub struct Statements<'a> {
     rest: &'a str,
 }
 
-impl<'a> Parts<'a> {
+impl<'a> Statements<'a> {
     /// The statements of `text`.
-    pub fn of(text: &'a str) -> Parts<'a> {
-        Parts { rest: text }
+    pub fn new(text: &'a str) -> Statements<'a> {
+        Statements { rest: text }
     }
 }
 
-impl<'a> Iterator for Parts<'a> {
+impl<'a> Iterator for Statements<'a> {
     type Item = &'a str;
 
     fn next(&mut self) -> Option<&'a str> {
         loop {
-            let text = skip_blank(self.rest);
+            let text = skip_blanks_and_comments(self.rest);
             if text.is_empty() {
                 return None;
             }
@@ -264,14 +267,14 @@
 
 /// Whether the text has quoting that [`Parts`] does not follow, so that a statement could hide
 /// in what looks like a literal: backslash escapes, dollar quotes, nested comments.
-fn is_opaque(text: &str) -> bool {
+fn has_unsupported_quoting(text: &str) -> bool {
     let bytes = text.as_bytes();
     let dollar_quote = bytes.windows(2).any(|pair| pair[0] == b'$' && !pair[1].is_ascii_digit());
     dollar_quote || bytes.contains(&b'\\') || text.matches("/*").count() > 1
 }
 
 /// Skips white space and comments.
-fn skip_blank(mut text: &str) -> &str {
+fn skip_blanks_and_comments(mut text: &str) -> &str {
     loop {
         text = text.trim_start();
         text = if text.starts_with("--") {
@@ -287,18 +290,18 @@
 /// The place of the semicolon that ends the first statement, or the length of the text.
 fn statement_end(text: &str) -> usize {
     let bytes = text.as_bytes();
-    let mut at = 0;
-    while at < bytes.len() {
-        match bytes[at] {
-            b';' => return at,
-            quote @ (b'\'' | b'"') => at = after_quoted(bytes, at, quote),
-            b'-' if bytes[at + 1..].first() == Some(&b'-') => {
-                at += text[at..].find('\n').unwrap_or(text.len() - at);
+    let mut offset = 0;
+    while offset < bytes.len() {
+        match bytes[offset] {
+            b';' => return offset,
+            quote @ (b'\'' | b'"') => offset = after_quoted(bytes, offset, quote),
+            b'-' if bytes[offset + 1..].first() == Some(&b'-') => {
+                offset += text[offset..].find('\n').unwrap_or(text.len() - offset);
             }
-            b'/' if bytes[at + 1..].first() == Some(&b'*') => {
-                at += text[at..].find("*/").map_or(text.len() - at, |end| end + 2);
+            b'/' if bytes[offset + 1..].first() == Some(&b'*') => {
+                offset += text[offset..].find("*/").map_or(text.len() - offset, |end| end + 2);
             }
-            _ => at += 1,
+            _ => offset += 1,
         }
     }
     text.len()
