--- a/crates/proxy/src/request/acknowledge.rs
+++ b/crates/proxy/src/request/acknowledge.rs
@@ -1,10 +1,12 @@
-//! Waiting until a commit is confirmed, before its success may be seen.
+//! Waits for the confirmation of a commit before its success is reported.
 //!
-//! A primary that was replaced goes on answering commits as long as it doesn't know. Its commits are
-//! confirmed by no majority in their term, so a success passed on without waiting would acknowledge
-//! a write that the new primary doesn't have. The caller would see its write vanish. Comparing the
-//! term as well as the index is enough: a majority that confirms a position in its own term has not
-//! promised itself to a newer one, and every newer primary comes out of a majority that holds it.
+//! A replaced primary keeps answering commits until it learns of its replacement. No majority confirms
+//! these commits in their term, so reporting success without waiting would acknowledge a write that the
+//! new primary lacks, and the caller's write would be lost.
+//!
+//! Comparing the term and the index is sufficient: a majority that confirms a position in its own term
+//! has not voted for a newer term, and every newer primary is elected by a majority that holds the
+//! position.
 
 use std::cell::RefCell;
 use std::time::Instant;
@@ -15,29 +17,29 @@
 
 use crate::version::published::GroupLive;
 
-/// Whether a commit may be acknowledged.
+/// The result of waiting for a confirmation.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Confirmation {
-    /// A majority holds it.
+    /// A majority holds the commit, so it may be acknowledged.
     Confirmed,
-    /// It can't be said whether it lasts: no confirmation came in time, or a newer term has begun.
+    /// The commit's durability is unknown: no confirmation arrived in time, or a newer term has begun.
     Unknown,
 }
 
-/// A group's confirmed position, and this thread's copy of it.
+/// A group's published confirmed position and this thread's copy of it.
 struct LocalPosition {
     published: watch::Receiver<LogPosition>,
     copy: watch::Receiver<LogPosition>,
 }
 
 thread_local! {
-    /// The groups that commits of this thread wait for. The control thread wakes one task of each
-    /// thread, not one for each commit: each wake-up of another thread is a system call of its own.
+    /// The groups whose commits are awaited on this thread. The control thread wakes one task per
+    /// thread instead of one per commit, since each wake-up across threads costs a system call.
     static LOCAL_POSITIONS: RefCell<Vec<LocalPosition>> = const { RefCell::new(Vec::new()) };
 }
 
-/// This thread's copy of a group's confirmed position. It is never ahead of what is published, and
-/// ends with it.
+/// Returns this thread's copy of a group's confirmed position. The copy is never ahead of the published
+/// position, and its channel closes with the published one.
 fn local_position(live: &GroupLive) -> watch::Receiver<LogPosition> {
     let published = live.confirmed.subscribe();
     LOCAL_POSITIONS.with_borrow_mut(|local_positions| {
@@ -72,7 +74,7 @@
 }
 
 /// Waits until `position` is confirmed in its own term, a newer term is confirmed, or the deadline
-/// comes.
+/// expires.
 pub async fn wait(live: &GroupLive, position: LogPosition, deadline: Instant) -> Confirmation {
     let mut confirmed = local_position(live);
     let decided = confirmed.wait_for(|confirmed| *confirmed >= position);
--- a/crates/proxy/src/request/answer.rs
+++ b/crates/proxy/src/request/answer.rs
@@ -1,5 +1,5 @@
-//! The end of a request: its commit confirmed, its connection given back or kept, its answer
-//! written.
+//! The completion of a request: waits for the confirmation of its commit, returns or pins its
+//! connection, and writes the answer.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -29,16 +29,16 @@
 use crate::request::execute::Flow;
 use crate::request::refusal::Refusal;
 
-/// The circumstances of an answer.
+/// The context of a request that its answer depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswerContext {
-    /// When the request is given up.
+    /// The deadline of the request.
     pub deadline: Instant,
-    /// Whether it belonged to an open transaction.
+    /// Whether the request belonged to a transaction that was already open.
     pub was_in_transaction: bool,
 }
 
-/// A commit whose success must not be seen before it is confirmed and recorded.
+/// A commit whose success must not be reported before it is confirmed and recorded.
 struct Commit {
     position: LogPosition,
     identity: Option<Box<str>>,
@@ -46,7 +46,7 @@
     is_peer: bool,
 }
 
-/// Ends a request whose answer came whole.
+/// Completes a request whose answer was received in full.
 pub async fn complete(
     caller: &mut Caller,
     caller_request: &CallerRequest,
@@ -64,7 +64,8 @@
     held.lease.connection().status = answer.status.unwrap_or(held.lease.connection().status);
     let is_over = answer.status.is_some_and(|status| status == frames::STATUS_IDLE);
     if is_over {
-        // The connection serves others while this answer waits for its confirmation.
+        // The connection is returned first, so that it can serve others while this answer waits for its
+        // confirmation.
         pinned::return_to_pool(held.lease, &caller.cancel);
         remember_set(caller, caller_request, &answer, answer_context);
     } else {
@@ -90,7 +91,8 @@
     write(caller, &out, &end).await
 }
 
-/// Waits until the commit may be seen: confirmed by a majority, and recorded for its session.
+/// Waits until the commit is confirmed by a majority and recorded for its session. Returns false if it
+/// was not confirmed in time.
 async fn confirm_and_record(
     caller: &Caller,
     snapshot: &crate::request::context::GroupSnapshot,
@@ -120,13 +122,13 @@
     if commit.identity.is_none() {
         return true;
     }
-    // The write itself is safe by now. A record that takes longer than the caller waits, or can't
-    // be made, is the control thread's to make good: it answers for the session's floor.
+    // The write is durable at this point. If recording it fails or takes longer than the deadline, the
+    // control thread recovers: it is responsible for the session's floor.
     let _ = time::timeout_at(deadline.into(), recorded).await;
     true
 }
 
-/// Tells the caller its new floor, or another proxy the commit's position.
+/// Reports the new token to the caller, or the commit's position to a forwarding proxy.
 fn report_commit(caller: &mut Caller, commit: &Commit, out: &mut BytesMut) {
     let session = &mut caller.session;
     if session.forwarded_by.is_some() {
@@ -143,7 +145,7 @@
     }
 }
 
-/// Remembers a session's `SET` that took effect outside a transaction.
+/// Stores a session-level `SET` that took effect outside of a transaction.
 fn remember_set(
     caller: &mut Caller,
     caller_request: &CallerRequest,
@@ -155,13 +157,13 @@
         return;
     }
     if let Some(set) = caller_request.session_set() {
-        // One setting too many stays without effect, as if it had been reset; the caller can't be
-        // refused any more, since it ran.
+        // A setting beyond the limit is dropped, as if it had been reset: the statement has already run
+        // and can't be refused any more.
         let _ = caller.session.remember_setting(set);
     }
 }
 
-/// Ends a request that has no answer of its own.
+/// Completes a request whose answer is missing or incomplete.
 pub async fn finish_without_answer(
     caller: &mut Caller,
     lease: Lease<TargetConnection>,
@@ -185,7 +187,7 @@
     }
 }
 
-/// Answers with a kind that ends the caller's connection.
+/// Answers with an error and closes the caller's connection.
 async fn fail_and_close(caller: &mut Caller, kind: ErrorKind) -> Flow {
     caller.end_transaction();
     let mut out = BytesMut::new();
@@ -195,7 +197,7 @@
     Flow::Close
 }
 
-/// Answers a request with another proxy's refusal.
+/// Answers a request with the refusal of another proxy.
 pub async fn relay_refusal(
     caller: &mut Caller,
     caller_request: &CallerRequest,
@@ -218,7 +220,8 @@
     refuse_message(caller, refusal, caller_request.awaits_ready()).await
 }
 
-/// Answers with a refusal, and a ReadyForQuery where the request awaits one.
+/// Answers with a refusal, followed by a ReadyForQuery if `awaits_ready` is set. Otherwise messages up
+/// to the next Sync are skipped.
 pub async fn refuse_message(caller: &mut Caller, refusal: &Refusal, awaits_ready: bool) -> Flow {
     caller.traffic.counters.refusal(refusal.kind);
     let mut out = BytesMut::new();
@@ -235,7 +238,8 @@
     write(caller, &out, &[]).await
 }
 
-/// Writes to the caller.
+/// Writes two consecutive byte slices to the caller. Returns [`Flow::Close`] if the caller is gone or
+/// too slow.
 pub async fn write(caller: &Caller, first: &[u8], second: &[u8]) -> Flow {
     let stall_timeout = caller.traffic.limits.slow_reader();
     match socket::write_both(&caller.stream, first, second, stall_timeout).await {
--- a/crates/proxy/src/request/batch.rs
+++ b/crates/proxy/src/request/batch.rs
@@ -1,9 +1,9 @@
 //! A batch of extended-protocol messages up to a Sync or Flush.
 //!
-//! The caller's messages are kept until the batch is whole, then routed as a unit: a batch without a
-//! Sync in between is one implicit transaction. [`Batch::plan`] resolves the names of statements and
-//! answers what the proxy answers itself; [`Plan::encode`] writes the batch for one connection,
-//! with the Parse messages that this connection lacks.
+//! The caller's messages are buffered until the batch is complete and then routed as a whole, since a
+//! batch up to its Sync is one implicit transaction. [`Batch::plan`] resolves statement names and
+//! answers the messages that need no target. [`Plan::encode`] encodes the batch for one connection and
+//! adds the Parse messages for statements that this connection lacks.
 
 use std::sync::Arc;
 
@@ -28,35 +28,35 @@
 use crate::request::statement::StatementTraits;
 use crate::version::published::Published;
 
-/// The largest definition of an unnamed statement that is kept for later batches.
+/// The largest definition of an unnamed statement that is kept for later batches, in bytes.
 const MAX_UNNAMED_BYTES: usize = 16 << 10;
 
-/// What ends a batch.
+/// The message that ends a batch.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum BatchEnd {
-    /// Ends the implicit transaction.
+    /// Sync: ends the implicit transaction.
     Sync,
-    /// Asks for the answers so far.
+    /// Flush: requests the pending answers and leaves the implicit transaction open.
     Flush,
 }
 
-/// The messages of a batch as the caller sent them.
+/// The messages of a batch as received from the caller.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     messages: Vec<CallerMessage>,
     bytes: usize,
 }
 
-/// What planning needs besides the batch and the session.
+/// The process state that planning needs besides the batch and the session.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanContext<'a> {
-    /// The statements of the process.
+    /// The prepared statements shared by all callers of the process.
     pub statements: &'a StatementTable,
-    /// The version in force.
+    /// The published version in force.
     pub published: &'a Published,
     /// The name of this process's VM.
     pub vm: &'a str,
-    /// How many prepared statements the caller may hold.
+    /// The maximum number of named prepared statements per caller.
     pub prepared_limit: usize,
 }
 
@@ -65,7 +65,7 @@
 enum Step {
     ParseNamed(Arc<PreparedStatement>),
     ParseUnnamed(Bytes),
-    /// A message that names a statement: the bytes before and after the name.
+    /// A message that refers to a statement, with the parts of its body before and after the name.
     Use {
         tag: u8,
         before: Bytes,
@@ -80,35 +80,35 @@
 #[derive(Clone, Debug)]
 enum StatementRef {
     Named(Arc<PreparedStatement>),
-    /// The unnamed statement, with its definition if this batch does not parse it itself.
+    /// The unnamed statement, with its definition if the batch does not contain its Parse.
     Unnamed(Option<Bytes>),
     Unknown,
 }
 
-/// A batch that is ready to be sent to any connection.
+/// A planned batch, which can be encoded for any connection.
 #[derive(Clone, Debug)]
 pub struct Plan {
     steps: Vec<Step>,
-    /// What the texts of its statements show together.
+    /// The combined traits of its statements.
     pub traits: StatementTraits,
-    /// The text of a `SET` that the batch executes, if that is all it does.
+    /// The text of the session-level `SET` or `RESET` that the batch executes, if any.
     pub session_set: Option<String>,
     parsed_names: Vec<String>,
 }
 
 impl Batch {
-    /// Adds a message.
+    /// Appends a message.
     pub fn push(&mut self, message: CallerMessage) {
         self.bytes += message.frame.len();
         self.messages.push(message);
     }
 
-    /// The size of all messages.
+    /// Returns the total size of all messages in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Resolves the batch against the session. On an error nothing of the batch is to be run.
+    /// Resolves the batch against the session. After an error nothing of the batch may be executed.
     pub fn plan(self, session: &mut Session, context: PlanContext<'_>) -> Result<Plan, Refusal> {
         let mut planner = Planner {
             session,
@@ -139,12 +139,12 @@
 }
 
 impl Plan {
-    /// Whether no target is needed.
+    /// Returns whether the batch can be answered without a target.
     pub fn is_local(&self) -> bool {
         self.steps.iter().all(|step| matches!(step, Step::Local(_)))
     }
 
-    /// Writes the answers of a batch that needs no target.
+    /// Appends the answers of a batch that needs no target.
     pub fn write_local(&self, out: &mut BytesMut) {
         for step in &self.steps {
             if let Step::Local(bytes) = step {
@@ -163,18 +163,18 @@
         self.steps.iter().filter(named).count()
     }
 
-    /// Forgets the statements that the batch was to prepare, after an error.
+    /// Removes the statements that the batch prepares from the session, after an error.
     ///
-    /// Some may have been prepared before the error. The caller can't know which after an error
-    /// either, and prepares again what it needs.
+    /// Some may have been prepared before the error. The caller can't tell which and has to prepare
+    /// again the ones it needs.
     pub fn forget_parsed(&self, session: &mut Session) {
         for name in &self.parsed_names {
             session.close_statement(name);
         }
     }
 
-    /// Writes the batch for a connection that has `prepared`. Returns how many of its replies
-    /// belong to statements that were prepared again.
+    /// Encodes the batch for a connection that has the statements in `prepared`. Returns the number of
+    /// Parse messages that were added for statements the connection lacks.
     pub fn encode(
         &self,
         prepared: &mut PreparedOnConnection,
@@ -183,8 +183,8 @@
         replies: &mut Replies,
     ) -> std::io::Result<usize> {
         let mut encoder = Encoder { prepared, out, replies, parsing: Vec::new(), injected: 0 };
-        // Room is made in front of the batch: closing a statement closes the portals that were
-        // bound to it, and those of this batch come later.
+        // Statements are evicted before the batch begins: closing a statement also closes the portals
+        // bound to it, which must not affect the portals of this batch.
         for _ in 0..self.named_uses() {
             encoder.evict(limit)?;
         }
@@ -366,7 +366,7 @@
     }
 }
 
-/// The refusal of COPY.
+/// Returns the refusal of a COPY statement.
 pub fn copy_refused() -> Refusal {
     Refusal::with_note(ErrorKind::Unsupported, "COPY".to_owned())
 }
@@ -375,7 +375,7 @@
     prepared: &'a mut PreparedOnConnection,
     out: &'a mut BytesMut,
     replies: &'a mut Replies,
-    /// Statements whose Parse stands earlier in this batch.
+    /// The ids of statements whose Parse occurs earlier in this batch.
     parsing: Vec<u64>,
     injected: usize,
 }
@@ -433,12 +433,12 @@
                 self.injected += 1;
                 Ok(String::new())
             }
-            // No statement has this name, and the target says so.
+            // No statement has this name. The target reports the error.
             StatementRef::Unknown => Ok("unknown".to_owned()),
         }
     }
 
-    /// Closes a statement to make room for another.
+    /// Closes the oldest statement if the connection has reached `limit`.
     fn evict(&mut self, limit: usize) -> std::io::Result<()> {
         if let Some(evicted) = self.prepared.evict(limit) {
             frontend::close(b'S', &prepared::shared_name(evicted), self.out)?;
--- a/crates/proxy/src/request/caller_request.rs
+++ b/crates/proxy/src/request/caller_request.rs
@@ -1,4 +1,4 @@
-//! What is routed as one: a simple query, or a batch of extended-protocol messages.
+//! The unit of routing: a simple query, or a batch of extended-protocol messages.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -12,29 +12,29 @@
 use crate::request::exchange::EncodedRequest;
 use crate::request::statement::StatementTraits;
 
-/// A request of a caller.
+/// A request of a caller that is routed and executed as a whole.
 #[derive(Clone, Debug)]
 pub enum CallerRequest {
-    /// A simple query.
+    /// A simple query, which may contain several statements.
     Simple {
-        /// The frame.
+        /// The complete Query message, header included.
         frame: Bytes,
-        /// What its text shows.
+        /// The traits of the query text.
         traits: StatementTraits,
-        /// The text, if it is one `SET` or `RESET` for the session.
+        /// The query text if it is a single session-level `SET` or `RESET`.
         session_set: Option<String>,
     },
-    /// A batch.
+    /// A batch of extended-protocol messages.
     Batch {
-        /// The planned batch.
+        /// The batch with its statement names resolved.
         plan: Plan,
-        /// What ends it.
+        /// The message that ended the batch.
         end: BatchEnd,
     },
 }
 
 impl CallerRequest {
-    /// What its texts show.
+    /// Returns the combined traits of all statements in the request.
     pub fn traits(&self) -> &StatementTraits {
         match self {
             CallerRequest::Simple { traits, .. } => traits,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The text of the session's parameter that it sets, if that is all it does.
+    /// Returns the text of the session-level `SET` or `RESET` if the request contains nothing else.
     pub fn session_set(&self) -> Option<&str> {
         match self {
             CallerRequest::Simple { session_set, .. } => session_set.as_deref(),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether its answer ends with a ReadyForQuery.
+    /// Returns whether the answer ends with a ReadyForQuery.
     pub fn awaits_ready(&self) -> bool {
         match self {
             CallerRequest::Simple { .. } => true,
@@ -58,7 +58,8 @@
         }
     }
 
-    /// What it would do, for a decision on a retry.
+    /// Returns the effect that a retry decision has to assume. `ends_implicit` is set if the request
+    /// ends an implicit transaction and thereby commits it.
     pub fn effect(&self, is_read: bool, ends_implicit: bool) -> Effect {
         match () {
             _ if is_read => Effect::Read,
@@ -67,7 +68,10 @@
         }
     }
 
-    /// Writes it for a connection, behind `prelude`, the proxy's own requests.
+    /// Encodes the request for `connection`, after `prelude`, the proxy's own requests.
+    ///
+    /// `prelude_ready` is the number of ReadyForQuery messages that the prelude is answered with.
+    /// `prepared_limit` bounds the prepared statements on the connection.
     pub fn encode(
         &self,
         connection: &mut TargetConnection,
--- a/crates/proxy/src/request/context.rs
+++ b/crates/proxy/src/request/context.rs
@@ -1,4 +1,4 @@
-//! What is known of a request before it is routed.
+//! The context of a request that routing, admission and forwarding work with.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,41 +25,46 @@
 /// Microseconds in a millisecond.
 const MS_US: u64 = 1_000;
 
-/// A request that is about to be routed.
+/// The routing context of a request outside of a transaction.
 #[derive(Clone, Debug)]
 pub struct RequestContext {
-    /// For a declared read the oldest age of its data.
+    /// The maximum age of the data for a declared read, in microseconds; `None` if the request may
+    /// write.
     pub max_age_us: Option<u64>,
-    /// Whether the request can't lead to a write, declared a read or not.
+    /// Whether the request can't write, regardless of whether it is declared a read.
     pub only_reads: bool,
-    /// The class's name.
+    /// The name of the request's class.
     pub class: String,
-    /// The caller's user name.
+    /// The caller's user name, passed on with a forwarded request.
     pub user: Box<str>,
-    /// The caller as the queues know it.
+    /// The hash of the user name by which admission queues distinguish callers.
     pub caller: CallerId,
-    /// The session's identity, under which its writes are recorded.
+    /// The session's identity, under which its writes are recorded; `None` if it declared none.
     pub identity: Option<Box<str>>,
-    /// Whether `floor` is all that the session must see.
+    /// Whether `floor` is complete. Otherwise the control thread has to be asked for the session's
+    /// floor.
     pub floor_known: bool,
-    /// What the session must see.
+    /// The log position that a read of this session must cover.
     pub floor: LogPosition,
-    /// The time limit of each statement of the transaction.
+    /// The time limit of each statement of the transaction, in milliseconds.
     pub deadline_ms: u64,
-    /// When the request is given up.
+    /// The deadline of the request.
     pub deadline: Instant,
-    /// The same on the process's clock.
+    /// The deadline in microseconds of the process's clock.
     pub deadline_us: u64,
-    /// How often it was forwarded to get here.
+    /// The number of times that the request was forwarded before it arrived here.
     pub hops: u8,
-    /// The target that the sender chose.
+    /// The target chosen by the forwarding proxy.
     pub preferred_target: Option<String>,
-    /// The session's settings of the target's parameters.
+    /// The session's settings of target parameters, each a complete `SET` statement.
     pub settings: Vec<String>,
 }
 
 impl RequestContext {
-    /// The context of a request outside a transaction.
+    /// Creates the context of a request outside of a transaction.
+    ///
+    /// On a connection from another proxy the context comes from `SET skylark.forward`; without one the
+    /// request is refused.
     pub fn new(
         traffic: &Traffic,
         session: &mut Session,
@@ -121,12 +126,12 @@
         }
     }
 
-    /// Whether the request is a declared read.
+    /// Returns whether the request is a declared read.
     pub fn is_read(&self) -> bool {
         self.max_age_us.is_some()
     }
 
-    /// How the request asks for a turn.
+    /// Returns the admission request for the queue in front of a target.
     pub fn admission_request(&self, published: &Published, group: GroupId) -> AdmissionRequest {
         let class = published.topology.service_of(group).class(&self.class);
         AdmissionRequest {
@@ -136,7 +141,9 @@
         }
     }
 
-    /// What is said to the proxy that the request is forwarded to.
+    /// Returns the context to send to the proxy that the request is forwarded to.
+    ///
+    /// Fails if too little time is left for another hop, or if `max_hops` is reached.
     pub fn forward(
         &self,
         revision: u64,
@@ -168,8 +175,9 @@
     }
 }
 
-/// What a hop keeps of the deadline for the way back: a part of it, within bounds. Then the answer
-/// that comes in time is that of the home, which knows more about the outcome.
+/// The share of the remaining time that a hop reserves for the answer's return trip, with its bounds.
+/// The forwarded deadline is earlier by this reserve, so that a timeout is reported by the home, which
+/// knows more about the outcome.
 const HOP_RESERVE_DIVISOR: u64 = 10;
 const MIN_HOP_RESERVE_US: u64 = 5_000;
 const MAX_HOP_RESERVE_US: u64 = 50_000;
@@ -179,7 +187,8 @@
     (deadline, traffic.clock.now_us() + deadline_ms * MS_US)
 }
 
-/// The oldest age that the caller declared, if the text only reads. `None` for what may write.
+/// Returns the maximum age that the caller declared, if the text only reads; `None` for one that may
+/// write.
 fn declared_max_age_us(
     session: &Session,
     service: &Service,
@@ -189,7 +198,7 @@
         return None;
     }
     if traits.begins == Some(Access::ReadOnly) {
-        // A read-only transaction names no kind, so it gets the strictest age of the service.
+        // `BEGIN READ ONLY` names no read kind, so the strictest age of the service applies.
         return service.read_kinds.iter().map(|kind| kind.max_age_ms * MS_US).min();
     }
     let kind = service.read_kind(session.declared.read_kind.as_deref()?)?;
@@ -205,17 +214,18 @@
     of_kind.unwrap_or_else(|| service.classes[0].name.clone())
 }
 
-/// A version with the group that a request is for.
+/// A published version together with the group that a request is for. Group and target ids are valid
+/// only within this version.
 #[derive(Clone, Debug)]
 pub struct GroupSnapshot {
-    /// The version.
+    /// The published version.
     pub published: Arc<Published>,
-    /// The group.
+    /// The id of the group within the version.
     pub group: GroupId,
 }
 
 impl GroupSnapshot {
-    /// The newest version, if it still has the group.
+    /// Returns the newest version, or a refusal if it does not contain the group.
     pub fn latest(traffic: &Traffic, group_name: &str) -> Result<GroupSnapshot, Refusal> {
         let published = traffic.slot.load_full();
         let group = published.topology.group_id(group_name);
--- a/crates/proxy/src/request/exchange.rs
+++ b/crates/proxy/src/request/exchange.rs
@@ -1,4 +1,5 @@
-//! One request on one connection: sent, its answer passed on, and what became of it.
+//! One attempt of a request on one connection: sends the request, relays the answer to the caller and
+//! determines the result.
 
 use std::time::Instant;
 
@@ -31,110 +32,112 @@
 use crate::request::acknowledge::Confirmation;
 use crate::version::published::GroupLive;
 
-/// What is sent for one request.
+/// A request encoded for one connection.
 #[derive(Debug, Default)]
 pub struct EncodedRequest {
-    /// The bytes, the proxy's own requests first.
+    /// The bytes to send, with the proxy's own requests (the prelude) first.
     pub bytes: Bytes,
-    /// How many of the bytes are the proxy's own requests.
+    /// The length of the prelude.
     pub prelude_bytes: usize,
-    /// How many ReadyForQuery the proxy's own requests bring.
+    /// The number of ReadyForQuery messages that answer the prelude.
     pub prelude_ready: u32,
-    /// The replies of a batch; none for a simple query.
+    /// The expected replies of a batch; `None` for a simple query.
     pub replies: Option<Replies>,
-    /// Whether the request ends with a ReadyForQuery.
+    /// Whether the answer ends with a ReadyForQuery.
     pub awaits_ready: bool,
-    /// How many statements are prepared again for it.
+    /// The number of Parse messages that the proxy added because the connection lacked the statements.
     pub prepared_again: usize,
-    /// Whether the request may change the session beyond its transaction.
+    /// Whether the request may change the target's session beyond its transaction.
     pub changes_session: bool,
 }
 
-/// What a failure of the request would mean.
+/// What decides whether the request may be retried after a failure.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryContext<'a> {
-    /// What the request would do.
+    /// The effect of the request on data.
     pub effect: Effect,
-    /// Whether it belongs to a transaction that is open already.
+    /// Whether the request belongs to an open transaction.
     pub in_transaction: bool,
-    /// How often it was tried before.
+    /// The number of earlier attempts.
     pub retries: u32,
     /// The retry budget of the group.
     pub budget: &'a RetryBudget,
-    /// When it is given up.
+    /// The deadline of the request.
     pub deadline: Instant,
 }
 
-/// What became of a request.
+/// The result of an exchange.
 #[derive(Debug)]
 pub enum ExchangeResult {
-    /// The answer is complete; this is the part not written yet, without its ReadyForQuery.
+    /// The answer is complete. Carries the part not yet written to the caller, without its
+    /// ReadyForQuery.
     Complete(Answer),
-    /// It failed, and this is what to do.
+    /// The attempt failed. The verdict in it says whether to retry.
     FailedAttempt(FailedAttempt),
-    /// The other end said goodbye with this answer, which is to be passed on as the last one.
+    /// The other end closed the connection with this ErrorResponse, which is the last message that the
+    /// caller receives.
     Terminated(BytesMut),
-    /// A commit was not confirmed.
+    /// A commit was not confirmed in time, so its outcome is unknown.
     NotConfirmed,
-    /// The caller has part of a message, and nothing else can follow.
+    /// The caller received only part of a message, so nothing else can be sent to it.
     PartialMessage,
-    /// The caller is gone.
+    /// The caller closed its connection.
     CallerGone,
-    /// The caller does not read.
+    /// The caller did not read its answer within the time limit.
     CallerTooSlow,
 }
 
-/// A complete answer.
+/// A complete answer of a target or another proxy.
 #[derive(Debug, Default)]
 pub struct Answer {
-    /// What is left to be written.
+    /// The part of the answer not yet written to the caller.
     pub rest: BytesMut,
-    /// The status in the ReadyForQuery; none for a batch that ended with a Flush.
+    /// The transaction status in the ReadyForQuery; `None` for a batch that ended with a Flush.
     pub status: Option<u8>,
-    /// The position of the last commit in it.
+    /// The log position of the last commit in the answer.
     pub commit: Option<LogPosition>,
-    /// Whether the commit was confirmed already.
+    /// Whether the commit is already confirmed.
     pub confirmed: bool,
-    /// Who served it, in the words of another proxy.
+    /// The target and reason as reported by the proxy that served the request.
     pub served: Option<String>,
-    /// Whether an error is part of it.
+    /// Whether the answer contains an ErrorResponse.
     pub has_error: bool,
 }
 
-/// A failed try.
+/// A failed attempt.
 #[derive(Clone, Debug)]
 pub struct FailedAttempt {
-    /// [`RetryVerdict::Again`], or the kind of the answer.
+    /// [`RetryVerdict::Again`] for a retry, otherwise the error to answer with.
     pub verdict: RetryVerdict,
-    /// What was seen.
+    /// The failure as observed.
     pub failure: Failure,
-    /// How far the request had come.
+    /// How far the exchange had progressed.
     pub stage: Stage,
-    /// Whether the connection broke.
+    /// Whether the connection is unusable and has to be closed.
     pub broken: bool,
-    /// Another proxy's refusal, to be passed on if no other try succeeds: it says more than this
-    /// proxy knows.
+    /// Another proxy's refusal, which is sent to the caller if no other attempt succeeds: it is more
+    /// specific than an error of this proxy.
     pub refusal: Option<BytesMut>,
 }
 
-/// A request on its way.
+/// An attempt of a request on one connection.
 #[derive(Debug)]
 pub struct Exchange<'a> {
-    /// The process.
+    /// The state shared by all connections of the process.
     pub traffic: &'a Traffic,
-    /// The caller.
+    /// The caller's socket.
     pub caller: &'a TcpStream,
-    /// What is sent.
+    /// The encoded request.
     pub encoded: &'a EncodedRequest,
-    /// What a failure would mean.
+    /// What decides about a retry.
     pub retry_context: RetryContext<'a>,
-    /// The group's state where the connection goes straight to a target; none where another proxy
-    /// waits for the confirmation.
+    /// The group's live state if the connection leads directly to a target; `None` if it leads to
+    /// another proxy, which waits for confirmations itself.
     pub live: Option<&'a GroupLive>,
 }
 
 impl Exchange<'_> {
-    /// Sends the request and passes its answer on.
+    /// Sends the request and relays its answer to the caller.
     pub async fn run(&self, connection: &mut TargetConnection) -> ExchangeResult {
         let encoded = self.encoded;
         connection.awaited_ready += encoded.prelude_ready + u32::from(encoded.awaits_ready);
@@ -177,7 +180,7 @@
 }
 
 impl ExchangeRun<'_> {
-    /// Passes the answer on until it is complete (`None`) or ends otherwise.
+    /// Relays the answer until it is complete (`None`) or the exchange ends otherwise.
     async fn relay_answer(&mut self, connection: &mut TargetConnection) -> Option<ExchangeResult> {
         loop {
             let relay_event = match self.relay.next(connection, &mut self.unsent).await {
@@ -216,18 +219,21 @@
                 RelayEvent::PreludeError(frame) if self.exchange.live.is_none() => {
                     return Some(self.refused_by_peer(&frame));
                 }
-                // A setting that the target no longer accepts.
+                // The target no longer accepts one of the session's settings; the request runs without
+                // it.
                 RelayEvent::PreludeError(_) => (),
                 RelayEvent::Copy(backend::COPY_IN_RESPONSE_TAG) => self.fail_copy(connection).await,
-                // The caller would take the data for an answer that it did not ask for.
+                // The caller did not ask for COPY and would misread the data.
                 RelayEvent::Copy(_) => return Some(self.failure_result(Failure::Broken)),
             }
         }
     }
 
-    /// From a commit on the answer is held back: its success may not be seen before it is confirmed.
-    /// Returns whether the position can be read. Nothing confirms one that can't, and a success passed
-    /// on regardless could be a write that the next primary lacks.
+    /// Holds the answer back from a commit on, since success must not be visible before the commit is
+    /// confirmed.
+    ///
+    /// Returns false if the position can't be parsed. Such a commit can't be confirmed, and reporting
+    /// its success could acknowledge a write that the next primary lacks.
     fn handle_commit(&mut self, position: &str) -> bool {
         let Ok(position) = position.parse::<LogPosition>() else { return false };
         self.answer.commit = self.answer.commit.max(Some(position));
@@ -265,7 +271,8 @@
             return None;
         }
         let reported_failure = self.reported_failure(frame);
-        // A declared read that turns out to write is the caller's own error.
+        // A declared read that writes fails with 25006 (read_only_sql_transaction), an error of the
+        // caller, not a sign that the target is no longer the primary.
         let is_caller_error =
             retry_context.effect == Effect::Read && has_sqlstate(&reported_failure, b"25006");
         let verdict = match is_caller_error {
@@ -289,7 +296,8 @@
         is_fatal.then(|| ExchangeResult::Terminated(BytesMut::from(frame)))
     }
 
-    /// Another proxy refused the context of the request, and with it the request.
+    /// Handles an error in the prelude: another proxy refused the context of the request, and therefore
+    /// the request.
     fn refused_by_peer(&mut self, frame: &[u8]) -> ExchangeResult {
         let reported_failure = self.reported_failure(frame);
         match self.decide(reported_failure, Stage::Sent) {
@@ -318,7 +326,7 @@
         Failure::Said { sqlstate, claimed }
     }
 
-    /// How far an answer has come whose latest message is an error.
+    /// Returns the stage of an answer whose latest message is an error.
     fn answer_stage(&self) -> Stage {
         match (self.relay.sent_to_caller, self.relay.has_pending()) {
             (true, _) => Stage::AnswerPassedOn,
@@ -361,7 +369,7 @@
     fn failure_result(&self, failure: Failure) -> ExchangeResult {
         let stage = self.stage();
         let verdict = match self.decide(failure, stage) {
-            // There is nothing to pass on where no answer came.
+            // Without an ErrorResponse there is nothing to relay.
             RetryVerdict::PassOn => RetryVerdict::Answer(ErrorKind::AnswerLost),
             verdict => verdict,
         };
@@ -382,12 +390,12 @@
         }
     }
 
-    /// Ends a COPY that got past the look at the statement's text.
+    /// Aborts a COPY that the classification of the statement's text missed.
     async fn fail_copy(&mut self, connection: &mut TargetConnection) {
         self.copy_fail_message.clear();
         let _ = frontend::copy_fail("COPY is not supported", &mut self.copy_fail_message);
         let stall_timeout = self.exchange.traffic.limits.slow_reader();
-        // A connection that breaks here shows at the next read.
+        // A write error is ignored: the next read reports a broken connection.
         let _ = crate::connection::socket::write_all(
             &connection.stream,
             &self.copy_fail_message,
@@ -415,7 +423,7 @@
     matches!(failure, Failure::Said { sqlstate, .. } if sqlstate == code)
 }
 
-/// The outcome that another proxy's answer states.
+/// Returns the outcome stated in another proxy's error detail.
 fn claimed_outcome(detail: &str) -> Option<Outcome> {
     let all = [Outcome::NotRun, Outcome::Ran, Outcome::Unknown];
     all.into_iter().find(|outcome| outcome.words() == detail)
--- a/crates/proxy/src/request/execute.rs
+++ b/crates/proxy/src/request/execute.rs
@@ -1,5 +1,4 @@
-//! One request from its arrival to its answer: routed, sent, tried again where that is safe,
-//! confirmed and answered.
+//! The execution of one request: routes it, sends it, retries it where that is safe, and completes it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -44,28 +43,28 @@
 use crate::request::route::RetryState;
 use crate::request::route::Route;
 
-/// Whether the caller's connection goes on.
+/// Whether the caller's connection stays open after a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Flow {
-    /// It takes the next request.
+    /// The connection takes the next request.
     Continue,
-    /// It ends; the last answer was written.
+    /// The connection is closed; the last answer has been written.
     Close,
 }
 
-/// What one try of a request led to.
+/// The result of one attempt.
 enum AttemptResult {
     Answered(Flow),
     Refused(Refusal),
     Retry(FailedAttempt),
-    /// Nothing was sent, and the place it was routed to is no longer the right one.
+    /// Nothing was sent, and the chosen destination is no longer eligible.
     Reroute,
 }
 
-/// A wait for a turn and a connection after which the choice of the member is looked at again.
+/// The wait for admission and a connection after which the chosen destination is checked again.
 const RECHECK_AFTER_WAIT: Duration = Duration::from_millis(2);
 
-/// Answers one request.
+/// Executes one request and answers it.
 pub async fn run(caller: &mut Caller, caller_request: &CallerRequest) -> Flow {
     caller.traffic.counters.event(Event::Requests);
     if caller.pinned.is_some() {
@@ -77,7 +76,7 @@
     }
 }
 
-/// Answers a request outside a transaction.
+/// Executes a request outside of a transaction.
 async fn run_unpinned(
     caller: &mut Caller,
     caller_request: &CallerRequest,
@@ -123,10 +122,10 @@
     }
 }
 
-/// Asks for the floor of a session that carries no token, where the request may read.
+/// Asks the control thread for the floor of a session that carries no token, if the request may read.
 ///
-/// Another connection of the same session may have written since the last request here, so it is
-/// asked each time.
+/// The floor is asked for with each request, because another connection of the same session may have
+/// written since the last one.
 async fn fetch_floor(
     caller: &Caller,
     snapshot: &GroupSnapshot,
@@ -153,7 +152,7 @@
             context.floor_known = true;
             Ok(())
         }
-        // What the session must see can't be found out, so nothing can be shown to cover it.
+        // Without the floor no member can be shown to cover the session's writes.
         _ => Err(ErrorKind::FloorUnreachable.into()),
     }
 }
@@ -175,7 +174,7 @@
     }
 }
 
-/// The answer if no other primary takes the place of one that failed.
+/// Returns the error to answer with if no other primary replaces the failed one.
 fn final_kind(failed: &FailedAttempt) -> ErrorKind {
     match retry_reason(failed) {
         RetryReason::NotPrimary => ErrorKind::TargetNotPrimary,
@@ -257,7 +256,7 @@
     }
 }
 
-/// What follows from a failure to connect, when nothing was sent.
+/// Decides on a retry after a failure to connect, when nothing was sent.
 fn connect_failure_result(
     caller: &Caller,
     context: &RequestContext,
@@ -274,7 +273,7 @@
     attempt_result(FailedAttempt { verdict, failure, stage, broken: true, refusal: None })
 }
 
-/// What is sent for a request outside a transaction; none if it can't be put into messages.
+/// Encodes a request outside of a transaction. Returns `None` if it can't be encoded.
 fn encode(
     caller: &Caller,
     caller_request: &CallerRequest,
@@ -290,7 +289,7 @@
     caller_request.encode(connection, prelude, prelude_ready, limit).ok()
 }
 
-/// Answers a request outside a transaction, and keeps its connection if it opened one.
+/// Completes a request outside of a transaction, and pins its connection if it opened one.
 async fn complete_unpinned(
     caller: &mut Caller,
     caller_request: &CallerRequest,
@@ -321,7 +320,7 @@
     match failed.verdict {
         RetryVerdict::Again => AttemptResult::Retry(failed),
         RetryVerdict::Answer(kind) => AttemptResult::Refused(kind.into()),
-        // A refusal of the connection itself, which is no answer to the request.
+        // The target refused the connection, which is not an answer to the request.
         RetryVerdict::PassOn => AttemptResult::Refused(ErrorKind::TargetUnreachable.into()),
     }
 }
@@ -344,7 +343,7 @@
     format!("{target} {}", route.reason)
 }
 
-/// Waits for a turn and a connection. The inner error is a failure to connect.
+/// Waits for admission and a connection. The inner error is a failure to connect.
 async fn acquire_connection(
     caller: &Caller,
     context: &RequestContext,
@@ -369,7 +368,7 @@
     }
 }
 
-/// The proxy's own request in front of the caller's: the context for another proxy, or the
+/// Encodes the proxy's own requests that precede the caller's: the context for another proxy, or the
 /// session's settings for a target.
 fn prelude(caller: &Caller, context: &RequestContext, route: &Route) -> Result<BytesMut, Refusal> {
     let mut out = BytesMut::new();
@@ -387,7 +386,7 @@
     Ok(out)
 }
 
-/// Tells the control thread what a failure shows of the other end.
+/// Reports a failure to the control thread if it says something about the state of the target or proxy.
 fn report_failure(caller: &Caller, route: &Route, failure: Failure) {
     let event = match route.destination {
         Destination::Target(target) => {
@@ -425,13 +424,14 @@
     }
 }
 
-/// Answers a request of an open transaction.
+/// Executes a request of an open transaction on its pinned connection.
 async fn run_pinned(caller: &mut Caller, caller_request: &CallerRequest) -> Flow {
     let mut held = caller.pinned.take().expect("the caller was seen to hold a connection");
     let deadline = Instant::now() + Duration::from_millis(held.deadline_ms);
     let ends_implicit = held.is_implicit && caller_request.awaits_ready();
     let effect = match caller_request.effect(false, ends_implicit) {
-        // Nothing that a read transaction did lasts, and a lost one is told as such.
+        // A read transaction leaves nothing to commit, so losing it is reported as a lost statement and
+        // not as an unknown commit.
         Effect::Commit if held.is_read => Effect::Write,
         effect => effect,
     };
--- a/crates/proxy/src/request/forward.rs
+++ b/crates/proxy/src/request/forward.rs
@@ -1,7 +1,7 @@
-//! What a proxy says to another about a transaction that it forwards.
+//! The context that a proxy sends along with a transaction that it forwards to another proxy.
 //!
-//! It travels as `SET skylark.forward = 'JSON'` in front of the transaction's first statement, on
-//! the same connection and in the same write, so it costs no round trip.
+//! It is sent as `SET skylark.forward = 'JSON'` in front of the transaction's first statement, on the
+//! same connection and in the same write, so it adds no round trip.
 
 use bytes::BytesMut;
 use postgres_protocol::message::frontend;
@@ -12,29 +12,30 @@
 /// The context of one forwarded transaction.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Forward {
-    /// The class, by name.
+    /// The name of the class.
     pub class: String,
-    /// The caller's user name, for fairness between callers.
+    /// The caller's user name, so that the receiver can share its capacity fairly between callers.
     pub caller: String,
-    /// How long the sender waits.
+    /// The time that the sender waits for the answer, in milliseconds.
     pub deadline_ms: u64,
-    /// What the session must see.
+    /// The log position that a read of this session must cover.
     pub floor: LogPosition,
-    /// For a declared read the oldest age of its data; none for what may write.
+    /// The maximum age of the data for a declared read, in milliseconds; `None` if the request may
+    /// write.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_age_ms: Option<u64>,
-    /// How often the request was forwarded, this time included.
+    /// The number of times that the request was forwarded, including this one.
     pub hops: u8,
-    /// The target that the sender chose.
+    /// The target that the sender chose; `None` to leave the choice to the receiver.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target: Option<String>,
-    /// The session's identity, under which its writes are recorded.
+    /// The session's identity, under which its writes are recorded; `None` if it declared none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub session: Option<String>,
-    /// Whether `floor` is all that the session must see; otherwise it is asked for by `session`.
+    /// Whether `floor` is complete; otherwise the receiver looks up the session's floor by `session`.
     #[serde(default)]
     pub floor_known: bool,
-    /// The session's own settings, each a whole `SET`.
+    /// The session's settings of target parameters, each a complete `SET` statement.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub settings: Vec<String>,
     /// The revision of the sender's configuration.
@@ -42,12 +43,12 @@
 }
 
 impl Forward {
-    /// Reads the value of `skylark.forward`.
+    /// Parses the value of `skylark.forward`.
     pub fn parse(json: &str) -> Result<Forward, serde_json::Error> {
         serde_json::from_str(json)
     }
 
-    /// Appends the simple query that carries this.
+    /// Appends a simple query that sets `skylark.forward` to this context.
     pub fn write(&self, out: &mut BytesMut) -> std::io::Result<()> {
         let json = serde_json::to_string(self)?.replace('\'', "''");
         frontend::query(&format!("SET skylark.forward = '{json}'"), out)
--- a/crates/proxy/src/request/mod.rs
+++ b/crates/proxy/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as one request.
+//! The processing of one request, from parsing to its answer.
 
 pub mod acknowledge;
 pub mod answer;
--- a/crates/proxy/src/request/parameters.rs
+++ b/crates/proxy/src/request/parameters.rs
@@ -1,7 +1,7 @@
-//! The statements about `skylark.*` parameters that the proxy answers itself.
+//! Session statements that the proxy answers itself: those on `skylark.*` parameters, `DEALLOCATE ALL`
+//! and `DISCARD ALL`.
 //!
-//! `SET`, `RESET` and `SHOW` of one parameter have a form simple enough to be read without an SQL
-//! parser.
+//! `SET`, `RESET` and `SHOW` of one parameter are simple enough to be parsed without an SQL parser.
 
 use skylark_core::request::error_kind::ErrorKind;
 
@@ -9,29 +9,29 @@
 use crate::request::statement;
 use crate::request::statement::Statements;
 
-/// What all names of the proxy's parameters begin with.
+/// The prefix of all parameters of the proxy.
 pub const PREFIX: &str = "skylark.";
 
 macro_rules! parameters {
     ($($(#[$doc:meta])* $variant:ident = $name:literal, $can_set:literal;)*) => {
-        /// A parameter of the proxy.
+        /// A session parameter that the proxy itself implements.
         #[derive(Clone, Copy, PartialEq, Eq, Debug)]
         pub enum Parameter {
             $($(#[$doc])* $variant,)*
         }
 
         impl Parameter {
-            /// Every parameter.
+            /// All parameters, in order of declaration.
             pub const ALL: &'static [Parameter] = &[$(Parameter::$variant,)*];
 
-            /// The whole name.
+            /// Returns the parameter's name with its prefix.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Parameter::$variant => $name,)*
                 }
             }
 
-            /// Whether a caller can set it.
+            /// Returns whether a caller can set the parameter; the others are read-only.
             pub fn can_set(self) -> bool {
                 match self {
                     $(Parameter::$variant => $can_set,)*
@@ -42,55 +42,55 @@
 }
 
 parameters! {
-    /// The kind of the reads that follow.
+    /// The read kind of subsequent reads, which bounds the age of their data.
     ReadKind = "skylark.read_kind", true;
-    /// The class of the requests that follow.
+    /// The class of subsequent requests, for admission.
     Class = "skylark.class", true;
-    /// The identity of a session that roams without a token.
+    /// The identity of a session that moves between proxies without carrying a token.
     Session = "skylark.session", true;
-    /// The session's floors.
+    /// The session token: for each group the log position that reads must cover.
     Token = "skylark.token", true;
-    /// The time limit of each following statement.
+    /// The time limit of each subsequent statement, in milliseconds.
     DeadlineMs = "skylark.deadline_ms", true;
-    /// What another proxy says about the transaction that follows.
+    /// The context of the next transaction, set by a proxy that forwards it.
     Forward = "skylark.forward", true;
-    /// The VM of this proxy.
+    /// The name of this proxy's VM.
     Vm = "skylark.vm", false;
-    /// The term of the group's primary, as far as it is known here.
+    /// The term of the group's primary as known to this proxy; empty if unknown.
     Term = "skylark.term", false;
-    /// The target that served the last statement.
+    /// The name of the target, or the VM of the proxy, that served the last statement.
     LastTarget = "skylark.last_target", false;
-    /// Why the last statement was served there.
+    /// The routing reason for the last statement.
     LastReason = "skylark.last_reason", false;
-    /// The revision of the configuration in force here.
+    /// The revision of the configuration in force on this proxy.
     Revision = "skylark.revision", false;
 }
 
 impl Parameter {
-    /// The parameter with this name, in any case.
+    /// Returns the parameter with this name, ignoring case.
     pub fn from_name(name: &str) -> Option<Parameter> {
         Parameter::ALL.iter().copied().find(|known| known.name().eq_ignore_ascii_case(name))
     }
 }
 
-/// A statement that the proxy answers itself.
+/// A statement that the proxy answers without a target.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum LocalStatement {
-    /// Sets a parameter; an empty value is the default.
+    /// Sets a parameter; an empty value restores the default.
     Set(Parameter, String),
-    /// Sets a parameter back to its default.
+    /// Resets a parameter to its value at the start of the session.
     Reset(Parameter),
-    /// Shows a parameter.
+    /// Returns the value of a parameter.
     Show(Parameter),
-    /// `DEALLOCATE ALL`: forgets the caller's prepared statements.
+    /// `DEALLOCATE ALL`: drops the caller's prepared statements.
     DeallocateAll,
-    /// `DISCARD ALL`: the caller's session as after its start-up.
+    /// `DISCARD ALL`: restores the session to its state after start-up.
     DiscardAll,
 }
 
 impl LocalStatement {
-    /// Reads a query text. `None` where it is for a target; an error where it names a parameter of
-    /// the proxy in a way that is not accepted.
+    /// Parses a query text. Returns `None` for a text that is for a target, and a refusal for one that
+    /// names a parameter of the proxy in an unsupported way.
     pub fn parse(text: &str) -> Result<Option<LocalStatement>, Refusal> {
         let mut statements = Statements::new(text);
         let Some(first) = statements.next() else { return Ok(None) };
@@ -124,7 +124,7 @@
         Ok(None)
     }
 
-    /// The words of its CommandComplete.
+    /// Returns the command tag for CommandComplete.
     pub fn command_tag(&self) -> &'static str {
         match self {
             LocalStatement::Set(..) => "SET",
@@ -174,20 +174,21 @@
     }
 }
 
-/// The refusal of a parameter that there is not.
+/// Returns the refusal for an unknown parameter.
 pub fn unknown_parameter(name: &str) -> Refusal {
     let known: Vec<&str> = Parameter::ALL.iter().map(|known| known.name()).collect();
     let note = format!("there is no `{name}`; there are {}", known.join(", "));
     Refusal::with_note(ErrorKind::BadParameter, note)
 }
 
-/// The refusal of a value.
+/// Returns the refusal for an invalid value of a parameter.
 pub fn bad_value(parameter: Parameter, value: &str) -> Refusal {
     let note = format!("`{}` can't be `{value}`", parameter.name());
     Refusal::with_note(ErrorKind::BadParameter, note)
 }
 
-/// The text of a literal: quoted with doubled quotes inside, or one bare word or number.
+/// Returns the value of a literal: a quoted string with doubled quotes inside, or a single bare word or
+/// number. `DEFAULT` gives an empty value.
 fn unquote(literal: &str) -> Option<String> {
     if let Some(quoted) = literal.strip_prefix('\'') {
         let inner = quoted.strip_suffix('\'')?;
--- a/crates/proxy/src/request/refusal.rs
+++ b/crates/proxy/src/request/refusal.rs
@@ -1,4 +1,4 @@
-//! A request that is refused or given up, and its answer to the caller.
+//! A refused or failed request and its ErrorResponse to the caller.
 
 use bytes::BytesMut;
 use skylark_core::request::error_kind::ErrorKind;
@@ -6,14 +6,14 @@
 use crate::connection::frames;
 use crate::connection::frames::ErrorFields;
 
-/// Why a request is refused or given up, and when to come back.
+/// The reason that a request is refused or has failed, with a hint when to retry.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Refusal {
-    /// The kind, which decides code, message and outcome.
+    /// The error kind, which determines SQLSTATE, message and outcome.
     pub kind: ErrorKind,
-    /// A better estimate of when to come back than the kind's own, in milliseconds.
+    /// The retry hint in milliseconds, if there is a better estimate than the kind's default.
     pub retry_after_ms: Option<u64>,
-    /// What in particular is wrong; empty where the kind says all.
+    /// Details appended to the kind's message; empty if it needs none.
     pub note: String,
 }
 
@@ -24,22 +24,22 @@
 }
 
 impl Refusal {
-    /// A refusal with an estimate of when to come back.
+    /// Creates a refusal with an estimate of when a retry may succeed.
     pub fn with_retry_after(kind: ErrorKind, retry_after_ms: u64) -> Refusal {
         Refusal { kind, retry_after_ms: Some(retry_after_ms), note: String::new() }
     }
 
-    /// A refusal that says what in particular is wrong.
+    /// Creates a refusal with details.
     pub fn with_note(kind: ErrorKind, note: String) -> Refusal {
         Refusal { kind, retry_after_ms: None, note }
     }
 
-    /// Whether the caller's connection ends with this answer.
+    /// Returns whether the caller's connection is closed after this answer.
     pub fn closes_connection(&self) -> bool {
         self.kind.answer().closes
     }
 
-    /// Writes the ErrorResponse.
+    /// Appends the ErrorResponse to `out`.
     pub fn write(&self, out: &mut BytesMut) {
         let answer = self.kind.answer();
         let message = match self.note.as_str() {
--- a/crates/proxy/src/request/route.rs
+++ b/crates/proxy/src/request/route.rs
@@ -1,7 +1,7 @@
-//! Where a request goes: to which member, through which pool.
+//! Routing: selects the member that serves a request and the connection pool that leads to it.
 //!
-//! The member is chosen by `skylark_core::request::routing`, from what the control thread publishes.
-//! A proxy that does not track the group leaves the choice to one that does.
+//! The member is chosen by `skylark_core::request::routing` from the state that the control thread
+//! publishes. A proxy that does not track the group forwards the request to one that does.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -32,48 +32,50 @@
 use crate::version::published::GroupView;
 use crate::version::published::Leader;
 
-/// How often a waiting request looks again.
+/// The interval at which a waiting request checks its routing again.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Where a request goes.
+/// The destination of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Destination {
-    /// To a target that this VM is home to.
+    /// A target that this VM is home to.
     Target(TargetId),
-    /// To another proxy, which sends it to the target if one is chosen.
+    /// Another proxy, with the target if this proxy has chosen one.
     Peer(VmId, Option<TargetId>),
 }
 
-/// A routed request.
+/// The route of a request.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The version whose indices the route uses.
+    /// The version in which the ids of the route are valid.
     pub snapshot: GroupSnapshot,
-    /// Where it goes.
+    /// The destination.
     pub destination: Destination,
-    /// Why there, in a word that `SHOW skylark.last_reason` shows.
+    /// The reason for the choice, as shown by `SHOW skylark.last_reason`.
     pub reason: &'static str,
 }
 
 impl Route {
-    /// Whether another proxy serves the request.
+    /// Returns whether the request is forwarded to another proxy.
     pub fn is_peer(&self) -> bool {
         matches!(self.destination, Destination::Peer(..))
     }
 }
 
-/// What earlier tries of the same request found out.
+/// The failures of earlier attempts of the same request, which routing avoids.
 #[derive(Clone, Debug, Default)]
 pub struct RetryState {
     /// Members that failed.
     pub targets: Vec<TargetId>,
     /// Proxies that failed.
     pub peers: Vec<VmId>,
-    /// The primary that failed or refused, and the answer if no other takes its place.
+    /// The primary that failed or refused the request, with its term, and the error to answer with if
+    /// no other primary replaces it.
     pub primary: Option<(Option<Term>, TargetId, ErrorKind)>,
 }
 
-/// Chooses where a request goes; waits a little where that helps.
+/// Chooses the destination of a request. Waits for a bounded time where the situation is expected to
+/// change, for example during a failover.
 pub async fn choose(
     traffic: &Arc<Traffic>,
     group_name: &str,
@@ -96,17 +98,17 @@
     }
 }
 
-/// Whether a request that has waited for its turn may still go to the target that was chosen for
-/// it before.
+/// Returns whether a request that has waited for admission may still be sent to the target chosen for
+/// it.
 ///
-/// Meanwhile the target's data grew older, another primary may lead, or confirmations stall. Sent
-/// now it would show data older than the caller accepts, or end as unknown where it could still be
-/// refused as not run.
+/// In the meantime the target's data may have become too old, another primary may have taken over, or
+/// confirmations may have stalled. Sent now, the request could read data older than the caller accepts,
+/// or end with an unknown outcome although it can still be refused as not run.
 pub fn is_still_eligible(traffic: &Traffic, context: &RequestContext, route: &Route) -> bool {
     let Destination::Target(target) = route.destination else { return true };
     let group_name = &route.snapshot.published.topology.group(route.snapshot.group).name;
     let Ok(snapshot) = GroupSnapshot::latest(traffic, group_name) else { return false };
-    // Another version may number targets differently; the request is routed again by it.
+    // Target ids of another version may differ, so the request is routed again.
     if !Arc::ptr_eq(&snapshot.published.topology, &route.snapshot.published.topology) {
         return false;
     }
@@ -171,8 +173,8 @@
         }
     }
 
-    /// A proxy that does not track the group leaves the choice to a home of the nearest member, or
-    /// of the primary for what may write.
+    /// Routes a request on a proxy that does not track the group: to a home of the nearest member, or
+    /// of the primary if the request may write.
     fn route_to_any_home(
         &mut self,
         snapshot: &GroupSnapshot,
@@ -203,7 +205,7 @@
         let mut candidates = homes.filter(|home| {
             Some(**home) != snapshot.published.own_vm && !self.retry_state.peers.contains(home)
         });
-        // A VM that leaves still answers; it is only better to ask another.
+        // A leaving VM still serves requests, so it is only the second choice.
         let staying = candidates.clone().find(|home| !topology.vm(**home).leaving);
         let chosen = staying.or_else(|| candidates.next());
         chosen.copied().ok_or_else(|| ErrorKind::TargetUnreachable.into())
@@ -255,7 +257,7 @@
         }
     }
 
-    /// The member that the sender chose, if this VM is home to it and it is fit.
+    /// Returns the member that the forwarding proxy chose, if this VM is home to it and it is eligible.
     fn eligible_preferred(
         &self,
         snapshot: &GroupSnapshot,
@@ -295,11 +297,12 @@
             .collect()
     }
 
-    /// Whether this VM's last try to connect to the target failed.
+    /// Returns whether this VM's last attempt to connect to the target failed.
     ///
-    /// The control side notices a target that is gone only with its next probes. Reads sent there
-    /// meanwhile each spend a retry, and once the budget is spent they are refused although another
-    /// member could serve them. The pool's own tries go on and clear the mark.
+    /// The control thread notices a failed target only at its next probes. Until then each read sent
+    /// there would spend a retry, and reads would be refused once the retry budget is exhausted,
+    /// although another member could serve them. The pool keeps trying to connect and clears the flag
+    /// on success.
     fn refuses_connections(&self, snapshot: &GroupSnapshot, target: TargetId) -> bool {
         let published = &snapshot.published;
         published.is_home(target) && self.traffic.pools.target(published, target).pool.is_failing()
@@ -315,7 +318,7 @@
             .predicted_wait_us(&self.context.admission_request(&snapshot.published, snapshot.group))
     }
 
-    /// What is not declared a read goes to the primary.
+    /// Routes a request that is not a declared read: it goes to the primary.
     fn route_to_primary(
         &mut self,
         snapshot: &GroupSnapshot,
@@ -336,7 +339,7 @@
         if view.stalled && !self.context.only_reads {
             return Err(ErrorKind::ConfirmationsStalled.into());
         }
-        // An isolated old primary answers, and lacks what the session wrote at a newer one.
+        // An isolated former primary still answers, but lacks what the session wrote on a newer one.
         if leader.term < self.context.floor.term {
             return self.wait_for_floor();
         }
@@ -344,8 +347,8 @@
         Ok(Step::Send(self.destination_of(snapshot, leader.target)?, "primary"))
     }
 
-    /// Whether a primary that could not be connected to can be again. One that refused the work
-    /// itself does so until the control side says otherwise.
+    /// Returns whether a primary that could not be connected to is reachable again. One that refused
+    /// the request itself is avoided until the control thread publishes a change.
     fn is_reachable_again(
         &self,
         snapshot: &GroupSnapshot,
@@ -400,7 +403,7 @@
     LeaderView { target: leader.target, term: leader.term }
 }
 
-/// A published time; zero stands for unknown.
+/// Returns a published duration in microseconds, in which zero stands for unknown.
 fn nonzero(published: &AtomicU64) -> Option<u64> {
     Some(published.load(Ordering::Relaxed)).filter(|time_us| *time_us > 0)
 }
--- a/crates/proxy/src/request/statement.rs
+++ b/crates/proxy/src/request/statement.rs
@@ -1,42 +1,45 @@
-//! What the text of a statement shows without an SQL parser: its parts, and the first word of each.
+//! Classification of query texts without an SQL parser: a text is split into statements, which are
+//! classified by their first keyword.
 //!
-//! Every answer errs to the safe side. A text that only might write is no read, one that only might
-//! commit may have committed, and one that only might change its session has it reset.
+//! Every answer errs on the safe side. A text that might write is not a read, one that might commit is
+//! treated as if it committed, and one that might change its session causes a reset.
 
-/// What the proxy needs to know of a query text.
+/// Properties of a query text that routing, retries and pooling depend on.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct StatementTraits {
-    /// Every part only reads, so it may go to a replica if the caller declared a read.
+    /// Whether all statements only read, so that the text may go to a replica if the caller declared a
+    /// read.
     pub only_reads: bool,
-    /// Some part may end a transaction with a commit, apart from the implicit one.
+    /// Whether some statement may commit a transaction explicitly; the implicit commit at the end of a
+    /// query does not count.
     pub may_commit: bool,
-    /// Some part may change the state of the target's session beyond the transaction.
+    /// Whether some statement may change the state of the target's session beyond the transaction.
     pub changes_session: bool,
-    /// Some part is a COPY.
+    /// Whether some statement is a COPY.
     pub has_copy: bool,
-    /// Some part opens a transaction that may write.
+    /// Whether some statement opens a transaction that may write.
     pub opens_writable: bool,
-    /// The text is one statement that opens a transaction.
+    /// The access mode if the text is a single statement that opens a transaction.
     pub begins: Option<Access>,
-    /// The text is one SET or RESET of a parameter for the session.
+    /// Whether the text is a single `SET` or `RESET` of a session parameter.
     pub sets_parameter: bool,
-    /// There is no statement in the text.
+    /// Whether the text contains no statement.
     pub is_empty: bool,
 }
 
-/// The access that a statement opening a transaction asks for.
+/// The access mode in a statement that opens a transaction.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Access {
     /// `READ ONLY`.
     ReadOnly,
     /// `READ WRITE`.
     ReadWrite,
-    /// Neither is said.
+    /// No access mode is given, so the session's default applies.
     Unspecified,
 }
 
 impl StatementTraits {
-    /// Reads the text.
+    /// Classifies a query text.
     pub fn analyze(text: &str) -> StatementTraits {
         let mut all = StatementTraits {
             only_reads: true,
@@ -66,7 +69,7 @@
         all
     }
 
-    /// What both texts together show.
+    /// Returns the traits of both texts run one after the other.
     pub fn join(self, other: StatementTraits) -> StatementTraits {
         if self.is_empty {
             return other;
@@ -103,7 +106,8 @@
     }
 }
 
-/// Statements that can't contain a commit. A procedure (`CALL`, `DO`) can.
+/// First keywords of statements that never commit. Procedures and code blocks (`CALL`, `DO`) can, so
+/// they are not listed.
 const NEVER_COMMIT: &[&str] = &[
     "SELECT",
     "INSERT",
@@ -134,7 +138,7 @@
     "TRUNCATE",
 ];
 
-/// Statements that leave the session as it was once their transaction has ended.
+/// First keywords of statements that leave the session unchanged once their transaction has ended.
 const PRESERVE_SESSION: &[&str] = &[
     "SELECT",
     "INSERT",
@@ -164,8 +168,8 @@
     "TRUNCATE",
 ];
 
-/// Words within a statement that show a change of the session: a parameter set by a function, an
-/// advisory lock, a temporary table.
+/// Substrings that indicate a change of the session in a statement whose keyword does not: a parameter
+/// set by a function, an advisory lock, a temporary table.
 const SESSION_CHANGE_MARKERS: &[&str] = &["set_config", "advisory", "temp"];
 
 fn only_reads(keyword: &str, statement_text: &str) -> bool {
@@ -200,8 +204,8 @@
     Access::Unspecified
 }
 
-/// Whether the text contains one of the lower-case words in any case, also within a literal or as
-/// part of a longer word. A run of white space counts as one blank.
+/// Returns whether the text contains one of the lower-case `words`, ignoring case. Literals and parts
+/// of longer words match too. A run of white space counts as one blank.
 fn contains_any(text: &str, words: &[&str]) -> bool {
     words.iter().any(|word| contains_ignoring_case(text.as_bytes(), word.as_bytes()))
 }
@@ -222,26 +226,26 @@
     true
 }
 
-/// The first word: letters, digits and underscores.
+/// Returns the leading run of ASCII letters, digits and underscores.
 pub fn first_word(text: &str) -> &str {
     let end = text.find(|c: char| !c.is_ascii_alphanumeric() && c != '_').unwrap_or(text.len());
     &text[..end]
 }
 
-/// What follows the first word, without leading white space.
+/// Returns the text after the first word, without leading white space.
 pub fn after_first_word(text: &str) -> &str {
     text[first_word(text).len()..].trim_start()
 }
 
-/// The statements of a text: cut at semicolons outside literals, quoted names and comments, without
-/// leading white space and comments.
+/// Iterator over the statements of a text, split at semicolons outside of literals, quoted names and
+/// comments. Leading white space and comments are stripped, empty statements are skipped.
 #[derive(Debug)]
 pub struct Statements<'a> {
     rest: &'a str,
 }
 
 impl<'a> Statements<'a> {
-    /// The statements of `text`.
+    /// Creates an iterator over the statements of `text`.
     pub fn new(text: &'a str) -> Statements<'a> {
         Statements { rest: text }
     }
@@ -265,15 +269,15 @@
     }
 }
 
-/// Whether the text has quoting that [`Parts`] does not follow, so that a statement could hide
-/// in what looks like a literal: backslash escapes, dollar quotes, nested comments.
+/// Returns whether the text uses quoting that [`Statements`] does not handle: backslash escapes, dollar
+/// quotes or nested comments. A statement could hide in what looks like a literal.
 fn has_unsupported_quoting(text: &str) -> bool {
     let bytes = text.as_bytes();
     let dollar_quote = bytes.windows(2).any(|pair| pair[0] == b'$' && !pair[1].is_ascii_digit());
     dollar_quote || bytes.contains(&b'\\') || text.matches("/*").count() > 1
 }
 
-/// Skips white space and comments.
+/// Strips leading white space and comments.
 fn skip_blanks_and_comments(mut text: &str) -> &str {
     loop {
         text = text.trim_start();
@@ -287,7 +291,7 @@
     }
 }
 
-/// The place of the semicolon that ends the first statement, or the length of the text.
+/// Returns the offset of the semicolon that ends the first statement, or the length of the text.
 fn statement_end(text: &str) -> usize {
     let bytes = text.as_bytes();
     let mut offset = 0;
