--- a/crates/proxy/src/connection/admission.rs
+++ b/crates/proxy/src/connection/admission.rs
@@ -1,5 +1,5 @@
-//! Waiting for a turn at a target: the decisions of `skylark_core::process::sharing::queue` with
-//! waiting tasks attached to its tickets.
+//! Admission of requests to a target: connects the decisions of `skylark_core::process::sharing::queue`
+//! with the tasks that wait for its tickets.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,21 +21,21 @@
 use crate::process::clock::MonotonicClock;
 use crate::request::refusal::Refusal;
 
-/// The strategy that the measurements chose, see `docs/design/sharing-in-a-surge.md`.
+/// The scheduling strategy. `docs/design/sharing-in-a-surge.md` compares it with the alternatives.
 pub type Strategy = skylark_core::process::sharing::weighted::WeightedMaxMin;
 
-/// Who asks for a turn.
+/// A request for admission.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct AdmissionRequest {
-    /// The class.
+    /// The class of the request.
     pub class: ClassId,
-    /// The caller, by a hash of its user name.
+    /// The caller, identified by a hash of its user name.
     pub caller: CallerId,
-    /// When the request is given up.
+    /// The deadline of the request, in microseconds of the process's clock.
     pub deadline_us: u64,
 }
 
-/// The queue in front of one target.
+/// The admission queue in front of one target.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     inner: Mutex<Inner>,
@@ -51,19 +51,20 @@
 }
 
 impl Inner {
-    /// A class of another version than the queue's is taken as the default one.
+    /// Returns `class`, or the default class if the queue does not have it: the queue may be of another
+    /// version.
     fn known_class(&self, class: ClassId) -> ClassId {
         if class.index() < self.classes.len() { class } else { ClassId(0) }
     }
 }
 
-/// What a decision does to waiting tasks. Carried out after the lock is given back, since a turn
-/// whose task has gone gives itself back.
+/// A result to deliver to a waiting task. Delivered only after the queue's lock is released: if the
+/// task is gone, dropping its permit takes the lock again.
 type Wakeup =
     (oneshot::Sender<Result<AdmissionPermit, ErrorKind>>, Result<AdmissionPermit, ErrorKind>);
 
 impl AdmissionQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(
         limits: QueueLimits,
         classes: &[ClassShare],
@@ -75,7 +76,7 @@
         AdmissionQueue { inner: Mutex::new(inner), clock }
     }
 
-    /// Changes the bounds and the classes.
+    /// Changes the limits and the classes.
     pub fn configure(self: &Arc<Self>, limits: QueueLimits, classes: &[ClassShare]) {
         let mut inner = self.inner.lock();
         if inner.limits == limits && inner.classes == classes {
@@ -94,14 +95,14 @@
         wake(wakeups);
     }
 
-    /// How long a request is expected to wait.
+    /// Returns the time that a request is expected to wait, in microseconds.
     pub fn predicted_wait_us(&self, request: &AdmissionRequest) -> u64 {
         let inner = self.inner.lock();
         let class = inner.known_class(request.class);
         inner.queue.predicted_wait_us(class, self.clock.now_us())
     }
 
-    /// Waits for a turn, or is refused.
+    /// Waits for admission. Fails if the queue refuses the request or the deadline expires.
     pub async fn admit(
         self: &Arc<Self>,
         request: &AdmissionRequest,
@@ -169,12 +170,12 @@
 
 fn wake(wakeups: Vec<Wakeup>) {
     for (sender, result) in wakeups {
-        // A task that has gone leaves its turn unread, and the turn gives itself back.
+        // If the task is gone, the permit in the result is dropped and thereby released.
         let _ = sender.send(result);
     }
 }
 
-/// Takes a request out of the queue when its task stops waiting.
+/// Removes a request from the queue when its task stops waiting.
 struct AbandonOnDrop<'a> {
     queue: &'a Arc<AdmissionQueue>,
     class: ClassId,
@@ -190,7 +191,7 @@
     }
 }
 
-/// A turn at the target: one statement may run, and one connection be held until this is dropped.
+/// Permission to run one statement at a time and to hold one connection at the target, until dropped.
 #[derive(Debug)]
 pub struct AdmissionPermit {
     queue: Arc<AdmissionQueue>,
@@ -201,14 +202,14 @@
 }
 
 impl AdmissionPermit {
-    /// The statement ended and its transaction goes on.
+    /// Reports that the statement ended and its transaction continues.
     pub fn statement_ended(&mut self) {
         if self.stop_running() {
             self.queue.update_queue(TargetQueue::statement_ended);
         }
     }
 
-    /// The transaction's next statement runs.
+    /// Reports that the transaction's next statement runs.
     pub fn statement_started(&mut self) {
         if self.started_us.is_none() {
             self.started_us = Some(self.queue.clock.now_us());
--- a/crates/proxy/src/connection/caller.rs
+++ b/crates/proxy/src/connection/caller.rs
@@ -1,9 +1,9 @@
-//! One caller's connection: its messages are taken one by one, and each request is answered before
-//! the next is begun.
+//! One caller's connection: messages are processed in order, and each request is answered before the
+//! next is started.
 //!
-//! While nothing is under way the task waits for the socket to become readable and holds no buffer.
-//! What a request needs lives in a future that is boxed for the time of the request, so an idle
-//! caller costs its socket and its session only.
+//! Between requests the task waits for the socket to become readable and holds no buffer. The state of
+//! a request lives in a future that is boxed for the duration of the request, so an idle caller costs
+//! no more than its socket and its session.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,34 +40,34 @@
 use crate::request::refusal::Refusal;
 use crate::request::statement::StatementTraits;
 
-/// A caller after its start-up.
+/// A caller that completed its start-up.
 #[derive(Debug)]
 pub struct Caller {
-    /// The process.
+    /// The state shared by all connections of the process.
     pub traffic: Arc<Traffic>,
-    /// The connection.
+    /// The caller's socket.
     pub stream: TcpStream,
-    /// What it said about itself.
+    /// The state of its session.
     pub session: Session,
     /// The connection of its open transaction.
     pub pinned: Option<Box<Pinned>>,
-    /// What a cancel request of it would hit.
+    /// The target connection that a cancel request of the caller is forwarded to.
     pub cancel: Arc<CancelSlot>,
-    /// The key for its cancel requests.
+    /// The key that authorizes its cancel requests.
     pub cancel_key: CancelKey,
     /// The retry budget of its group.
     pub budget: Arc<RetryBudget>,
-    /// Messages up to the next Sync are dropped, after an error.
+    /// Whether messages up to the next Sync are skipped, after an error.
     pub skip_to_sync: bool,
     /// The messages since the last Sync or Flush.
     pub batch: Option<Box<Batch>>,
-    /// What was read and not yet used.
+    /// Buffered input.
     pub input: CallerInput,
     /// Whether the process is stopping.
     pub stopping: watch::Receiver<bool>,
 }
 
-/// Why an idle caller's task goes on.
+/// The event that ended a wait between requests.
 enum WakeReason {
     Input,
     Stopping,
@@ -76,7 +76,7 @@
 }
 
 impl Caller {
-    /// Serves the caller until it ends.
+    /// Serves the caller until its connection ends.
     pub async fn serve(mut self) {
         loop {
             match self.wait().await {
@@ -99,7 +99,7 @@
         self.end_transaction();
     }
 
-    /// The transaction's status in a ReadyForQuery.
+    /// Returns the transaction status for a ReadyForQuery.
     pub fn status(&mut self) -> u8 {
         match &mut self.pinned {
             Some(held) => held.lease.connection().status,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Ends an open transaction by rolling it back.
+    /// Rolls back the open transaction, if any.
     pub fn end_transaction(&mut self) {
         if let Some(held) = self.pinned.take() {
             held.end(&self.cancel);
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Takes the messages that are there.
+    /// Processes the messages that have arrived.
     async fn process_messages(&mut self) -> Flow {
         let limit_bytes = self.traffic.limits.message_bytes;
         let stall_timeout = self.traffic.limits.slow_sender();
@@ -166,7 +166,7 @@
     async fn process_message(&mut self, message: CallerMessage) -> Flow {
         match message.tag {
             b'X' => return Flow::Close,
-            // After an error the protocol has the rest of the batch dropped.
+            // After an error the protocol requires the rest of the batch to be skipped.
             b'S' if self.skip_to_sync => return self.sync_after_error().await,
             _ if self.skip_to_sync => return Flow::Continue,
             _ => (),
@@ -180,7 +180,7 @@
                 let note = "function call".to_owned();
                 self.refuse(Refusal::with_note(ErrorKind::Unsupported, note), true).await
             }
-            // Left over from a COPY that was refused.
+            // Remaining COPY data after a refused COPY.
             b'd' | b'c' | b'f' => Flow::Continue,
             _ => self.refuse(ErrorKind::ProtocolViolation.into(), true).await,
         }
@@ -270,7 +270,7 @@
         self.end_batch(BatchEnd::Sync).await
     }
 
-    /// Ends the connection with an answer that the caller gets to read.
+    /// Closes the connection with an error that the caller has time to read.
     async fn close_with_error(&mut self, kind: ErrorKind) {
         self.traffic.counters.refusal(kind);
         self.end_transaction();
@@ -294,7 +294,8 @@
     }
 }
 
-/// The messages of a start-up that succeeded. A token that came with it is reported as after a `SET`.
+/// Appends the messages that complete a start-up. A token set during the start-up is reported as after
+/// a `SET`.
 pub fn write_startup_response(out: &mut BytesMut, key: CancelKey, token: &str) {
     frames::authentication_ok(out);
     for (name, value) in SERVER_PARAMETERS {
@@ -308,7 +309,8 @@
     debug_assert_eq!(out[0], backend::AUTHENTICATION_TAG);
 }
 
-/// What drivers expect to be told of a server. A caller is greeted before any target is asked.
+/// Parameters that drivers expect from a server. They are fixed, since a caller completes its start-up
+/// before any target is contacted.
 const SERVER_PARAMETERS: [(&str, &str); 7] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
--- a/crates/proxy/src/connection/caller_input.rs
+++ b/crates/proxy/src/connection/caller_input.rs
@@ -1,6 +1,6 @@
-//! The messages of a caller, cut from the bytes as they come.
+//! Splits a caller's input into protocol messages.
 //!
-//! Between messages no buffer is held: an idle caller costs its socket and its session only.
+//! No buffer is kept between messages, so an idle caller costs no more than its socket and its session.
 
 use std::io;
 use std::time::Duration;
@@ -13,62 +13,66 @@
 use crate::connection::frames::FrameHeader;
 use crate::connection::socket;
 
-/// A whole message of a caller.
+/// A complete message of a caller.
 #[derive(Clone, Debug)]
 pub struct CallerMessage {
-    /// The type.
+    /// The type byte.
     pub tag: u8,
-    /// The frame with its header.
+    /// The complete frame, header included.
     pub frame: Bytes,
 }
 
 impl CallerMessage {
-    /// What follows the header.
+    /// Returns the body of the message.
     pub fn body(&self) -> &[u8] {
         &self.frame[crate::connection::frames::HEADER_BYTES..]
     }
 }
 
-/// Why no message comes.
+/// The reason that no message can be read.
 #[derive(Debug)]
 pub enum InputError {
     /// The caller closed the connection.
     Closed,
-    /// The connection broke.
+    /// Reading from the connection failed.
     Broken(io::Error),
-    /// The message is larger than the limit.
+    /// The message exceeds the size limit.
     TooLarge,
-    /// The caller began a message and does not go on.
+    /// The caller sent part of a message and nothing more within the time limit.
     Stalled,
-    /// The bytes are no message.
+    /// The input is not a valid frame.
     BadFrame,
 }
 
-/// The input of one caller.
+/// The buffered input of one caller.
 #[derive(Debug, Default)]
 pub struct CallerInput {
     buffer: BytesMut,
 }
 
 impl CallerInput {
-    /// Input that begins with bytes read earlier.
+    /// Creates the input with bytes that were read earlier.
     pub fn new(buffer: BytesMut) -> CallerInput {
         CallerInput { buffer }
     }
 
-    /// Whether bytes of a message are there already.
+    /// Returns whether unread bytes are buffered.
     pub fn has_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Drops the buffer while nothing is in it.
+    /// Frees the buffer if it is empty.
     pub fn shrink(&mut self) {
         if self.buffer.is_empty() {
             self.buffer = BytesMut::new();
         }
     }
 
-    /// The next message if it is there whole or was begun; `None` when nothing of it came yet.
+    /// Returns the next message, waiting for its rest if part of it has arrived; `None` if nothing has
+    /// arrived yet.
+    ///
+    /// Fails with [`InputError::Stalled`] if the caller sends nothing more of a message for
+    /// `stall_timeout`.
     pub async fn next(
         &mut self,
         stream: &TcpStream,
--- a/crates/proxy/src/connection/callers.rs
+++ b/crates/proxy/src/connection/callers.rs
@@ -1,4 +1,4 @@
-//! How many connections there are: of all callers, of each user, and in their start-up.
+//! Limits on the number of connections: of all callers, per user, and during start-up.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::connection::limits::TrafficLimits;
 use crate::request::refusal::Refusal;
 
-/// The connections of one process.
+/// The connection counts of one process and their limits.
 #[derive(Debug)]
 pub struct Callers {
     connections_limit: usize,
@@ -23,15 +23,14 @@
 #[derive(Debug, Default)]
 struct Counts {
     callers: usize,
-    /// The start-ups under way by their age: the lowest number is the oldest. A start-up whose sender
-    /// is dropped has to make room.
+    /// The connections in start-up by age, oldest first. Dropping the sender evicts the connection.
     half_open: BTreeMap<u64, oneshot::Sender<()>>,
     next_half_open: u64,
     by_user: FastMap<Box<str>, usize>,
 }
 
 impl Callers {
-    /// No connections yet.
+    /// Creates the counts without any connection.
     pub fn new(limits: &TrafficLimits) -> Arc<Callers> {
         Arc::new(Callers {
             connections_limit: limits.connections,
@@ -41,16 +40,16 @@
         })
     }
 
-    /// How many callers there are.
+    /// Returns the number of callers.
     pub fn count(&self) -> usize {
         self.counts.lock().callers
     }
 
-    /// A place for a start-up. At the limit the oldest start-up gives up its place.
+    /// Admits a connection to its start-up. At the limit the oldest start-up is evicted.
     ///
-    /// If the newest were turned away instead, a flood of connections that send nothing would hold
-    /// every place until the start-up times out, and callers would be refused meanwhile. A caller's
-    /// start-up takes a round trip, so it is done long before as many newer ones have come.
+    /// If the newest were refused instead, a flood of connections that send nothing would occupy every
+    /// slot until the start-up timeout, and callers would be refused in the meantime. A caller's
+    /// start-up takes one round trip, so it normally completes long before it becomes the oldest.
     pub fn begin_startup(self: &Arc<Self>) -> HalfOpenPermit {
         let mut counts = self.counts.lock();
         if counts.half_open.len() >= self.half_open_limit {
@@ -63,7 +62,8 @@
         HalfOpenPermit { callers: Arc::clone(self), number, evicted }
     }
 
-    /// A place among the callers; `user` is none for another proxy.
+    /// Admits a caller after its start-up, or refuses it at a limit. `user` is `None` for another
+    /// proxy, to which the limit per user does not apply.
     pub fn admit(self: &Arc<Self>, user: Option<&str>) -> Result<CallerPermit, Refusal> {
         let mut counts = self.counts.lock();
         if counts.callers >= self.connections_limit {
@@ -82,7 +82,7 @@
     }
 }
 
-/// A place for a start-up, given back when dropped.
+/// A slot for a connection in start-up, released when dropped.
 #[derive(Debug)]
 pub struct HalfOpenPermit {
     callers: Arc<Callers>,
@@ -91,9 +91,9 @@
 }
 
 impl HalfOpenPermit {
-    /// Waits until a newer start-up takes the place.
+    /// Waits until this start-up is evicted in favour of a newer one.
     pub async fn evicted(&mut self) {
-        // Nothing is ever sent; the sender's end is what tells.
+        // Nothing is ever sent; dropping the sender is the signal.
         let _ = (&mut self.evicted).await;
     }
 }
@@ -104,7 +104,7 @@
     }
 }
 
-/// A place among the callers, given back when dropped.
+/// A slot for a caller, released when dropped.
 #[derive(Debug)]
 pub struct CallerPermit {
     callers: Arc<Callers>,
--- a/crates/proxy/src/connection/cancel.rs
+++ b/crates/proxy/src/connection/cancel.rs
@@ -1,8 +1,9 @@
-//! Cancel requests: passed on only to the connection that runs the caller's request now.
+//! Cancel requests, which are forwarded only to the connection that currently runs the caller's
+//! request.
 //!
-//! A cancel that arrives late would hit the next request on the same target connection, which is
-//! another caller's. Two rules keep it off: the target's key is looked up while the request holds
-//! the connection, and a connection that was cancelled is not used again.
+//! A cancel request that arrives late would hit the next request on the same target connection, which
+//! belongs to another caller. Two rules prevent this: the target's key is looked up while the request
+//! holds the connection, and a connection that was cancelled is not reused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +18,7 @@
 use crate::connection::socket;
 use crate::connection::target_connection::CancelKey;
 
-/// What a caller's request holds now.
+/// The target connection that a caller's request currently holds.
 #[derive(Debug, Default)]
 pub struct CancelSlot {
     held: Mutex<Option<Held>>,
@@ -31,13 +32,13 @@
 }
 
 impl CancelSlot {
-    /// Notes that the caller's request holds a connection.
+    /// Records that the caller's request holds a connection.
     pub fn hold(&self, address: &str, key: CancelKey) {
         *self.held.lock() = Some(Held { address: address.to_owned(), key, cancelled: false });
     }
 
-    /// Ends the hold. Returns whether a cancel was passed on meanwhile, so that the connection may
-    /// still be hit by it.
+    /// Clears the held connection. Returns whether a cancel request was forwarded to it, which may
+    /// still arrive.
     pub fn release(&self) -> bool {
         self.held.lock().take().is_some_and(|held| held.cancelled)
     }
@@ -50,14 +51,14 @@
     }
 }
 
-/// The callers of one process by the key that each was given.
+/// The callers of one process by the cancel key that each was given.
 #[derive(Debug, Default)]
 pub struct CancelRegistry {
     slots: Mutex<FastMap<i32, (i32, Arc<CancelSlot>)>>,
 }
 
 impl CancelRegistry {
-    /// Gives a caller a key of its own.
+    /// Assigns a unique cancel key to a caller.
     pub fn register(&self, slot: &Arc<CancelSlot>) -> CancelKey {
         let mut slots = self.slots.lock();
         loop {
@@ -71,13 +72,13 @@
         }
     }
 
-    /// Forgets a caller.
+    /// Removes a caller.
     pub fn unregister(&self, key: CancelKey) {
         self.slots.lock().remove(&key.process_id);
     }
 
-    /// Passes a cancel request on to the connection that the caller's request holds. Returns
-    /// whether there was one.
+    /// Forwards a cancel request to the connection that the caller's request holds. Returns whether it
+    /// was sent within `timeout`; false if the key is unknown or no connection is held.
     pub async fn cancel(&self, key: CancelKey, timeout: Duration) -> bool {
         let Some((address, target_key)) = self.find(key) else { return false };
         time::timeout(timeout, send_cancel(&address, target_key)).await.is_ok()
@@ -93,7 +94,8 @@
     }
 }
 
-/// Sends a cancel request and waits until the other end has taken it, which it says by closing.
+/// Sends a cancel request and waits until the other end has processed it, which it signals by closing
+/// the connection.
 async fn send_cancel(address: &str, key: CancelKey) {
     let Ok(stream) = TcpStream::connect(address).await else { return };
     let mut request = BytesMut::new();
--- a/crates/proxy/src/connection/frames.rs
+++ b/crates/proxy/src/connection/frames.rs
@@ -1,8 +1,8 @@
-//! Frames of the PostgreSQL protocol: the five-byte header of a typed message, and the messages
-//! that the proxy writes itself.
+//! Framing of the PostgreSQL protocol: the five-byte header of a typed message, and the backend
+//! messages that the proxy writes itself.
 //!
-//! `postgres-protocol` writes what a client sends. It has no writer for what a server sends, so the
-//! few such messages are here.
+//! `postgres-protocol` encodes frontend messages only, so the few backend messages that are needed are
+//! encoded here.
 
 use std::fmt;
 
@@ -10,16 +10,16 @@
 use bytes::BytesMut;
 use postgres_protocol::message::backend;
 
-/// The type byte and the length.
+/// The size of a message header: the type byte and the length.
 pub const HEADER_BYTES: usize = 5;
 
-/// The status of a connection outside a transaction, in ReadyForQuery.
+/// The transaction status in ReadyForQuery outside of a transaction.
 pub const STATUS_IDLE: u8 = b'I';
 
 /// The object identifier of PostgreSQL's type `text`.
 const TEXT_OID: u32 = 25;
 
-/// A frame that can't be of the protocol.
+/// A frame whose length field is invalid.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct BadFrame;
 
@@ -32,14 +32,14 @@
 /// The header of a typed message.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct FrameHeader {
-    /// The type.
+    /// The type byte.
     pub tag: u8,
-    /// The length of the whole frame, with the type byte.
+    /// The length of the complete frame in bytes, type byte included.
     pub frame_bytes: usize,
 }
 
 impl FrameHeader {
-    /// Reads the header at the start of `bytes`, if it is there whole.
+    /// Parses the header at the start of `bytes`. Returns `None` if it is incomplete.
     pub fn parse(bytes: &[u8]) -> Result<Option<FrameHeader>, BadFrame> {
         if bytes.len() < HEADER_BYTES {
             return Ok(None);
@@ -52,13 +52,14 @@
     }
 }
 
-/// Splits a zero-terminated text off the start of `bytes`.
+/// Splits a zero-terminated string off the start of `bytes`. Returns the string without its terminator
+/// and the rest.
 pub fn split_cstr(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let end = bytes.iter().position(|byte| *byte == 0)?;
     Some((&bytes[..end], &bytes[end + 1..]))
 }
 
-/// Writes a frame whose body `write_body` appends.
+/// Appends a frame whose body is written by `write_body`.
 pub fn frame<F>(out: &mut BytesMut, tag: u8, write_body: F)
 where
     F: FnOnce(&mut BytesMut),
@@ -71,18 +72,19 @@
     out[length_at..length_at + 4].copy_from_slice(&length.to_be_bytes());
 }
 
-/// Writes a zero-terminated text. A zero within it would end it early and is left out.
+/// Appends a zero-terminated string. Zero bytes within the text are dropped, since they would end it
+/// early.
 pub fn put_cstr(out: &mut BytesMut, text: &str) {
     out.extend(text.bytes().filter(|byte| *byte != 0));
     out.put_u8(0);
 }
 
-/// Writes AuthenticationOk.
+/// Appends AuthenticationOk.
 pub fn authentication_ok(out: &mut BytesMut) {
     frame(out, backend::AUTHENTICATION_TAG, |out| out.put_i32(0));
 }
 
-/// Writes BackendKeyData.
+/// Appends BackendKeyData.
 pub fn backend_key_data(out: &mut BytesMut, process_id: i32, secret: i32) {
     frame(out, backend::BACKEND_KEY_DATA_TAG, |out| {
         out.put_i32(process_id);
@@ -90,7 +92,7 @@
     });
 }
 
-/// Writes ParameterStatus.
+/// Appends ParameterStatus.
 pub fn parameter_status(out: &mut BytesMut, name: &str, value: &str) {
     frame(out, backend::PARAMETER_STATUS_TAG, |out| {
         put_cstr(out, name);
@@ -98,22 +100,22 @@
     });
 }
 
-/// Writes ReadyForQuery.
+/// Appends ReadyForQuery with the given transaction status.
 pub fn ready_for_query(out: &mut BytesMut, status: u8) {
     frame(out, backend::READY_FOR_QUERY_TAG, |out| out.put_u8(status));
 }
 
-/// Writes CommandComplete.
+/// Appends CommandComplete.
 pub fn command_complete(out: &mut BytesMut, tag: &str) {
     frame(out, backend::COMMAND_COMPLETE_TAG, |out| put_cstr(out, tag));
 }
 
-/// Writes a message without a body.
+/// Appends a message without a body.
 pub fn empty(out: &mut BytesMut, tag: u8) {
     frame(out, tag, |_| ());
 }
 
-/// Writes the RowDescription of one column of type text.
+/// Appends a RowDescription with one column of type text.
 pub fn text_column(out: &mut BytesMut, name: &str) {
     frame(out, backend::ROW_DESCRIPTION_TAG, |out| {
         out.put_i16(1);
@@ -127,7 +129,7 @@
     });
 }
 
-/// Writes a DataRow of one text.
+/// Appends a DataRow with one text value.
 pub fn text_row(out: &mut BytesMut, value: &str) {
     frame(out, backend::DATA_ROW_TAG, |out| {
         out.put_i16(1);
@@ -136,7 +138,7 @@
     });
 }
 
-/// Writes a ParameterDescription without parameters.
+/// Appends a ParameterDescription without parameters.
 pub fn no_parameters(out: &mut BytesMut) {
     frame(out, backend::PARAMETER_DESCRIPTION_TAG, |out| out.put_i16(0));
 }
@@ -146,17 +148,17 @@
 pub struct ErrorFields<'a> {
     /// `ERROR`, or `FATAL` where the connection is closed.
     pub severity: &'a str,
-    /// The five-character code.
+    /// The five-character SQLSTATE.
     pub sqlstate: &'a str,
     /// The message.
     pub message: &'a str,
-    /// Whether the request ran, in words.
+    /// The DETAIL field: whether the request ran.
     pub detail: &'a str,
-    /// When to come back; empty for none.
+    /// The HINT field: when to retry; empty for no hint.
     pub hint: &'a str,
 }
 
-/// Writes ErrorResponse.
+/// Appends ErrorResponse. Empty fields are left out.
 pub fn error_response(out: &mut BytesMut, fields: ErrorFields<'_>) {
     frame(out, backend::ERROR_RESPONSE_TAG, |out| {
         let all = [
@@ -175,7 +177,7 @@
     });
 }
 
-/// The value of one field of an ErrorResponse frame, for example `C`, the SQLSTATE.
+/// Returns the value of one field of an ErrorResponse frame, for example `C`, the SQLSTATE.
 pub fn error_field(error_frame: &[u8], wanted: u8) -> Option<&str> {
     let mut rest = error_frame.get(HEADER_BYTES..)?;
     while let [code, fields @ ..] = rest {
@@ -191,7 +193,7 @@
     None
 }
 
-/// The name and value in a ParameterStatus frame.
+/// Returns the name and value in a ParameterStatus frame.
 pub fn parse_parameter_status(status_frame: &[u8]) -> Option<(&str, &str)> {
     let (name, rest) = split_cstr(status_frame.get(HEADER_BYTES..)?)?;
     let (value, _) = split_cstr(rest)?;
--- a/crates/proxy/src/connection/lease.rs
+++ b/crates/proxy/src/connection/lease.rs
@@ -1,4 +1,4 @@
-//! A connection that is in use, and how it goes back to its pool.
+//! The lease of a pooled connection, and its return to the pool.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use crate::connection::pool::Pool;
 use crate::connection::pooled_connection::PooledConnection;
 
-/// A connection out of a pool. Dropping it closes the connection.
+/// A connection taken from a pool. Dropping the lease closes the connection.
 #[derive(Debug)]
 pub struct Lease<L>
 where
@@ -30,32 +30,32 @@
         Lease { connection: Some(connection), pool: Arc::clone(pool), permit }
     }
 
-    /// The connection.
+    /// Returns the connection.
     pub fn connection(&mut self) -> &mut L {
         self.connection.as_mut().expect("a lease holds its connection until it ends")
     }
 
-    /// The address of the other end.
+    /// Returns the address of the other end.
     pub fn address(&self) -> &str {
         self.pool.address()
     }
 
-    /// The statement ended and its transaction keeps the connection.
+    /// Reports that the statement ended and its transaction keeps the connection.
     pub fn statement_ended(&mut self) {
         if let Some(permit) = &mut self.permit {
             permit.statement_ended();
         }
     }
 
-    /// The next statement of the transaction runs.
+    /// Reports that the next statement of the transaction runs.
     pub fn statement_started(&mut self) {
         if let Some(permit) = &mut self.permit {
             permit.statement_started();
         }
     }
 
-    /// Gives the connection back. One that is not at idle, or whose session may have changed, goes
-    /// to another caller only once it is as new.
+    /// Returns the connection to its pool. A connection that is not idle, or whose session may have
+    /// changed, is reset before it goes to another caller.
     pub fn return_to_pool(mut self) {
         let Some(connection) = self.connection.take() else { return };
         let is_idle = connection.is_idle();
@@ -67,20 +67,20 @@
         let permit = self.permit.take();
         tokio::spawn(async move {
             pool.recover(connection, !is_idle).await;
-            // The turn ends with the recovery: the target is still busy with it.
+            // The permit is held during the recovery, since the target is still busy with it.
             drop(permit);
         });
     }
 
-    /// Closes a connection that still works. Its place is free once the other end has closed too:
-    /// until then the target counts it, and would refuse a new one.
+    /// Terminates a working connection. Its slot is released once the other end has closed too: until
+    /// then the target counts the connection and would refuse a new one.
     pub fn close(mut self) {
         let Some(mut connection) = self.connection.take() else { return };
         let timeout = Duration::from_millis(self.pool.options.drain_ms);
         let pool = Arc::clone(&self.pool);
         let permit = self.permit.take();
         tokio::spawn(async move {
-            // A connection that does not end in time is reset by being dropped.
+            // Dropping the connection closes the socket if the other end did not close in time.
             let _ = connection.terminate(timeout).await;
             drop(connection);
             pool.connection_closed();
--- a/crates/proxy/src/connection/limits.rs
+++ b/crates/proxy/src/connection/limits.rs
@@ -1,56 +1,59 @@
-//! Bounds on what callers and targets can ask of the traffic threads.
+//! Limits on the resources that callers and targets can use on the traffic threads.
 
 use std::time::Duration;
 
 use skylark_settings::proxy::ProxySettings;
 
-/// Every bound of the traffic threads. Each one that refuses has an error kind and a counter.
+/// All limits of the traffic threads. Each limit that refuses requests has an error kind and a counter.
 #[derive(Clone, Debug)]
 pub struct TrafficLimits {
-    /// The largest message, and the largest batch of messages up to a Sync, from a caller.
+    /// The largest message, and the largest batch of messages up to a Sync, from a caller, in bytes.
     pub message_bytes: usize,
-    /// The time that a connection has for its start-up.
+    /// The time limit for a caller's start-up, in milliseconds.
     pub startup_ms: u64,
-    /// How many connections may be in their start-up at once.
+    /// The maximum number of connections in start-up.
     pub half_open: usize,
-    /// How many callers the process serves at once.
+    /// The maximum number of callers.
     pub connections: usize,
-    /// How many of these may have the same user name.
+    /// The maximum number of callers with the same user name.
     pub connections_per_user: usize,
-    /// How long a caller may leave a transaction open and idle.
+    /// The time that a transaction may be idle, in milliseconds.
     pub idle_in_transaction_ms: u64,
-    /// How long a caller may take no byte of an answer.
+    /// The time that a caller may accept no byte of an answer, in milliseconds.
     pub slow_reader_ms: u64,
-    /// How long a caller may send nothing more of a message that it began.
+    /// The time that a caller may pause within a message, in milliseconds.
     pub slow_sender_ms: u64,
-    /// The time limit of a statement unless the caller sets one.
+    /// The default time limit of a statement, in milliseconds.
     pub deadline_ms: u64,
-    /// How long a commit may wait for its confirmation.
+    /// The time that a commit may wait for its confirmation, in milliseconds.
     pub confirm_ms: u64,
-    /// How many requests may wait for one target.
+    /// The maximum number of requests that wait for one target.
     pub queue_length: usize,
-    /// How long a request that did not run may wait for a primary that moves or changes.
+    /// The time that a request that has not run may wait for a primary during a move or failover, in
+    /// milliseconds.
     pub primary_wait_ms: u64,
-    /// How long a request may wait for a primary that covers the session's own writes.
+    /// The time that a request may wait for a primary that covers the session's own writes, in
+    /// milliseconds.
     pub floor_wait_ms: u64,
-    /// How long open transactions may go on once the process is stopping.
+    /// The time that open transactions may continue while the process stops, in milliseconds.
     pub stop_grace_ms: u64,
-    /// How often a request may be forwarded.
+    /// The maximum number of times that a request is forwarded.
     pub max_hops: u8,
-    /// Retries that a group may spend for every hundred requests.
+    /// The retry budget of a group, in retries per hundred requests.
     pub retry_budget_percent: u32,
-    /// How many connections to one other proxy are open at once, for one group.
+    /// The maximum number of connections to one other proxy per group.
     pub peer_connections: u32,
-    /// The time that a new connection to a target or proxy may take.
+    /// The time limit for opening a connection to a target or proxy, in milliseconds.
     pub connect_ms: u64,
-    /// The time that an abandoned answer has to end before its connection is closed.
+    /// The time limit for draining an abandoned answer before its connection is closed, in
+    /// milliseconds.
     pub drain_ms: u64,
-    /// How many prepared statements one connection to a target remembers.
+    /// The maximum number of prepared statements per target connection.
     pub prepared_per_connection: usize,
-    /// How many prepared statements one caller may hold.
+    /// The maximum number of named prepared statements per caller.
     pub prepared_per_caller: usize,
     /// Whether every connection is reset after every transaction, for callers whose SQL functions
-    /// change session state where the statement's text does not show it.
+    /// change session state in a way that the statement's text does not show.
     pub reset_always: bool,
 }
 
@@ -61,7 +64,7 @@
 }
 
 impl TrafficLimits {
-    /// The bounds in a proxy's settings.
+    /// Returns the limits in a proxy's settings.
     pub fn from_settings(settings: &ProxySettings) -> TrafficLimits {
         let limits = &settings.limits;
         TrafficLimits {
@@ -90,12 +93,12 @@
         }
     }
 
-    /// The bound on a caller that does not read.
+    /// Returns the time that a caller may accept no byte of an answer.
     pub fn slow_reader(&self) -> Duration {
         Duration::from_millis(self.slow_reader_ms)
     }
 
-    /// The bound on a caller that does not send.
+    /// Returns the time that a caller may pause within a message.
     pub fn slow_sender(&self) -> Duration {
         Duration::from_millis(self.slow_sender_ms)
     }
--- a/crates/proxy/src/connection/mod.rs
+++ b/crates/proxy/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as one connection.
+//! Connections to callers, targets and other proxies, with the state that is kept per connection.
 
 pub mod admission;
 pub mod caller;
--- a/crates/proxy/src/connection/pool.rs
+++ b/crates/proxy/src/connection/pool.rs
@@ -1,14 +1,14 @@
-//! The connections to one target, or to one proxy that leads to it.
+//! A pool of connections to one target, directly or through another proxy.
 //!
-//! A connection serves one transaction at a time and comes back only at idle. One whose answer was
-//! abandoned, or whose session may have changed, is first brought back to a new session; where that
-//! fails it is closed. Connections are opened ahead of need up to the limit. After a failure the
-//! next try waits, longer after each, and by a part that differs between processes, so that the
-//! proxies of a target that comes back don't storm it.
+//! A connection serves one transaction at a time and is returned only when idle. A connection whose
+//! answer was abandoned, or whose session may have changed, is first reset; if the reset fails, it is
+//! closed. Connections are opened ahead of demand up to the limit. Failed attempts to connect are
+//! retried with increasing backoff and jitter that differs between processes, so that the proxies do
+//! not overload a target that has just recovered.
 //!
-//! Where the target distinguishes users, a connection serves the one that it was opened for, and the pool is a
-//! cache of users: connections stay open up to the limit, and the one that was not used for longest gives way to
-//! a user who has none.
+//! If the target distinguishes users, a connection serves only the user that it was opened for, and the
+//! pool acts as a cache of users: connections stay open up to the limit, and the least recently used
+//! one is replaced for a user that has none.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -36,28 +36,28 @@
 use crate::process::counters::Counters;
 use crate::process::counters::Event;
 
-/// What a pool needs to know to work.
+/// The configuration of a pool.
 #[derive(Clone, Debug)]
 pub struct PoolOptions<Login> {
-    /// IP address and port.
+    /// IP address and port of the other end.
     pub address: String,
-    /// How connections introduce themselves.
+    /// The start-up parameters of connections.
     pub login: Login,
-    /// The time that a connection may take to open.
+    /// The time limit for opening a connection, in milliseconds.
     pub connect_ms: u64,
-    /// How many connections are kept, and how tries are spaced.
+    /// How many connections are kept, and how attempts to connect are spaced.
     pub budget: BudgetPolicy,
-    /// The time that an abandoned answer has to end.
+    /// The time limit for draining an abandoned answer and resetting the session, in milliseconds.
     pub drain_ms: u64,
     /// Whether connections are reset after every transaction.
     pub reset_always: bool,
-    /// Distinguishes this process's delays from those of others.
+    /// The seed of the backoff jitter, which differs between processes.
     pub jitter_seed: u64,
     /// The process's clock.
     pub clock: MonotonicClock,
 }
 
-/// Connections to one address for one group.
+/// A pool of connections to one address for one group.
 #[derive(Debug)]
 pub struct Pool<L>
 where
@@ -72,24 +72,25 @@
 where
     L: PooledConnection,
 {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub fn new(options: PoolOptions<L::Login>, counters: Arc<Counters>) -> Pool<L> {
         let now_us = options.clock.now_us();
         let budget = ConnectionBudget::new(options.budget, 0, options.jitter_seed, now_us);
         Pool { options, counters, state: Mutex::new(PoolState::new(budget)) }
     }
 
-    /// The address that the pool connects to.
+    /// Returns the address that the pool connects to.
     pub fn address(&self) -> &str {
         &self.options.address
     }
 
-    /// How many connections are open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub fn total(&self) -> u32 {
         self.state.lock().budget.total()
     }
 
-    /// Whether there are no connections, nobody waits for one, and none failed.
+    /// Returns whether there are no connections and no waiting requests, and the last attempt to
+    /// connect did not fail.
     pub fn is_unused(&self) -> bool {
         let state = self.state.lock();
         state.budget.total() == 0
@@ -97,33 +98,34 @@
             && state.last_connect_failure.is_none()
     }
 
-    /// Whether the last try to connect failed.
+    /// Returns whether the last attempt to connect failed.
     pub fn is_failing(&self) -> bool {
         self.state.lock().last_connect_failure.is_some()
     }
 
-    /// Why the last try to connect failed; none if it succeeded.
+    /// Returns why the last attempt to connect failed; `None` if it succeeded.
     pub fn last_connect_failure(&self) -> Option<Failure> {
         self.state.lock().last_connect_failure
     }
 
-    /// Changes how connections are kept and opened.
+    /// Changes how many connections are kept and how attempts to connect are spaced.
     pub fn set_policy(&self, policy: BudgetPolicy) {
         self.state.lock().budget.set_policy(policy);
     }
 
-    /// Changes how many connections the pool may have.
+    /// Changes the maximum number of connections.
     pub fn set_share(&self, share: u32) {
         self.state.lock().budget.set_share(share);
     }
 
-    /// Opens connections ahead of need and closes those that are no longer needed.
+    /// Opens connections ahead of demand and closes those that are no longer needed.
     pub fn maintain(self: &Arc<Self>) {
         let MaintenancePlan { open, closed, replaced } =
             self.state.lock().plan(self.options.clock.now_us());
         self.count_closed(closed.len());
         self.counters.add(Event::ConnectionsReplaced, u64::from(replaced));
-        // Closed before others are opened in their place: the target counts both otherwise.
+        // Connections are closed before their replacements are opened, since the target would count
+        // both.
         drop(closed);
         for user in open {
             let pool = Arc::clone(self);
@@ -131,10 +133,11 @@
         }
     }
 
-    /// Takes a connection for a user, or any if none is named. The failure is one of connecting: nothing was
-    /// sent.
+    /// Takes a connection for a user, or any connection if `user` is `None`. A failure is one of
+    /// connecting: nothing was sent.
     ///
-    /// `turn` is held as long as the connection is, and lets the next request run when it goes back.
+    /// `permit` is held as long as the connection is, and admits the next request when the connection
+    /// is returned.
     pub async fn take(
         self: &Arc<Self>,
         user: Option<&Arc<str>>,
@@ -163,7 +166,7 @@
         }
     }
 
-    /// A lease of a connection that another thread handed over.
+    /// Creates a lease of a connection that another thread handed over.
     fn lease(
         self: &Arc<Self>,
         connection: L,
@@ -178,8 +181,8 @@
         }
     }
 
-    /// Those who wait for a target that can't be reached at all had better go elsewhere. While a
-    /// connection is open or being opened, it is waited for.
+    /// Fails all waiting requests if the target is unreachable and no connection is open or being
+    /// opened, so that they can be routed elsewhere.
     fn fail_waiters_if_unreachable(&self) {
         let mut state = self.state.lock();
         let Some(failure) = state.last_connect_failure else { return };
@@ -193,9 +196,9 @@
         }
     }
 
-    /// A target that refuses connections, for instance because it is leaving, would refuse the statements of
-    /// those who wait for one as well. Without this they wait for a connection that is in use until their time
-    /// is up.
+    /// Fails the waiting requests of a user after the target refused a connection, for example because
+    /// it is leaving: it would refuse their statements as well. Otherwise they would wait for a
+    /// connection in use until their deadline.
     fn fail_waiters_of_user(&self, user: &User, failure: Failure) {
         let mut state = self.state.lock();
         let all = std::mem::take(&mut state.waiting);
@@ -204,12 +207,12 @@
         state.waiting = others;
         drop(state);
         for waiter in refused {
-            // One whose time is up waits no longer.
+            // Sending fails if the request has already timed out.
             let _ = waiter.sender.send(Err(failure));
         }
     }
 
-    /// Stops waiting; a connection that was handed over at the last moment goes back.
+    /// Stops waiting. A connection that was handed over in the meantime goes back to the pool.
     fn cancel_wait(self: &Arc<Self>, mut receiver: oneshot::Receiver<Result<L, Failure>>) {
         receiver.close();
         if let Ok(Ok(connection)) = receiver.try_recv() {
@@ -217,7 +220,7 @@
         }
     }
 
-    /// The newest idle connection that serves a user and is still good.
+    /// Takes the most recently used idle connection that serves the user and is still healthy.
     fn take_idle(&self, user: Option<&Arc<str>>) -> Option<L> {
         loop {
             let connection = {
@@ -268,15 +271,15 @@
         }
     }
 
-    /// Takes back an idle connection.
+    /// Returns an idle connection to the pool.
     pub(super) fn return_idle(self: &Arc<Self>, connection: L) {
         let mut state = self.state.lock();
         state.budget.gave_back();
         self.hand_over(state, connection);
     }
 
-    /// Hands a connection that counts as idle to the first whom it serves, or keeps it. Where others wait it may
-    /// give way to one of theirs.
+    /// Hands a connection that counts as idle to the first waiting request that it serves, or keeps it
+    /// as idle. If others are waiting, it may be replaced by a connection of one of their users.
     fn hand_over(self: &Arc<Self>, mut state: MutexGuard<'_, PoolState<L>>, mut connection: L) {
         let serves = |waiter: &Waiter<L>, connection: &L| connection.serves(waiter.user.as_ref());
         while let Some(index) = state.waiting.iter().position(|waiter| serves(waiter, &connection))
@@ -309,7 +312,7 @@
         self.counters.add(Event::ConnectionsClosed, count as u64);
     }
 
-    /// Brings a connection back to a new session, or closes it.
+    /// Resets a connection and returns it to the pool, or closes it if that fails.
     pub(super) async fn recover(self: Arc<Self>, mut connection: L, abandoned: bool) {
         let timeout = Duration::from_millis(self.options.drain_ms);
         let recovered = connection.recover(timeout).await.is_ok();
@@ -323,7 +326,7 @@
             self.return_idle(connection);
             return;
         }
-        // The socket is closed before its place is given to a new connection.
+        // The socket is closed before its slot is given to a new connection.
         drop(connection);
         self.connection_closed();
     }
@@ -340,7 +343,7 @@
     }
 }
 
-/// Whether the target answered that it takes no connection, for another reason than their number.
+/// Returns whether the target refused the connection for a reason other than too many connections.
 fn is_refusal(failure: Failure) -> bool {
     matches!(failure, Failure::Said { .. }) && connect_failure(failure) != ConnectFailure::TooMany
 }
--- a/crates/proxy/src/connection/pool_state.rs
+++ b/crates/proxy/src/connection/pool_state.rs
@@ -1,4 +1,5 @@
-//! What a pool holds: idle connections by their last use, those who wait, and the budget.
+//! The state of a pool: idle connections in order of last use, waiting requests, and the connection
+//! budget.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,25 +11,26 @@
 
 use crate::connection::pooled_connection::PooledConnection;
 
-/// How many of the newest idle connections are looked at for one that this thread watches.
+/// The number of most recently used idle connections that are searched for one registered with this
+/// thread's event loop.
 const MAX_THREAD_MATCH_CANDIDATES: usize = 32;
 
-/// The connections of a pool and who waits for them.
+/// The connections of a pool and the requests that wait for one.
 #[derive(Debug)]
 pub(super) struct PoolState<L> {
-    /// Idle connections, the one that was not used for longest first.
+    /// Idle connections, least recently used first.
     pub(super) idle: Vec<L>,
     pub(super) waiting: VecDeque<Waiter<L>>,
     /// The users for whom connections are being opened.
     pub(super) opening: Vec<User>,
-    /// Whether connections are taken for users.
+    /// Whether the target distinguishes users, so that connections are opened per user.
     pub(super) is_per_user: bool,
     pub(super) budget: ConnectionBudget,
-    /// Why the last try to connect failed, until one succeeds.
+    /// Why the last attempt to connect failed; `None` after a success.
     pub(super) last_connect_failure: Option<Failure>,
 }
 
-/// Whose statements a connection is for; none if anybody's connection will do.
+/// The user that a connection serves; `None` if any connection will do.
 pub(super) type User = Option<Arc<str>>;
 
 /// A request that waits for a connection.
@@ -38,13 +40,13 @@
     pub(super) sender: oneshot::Sender<Result<L, Failure>>,
 }
 
-/// What is to be done about a pool now.
+/// The connections to open and close in one maintenance run.
 pub(super) struct MaintenancePlan<L> {
-    /// For whom connections are to be opened.
+    /// The users for whom connections are opened.
     pub(super) open: Vec<User>,
-    /// Connections to close.
+    /// The connections to close.
     pub(super) closed: Vec<L>,
-    /// How many of them give way to another user's.
+    /// How many of the closed connections are replaced by another user's.
     pub(super) replaced: u32,
 }
 
@@ -52,7 +54,7 @@
 where
     L: PooledConnection,
 {
-    /// No connections, and nobody who waits.
+    /// Creates the state of an empty pool.
     pub(super) fn new(budget: ConnectionBudget) -> PoolState<L> {
         PoolState {
             idle: Vec::new(),
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Decides which connections are opened and closed now.
+    /// Decides which connections to open and close now.
     pub(super) fn plan(&mut self, now_us: u64) -> MaintenancePlan<L> {
         let (plan, open) = match self.is_per_user {
             true => {
@@ -85,7 +87,8 @@
         MaintenancePlan { open, closed, replaced: plan.replaced }
     }
 
-    /// The newest idle connection that serves a user, sooner one that this thread watches already.
+    /// Takes the most recently used idle connection that serves the user, preferring one registered
+    /// with this thread's event loop.
     pub(super) fn pop_idle(&mut self, user: Option<&Arc<str>>) -> Option<L> {
         let fits = |(_, connection): &(usize, &L)| connection.serves(user);
         let newest = || self.idle.iter().enumerate().rev().filter(fits);
--- a/crates/proxy/src/connection/pooled_connection.rs
+++ b/crates/proxy/src/connection/pooled_connection.rs
@@ -1,4 +1,4 @@
-//! What a pool asks of a connection, whichever protocol it speaks.
+//! The interface between a pool and its connections, independent of the protocol.
 
 use std::fmt::Debug;
 use std::future::Future;
@@ -10,10 +10,11 @@
 
 /// A connection to a target, or to another proxy, that a pool can keep.
 pub trait PooledConnection: Debug + Sized + Send + 'static {
-    /// How connections introduce themselves.
+    /// The start-up parameters of a connection.
     type Login: Clone + Debug + Send + Sync + 'static;
 
-    /// Connects and passes the start-up within `timeout`, as `user` where the other end distinguishes users.
+    /// Connects and completes the start-up within `timeout`, as `user` if the other end distinguishes
+    /// users.
     fn open(
         address: &str,
         login: &Self::Login,
@@ -21,27 +22,30 @@
         timeout: Duration,
     ) -> impl Future<Output = Result<Self, OpenError>> + Send;
 
-    /// Whether the connection may run statements of `user`; of none means whosever it is.
+    /// Returns whether the connection may run statements of `user`. `None` stands for any user.
     fn serves(&self, user: Option<&Arc<str>>) -> bool;
 
-    /// Whether this thread's event loop watches the stream.
+    /// Returns whether the stream is registered with this thread's event loop.
     fn is_on_current_thread(&self) -> bool;
 
-    /// Has the stream watched by this thread's event loop.
+    /// Registers the stream with this thread's event loop.
     fn move_to_current_thread(self) -> io::Result<Self>;
 
-    /// Whether an idle connection can be used: still open, and nothing came unasked.
+    /// Returns whether an idle connection can be used: it is still open, and no unsolicited input
+    /// arrived.
     fn is_healthy(&mut self) -> bool;
 
-    /// Whether the connection is between requests, outside a transaction, with nothing unread.
+    /// Returns whether the connection is between requests, outside of a transaction, with no unread
+    /// input.
     fn is_idle(&self) -> bool;
 
-    /// Whether its session may differ from what the next caller expects.
+    /// Returns whether its session state may differ from what the next caller expects.
     fn needs_reset(&self) -> bool;
 
-    /// Brings a connection whose answer was abandoned back to idle with a session fit for others.
+    /// Drains an abandoned answer and resets the session, so that the connection is idle and fit for
+    /// other callers.
     fn recover(&mut self, timeout: Duration) -> impl Future<Output = io::Result<()>> + Send;
 
-    /// Says goodbye and waits until the other end has closed.
+    /// Terminates the connection and waits until the other end has closed it.
     fn terminate(&mut self, timeout: Duration) -> impl Future<Output = io::Result<()>> + Send;
 }
--- a/crates/proxy/src/connection/pools.rs
+++ b/crates/proxy/src/connection/pools.rs
@@ -1,7 +1,7 @@
-//! All pools of the process: one for each target that this VM is home to, and one for each other
-//! proxy and group that requests are forwarded to.
+//! All pools of the process: one per target that this VM is home to, and one per other proxy and group
+//! that requests are forwarded to.
 //!
-//! Pools are found by name, since the indices of targets and VMs change between versions.
+//! Pools are looked up by name, since the ids of targets and VMs change between versions.
 
 use std::sync::Arc;
 
@@ -28,19 +28,19 @@
 use crate::process::counters::Counters;
 use crate::version::published::Published;
 
-/// One more statement than there are slots is let through, so that a slot is not idle while an
-/// answer travels.
+/// One statement more than the target has slots is admitted, so that no slot is idle while an answer is
+/// in transit.
 const RUNNING_BEYOND_SLOTS: u32 = 1;
 
-/// The pools towards one VM by group.
+/// The pools to one VM by group.
 type GroupPools = FastMap<String, Arc<Pool<TargetConnection>>>;
 
 /// A target that this VM is home to.
 #[derive(Debug)]
 pub struct TargetPool {
-    /// The connections.
+    /// The connection pool.
     pub pool: Arc<Pool<TargetConnection>>,
-    /// The queue in front of them.
+    /// The admission queue in front of the pool.
     pub queue: Arc<AdmissionQueue>,
 }
 
@@ -53,12 +53,12 @@
     clock: MonotonicClock,
     counters: Arc<Counters>,
     targets: RwLock<FastMap<String, Arc<TargetPool>>>,
-    /// By VM, then by group.
+    /// Pools to other proxies, by VM and group.
     peers: RwLock<FastMap<String, GroupPools>>,
 }
 
 impl Pools {
-    /// No pools yet.
+    /// Creates an empty set of pools.
     pub fn new(
         vm: &str,
         zone: &str,
@@ -77,15 +77,16 @@
         }
     }
 
-    /// The pool of a target that this VM is home to.
+    /// Returns the pool of a target that this VM is home to, and creates it if needed.
     pub fn target(&self, published: &Published, id: TargetId) -> Arc<TargetPool> {
         let target = published.topology.target(id);
         let is_current = |entry: &&Arc<TargetPool>| entry.pool.address() == target.address;
         if let Some(known) = self.targets.read().get(&target.name).filter(is_current) {
             return Arc::clone(known);
         }
-        // Made while the table is locked: of two pools made at once one would be lost from the
-        // table with its connections, and the target would have twice this home's part.
+        // The pool is created under the write lock. Of two pools created concurrently, one would be
+        // lost from the table together with its connections, and the target would get twice this home's
+        // share of connections.
         let mut targets = self.targets.write();
         if let Some(known) = targets.get(&target.name).filter(is_current) {
             return Arc::clone(known);
@@ -98,7 +99,7 @@
         created
     }
 
-    /// The pool towards another proxy for one group.
+    /// Returns the pool to another proxy for one group, and creates it if needed.
     pub fn peer(
         &self,
         published: &Published,
@@ -130,7 +131,7 @@
         pool
     }
 
-    /// Brings the pools to what a version says, and lets each open and close connections.
+    /// Aligns the pools with a version, and lets each pool open and close connections.
     pub fn maintain(&self, published: &Published) {
         self.close_removed(published);
         for index in 0..published.homes.len() {
@@ -146,7 +147,8 @@
         }
     }
 
-    /// Gives up the connections to targets that this VM is no longer home to, and to VMs that went.
+    /// Closes the connections to targets that this VM is no longer home to, and to VMs that were
+    /// removed.
     fn close_removed(&self, published: &Published) {
         let topology = &published.topology;
         self.targets.write().retain(|name, entry| {
--- a/crates/proxy/src/connection/prepared.rs
+++ b/crates/proxy/src/connection/prepared.rs
@@ -1,8 +1,8 @@
-//! Prepared statements that outlive a pooled connection.
+//! Prepared statements across pooled connections.
 //!
-//! A caller's named statement is remembered with its text. Statements with the same text and
-//! parameter types share one name over the whole process, so that a target connection has each
-//! prepared at most once, whoever asks. A connection that lacks one gets its Parse before the
+//! A caller's named statement is stored with its text. Statements with the same text and parameter
+//! types share one name throughout the process, so that each is prepared at most once per target
+//! connection, regardless of the caller. A connection that lacks a statement gets its Parse before the
 //! first use.
 
 use std::collections::VecDeque;
@@ -19,30 +19,30 @@
 use crate::request::refusal::Refusal;
 use crate::request::statement::StatementTraits;
 
-/// What the shared names of statements begin with.
+/// The prefix of shared statement names.
 const NAME_PREFIX: &str = "skylark_";
 
-/// After how many new statements the table forgets those that nobody holds.
+/// The number of new statements after which unreferenced ones are removed from the table.
 const SWEEP_EVERY: usize = 1_024;
 
-/// A prepared statement as callers of one process share it.
+/// A prepared statement shared by the callers of one process.
 #[derive(Debug)]
 pub struct PreparedStatement {
-    /// The number in its shared name; never used again.
+    /// The number in the shared name; never reused.
     pub id: u64,
-    /// The text and parameter types, as they stand in a Parse after the name.
+    /// The text and parameter types, encoded as in a Parse message after the name.
     pub definition: Bytes,
-    /// What its text shows.
+    /// The traits of the text.
     pub traits: StatementTraits,
-    /// The statement that the proxy answers itself, if it is one.
+    /// The parsed statement if the proxy answers it itself.
     pub local: Option<LocalStatement>,
 }
 
 impl PreparedStatement {
-    /// A statement from the part of a Parse that follows the name.
+    /// Creates a statement from the part of a Parse message that follows the name.
     ///
-    /// Fails where the text names a parameter of the proxy in a way that is not accepted; `None`
-    /// where the Parse is malformed.
+    /// Returns `None` if the Parse is malformed, and a refusal if the text names a parameter of the
+    /// proxy in an unsupported way.
     pub fn new(id: u64, definition: Bytes) -> Option<Result<PreparedStatement, Refusal>> {
         let (text, _) = frames::split_cstr(&definition)?;
         let text = String::from_utf8_lossy(text);
@@ -51,13 +51,13 @@
         Some(parsed.map(|local| PreparedStatement { id, definition, traits, local }))
     }
 
-    /// The shared name.
+    /// Returns the shared name.
     pub fn name(&self) -> String {
         shared_name(self.id)
     }
 }
 
-/// The statements of one process by their definition.
+/// The prepared statements of one process by definition.
 #[derive(Debug, Default)]
 pub struct StatementTable {
     inner: Mutex<TableInner>,
@@ -71,7 +71,8 @@
 }
 
 impl StatementTable {
-    /// The shared statement of this definition. Errors as for [`PreparedStatement::new`].
+    /// Returns the shared statement with this definition, and creates it if needed. Errors are those of
+    /// [`PreparedStatement::new`].
     pub fn intern(&self, definition: &[u8]) -> Option<Result<Arc<PreparedStatement>, Refusal>> {
         let mut inner = self.inner.lock();
         if let Some(known) = inner.by_definition.get(definition).and_then(Weak::upgrade) {
@@ -93,7 +94,7 @@
     }
 }
 
-/// Which shared statements one connection has prepared: the oldest is given up for a new one.
+/// The shared statements that are prepared on one connection, evicted in order of preparation.
 #[derive(Debug, Default)]
 pub struct PreparedOnConnection {
     ids: FastSet<u64>,
@@ -101,19 +102,19 @@
 }
 
 impl PreparedOnConnection {
-    /// Whether the statement is prepared.
+    /// Returns whether the statement is prepared.
     pub fn is_prepared(&self, id: u64) -> bool {
         self.ids.contains(&id)
     }
 
-    /// Notes a statement that is prepared now.
+    /// Records a statement as prepared.
     pub fn insert(&mut self, id: u64) {
         if self.ids.insert(id) {
             self.by_age.push_back(id);
         }
     }
 
-    /// Takes the oldest statement out while there are `limit` or more.
+    /// Removes and returns the oldest statement if there are `limit` or more.
     pub fn evict(&mut self, limit: usize) -> Option<u64> {
         if self.by_age.len() < limit {
             return None;
@@ -123,14 +124,14 @@
         Some(id)
     }
 
-    /// Forgets all, after a reset of the connection.
+    /// Removes all statements, after a reset of the connection.
     pub fn clear(&mut self) {
         self.ids.clear();
         self.by_age.clear();
     }
 }
 
-/// The shared name of the statement with this number.
+/// Returns the shared name of the statement with this id.
 pub fn shared_name(id: u64) -> String {
     format!("{NAME_PREFIX}{id}")
 }
--- a/crates/proxy/src/connection/relay.rs
+++ b/crates/proxy/src/connection/relay.rs
@@ -1,8 +1,8 @@
-//! Passing an answer from a target to the caller as raw bytes.
+//! Relays an answer from a target to the caller as raw bytes.
 //!
-//! Only the headers of the messages are read. A run of messages that need no attention is written
-//! out of the read buffer as one slice, so rows are neither decoded nor copied. The relay stops at
-//! the messages that mean something to the proxy and hands them to its user as [`Notice`]s.
+//! Only message headers are parsed. A run of consecutive messages that need no handling is written from
+//! the read buffer as one slice, so rows are neither decoded nor copied. The relay stops at messages
+//! that the proxy has to handle and reports them as [`RelayEvent`]s.
 
 use std::io;
 use std::time::Duration;
@@ -20,77 +20,81 @@
 use crate::connection::socket;
 use crate::connection::target_connection::TargetConnection;
 
-/// The largest message that must be read whole to be understood.
+/// The largest message that is buffered in full to be parsed.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Up to this size a run before a notice is kept to be written together with what follows.
+/// The size up to which output is buffered, to be written together with what follows.
 const MAX_PENDING_BYTES: usize = 8 << 10;
 
-/// Up to this size an answer that is held back is kept; a longer one stays with the target.
+/// The size up to which an answer is held back in the proxy. The rest of a longer one remains unread,
+/// which stops the target by flow control.
 const MAX_HELD_BYTES: usize = 64 << 10;
 
-/// What the relay stops at.
+/// An event that the relay reports to its user.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum RelayEvent {
-    /// A commit that wrote something, with the position's text. What follows is held back.
+    /// A commit that wrote data, with the text of its position. The user decides whether to hold back
+    /// what follows.
     Commit(String),
-    /// The other proxy says who served the request.
+    /// The other proxy reports which target served the request.
     Served(String),
-    /// An ErrorResponse, whole; not passed on yet.
+    /// A complete ErrorResponse, not forwarded yet.
     Error(BytesMut),
-    /// An ErrorResponse to a request of the proxy's own.
+    /// An ErrorResponse to a request of the prelude.
     PreludeError(BytesMut),
-    /// ReadyForQuery, not passed on yet.
+    /// ReadyForQuery with its transaction status, not forwarded yet.
     Ready(u8),
-    /// All replies of a batch without a Sync came.
+    /// All replies of a batch without a Sync have arrived.
     Flushed,
-    /// The target waits for COPY data, or sends some.
+    /// The target expects COPY data or sends it. Carries the message type.
     Copy(u8),
-    /// So much of the answer is held back that the position must be confirmed first.
+    /// The held part of the answer reached its size limit, so the commit must be confirmed before
+    /// relaying continues.
     HoldLimitReached,
 }
 
-/// Why the relay can't go on.
+/// The reason that relaying failed.
 #[derive(Debug)]
 pub enum RelayError {
-    /// The connection to the target broke.
+    /// The connection to the target broke, or the target violated the protocol.
     Target(io::Error),
     /// The connection to the caller broke, or the caller is too slow.
     Caller(io::Error),
 }
 
-/// An answer on its way.
+/// The state of relaying one answer.
 #[derive(Debug)]
 pub struct Relay<'a> {
     caller: &'a TcpStream,
     stall_timeout: Duration,
-    /// Written before the run: small pieces that were cut out of the input.
+    /// Output to be written before the run.
     pending: BytesMut,
-    /// How much of the target's input was looked at and may be passed on.
+    /// The length of the run: input that was scanned and can be forwarded.
     run_bytes: usize,
-    /// How much of the message under way is still to come.
+    /// The number of bytes of the current message that were not scanned yet.
     frame_left_bytes: usize,
-    /// ReadyForQuery of the proxy's own requests before the caller's.
+    /// The number of outstanding ReadyForQuery messages that answer the prelude.
     prelude_ready: u32,
     replies: Option<Replies>,
     holding: bool,
-    /// Results are passed on as they come. Otherwise small ones wait for what follows: in a batch
-    /// the commit comes after the results, and a success that the caller saw before it could not
-    /// be taken back.
+    /// Whether results are forwarded as they arrive. Otherwise small ones are buffered: in a batch the
+    /// commit arrives after the results, and a success that the caller has already seen could not be
+    /// retracted.
     eager: bool,
     has_result: bool,
-    /// A write to the caller was begun and not ended.
+    /// Whether a write to the caller was started and not completed.
     flushing: bool,
-    /// Whether any of the answer went to the caller.
+    /// Whether any part of the answer was sent to the caller.
     pub sent_to_caller: bool,
-    /// Whether any of the answer came.
+    /// Whether any part of the answer was received.
     pub answer_begun: bool,
 }
 
 impl<'a> Relay<'a> {
-    /// An answer to a simple query (`replies` is `None`) or to a batch. The answers of
-    /// `prelude_ready` requests of the proxy's own come first and are dropped. `eager` is for what
-    /// can't commit.
+    /// Creates the relay of the answer to a simple query (`replies` is `None`) or to a batch.
+    ///
+    /// The answers to the prelude, up to its `prelude_ready` ReadyForQuery messages, come first and are
+    /// dropped. `eager` may be set only for requests that can't commit.
     pub fn new(
         caller: &'a TcpStream,
         stall_timeout: Duration,
@@ -115,22 +119,22 @@
         }
     }
 
-    /// Whether the caller has part of a message, so that nothing but its rest can follow.
+    /// Returns whether the caller received part of a message, so that only the rest of it can follow.
     pub fn is_within_frame(&self) -> bool {
         self.flushing || (self.sent_to_caller && self.frame_left_bytes > 0)
     }
 
-    /// Whether something of the answer waits to be written.
+    /// Returns whether output is buffered.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// From here on the answer is kept back until [`Relay::finish`] or [`Relay::release_held`].
+    /// Holds the answer back from here on, until [`Relay::finish`] or [`Relay::release_held`].
     pub fn hold(&mut self) {
         self.holding = true;
     }
 
-    /// Passes on what was held back.
+    /// Forwards the held part of the answer and stops holding.
     pub async fn release_held(
         &mut self,
         connection: &mut TargetConnection,
@@ -139,21 +143,23 @@
         self.flush(connection).await
     }
 
-    /// Adds a message of the proxy's own where the answer is now.
+    /// Appends a message at the current point of the answer.
     pub fn append(&mut self, connection: &mut TargetConnection, bytes: &[u8]) {
         self.buffer_run(connection);
         self.pending.extend_from_slice(bytes);
     }
 
-    /// What is left to be written once the answer is complete; the connection can be given back.
+    /// Returns the output that is not written yet. The answer is complete and the connection can be
+    /// returned to its pool.
     pub fn finish(mut self, connection: &mut TargetConnection) -> BytesMut {
         self.buffer_run(connection);
         self.pending
     }
 
-    /// Passes the answer on up to the next notice. `unsent` is what the target still has to get: it
-    /// is written while the answer is read, since a target that can't get rid of its answer reads no
-    /// further.
+    /// Relays the answer up to the next event.
+    ///
+    /// `unsent` is the part of the request that the target has not received. It is written while the
+    /// answer is read: a target that can't send its answer stops reading requests.
     pub async fn next(
         &mut self,
         connection: &mut TargetConnection,
@@ -184,7 +190,7 @@
         all_came && self.prelude_ready == 0 && self.frame_left_bytes == 0
     }
 
-    /// Waits until the target can be read from or written to, and does so.
+    /// Waits until the target's socket is readable or writable, then reads and writes.
     async fn exchange(
         &mut self,
         connection: &mut TargetConnection,
@@ -212,7 +218,7 @@
         Ok(())
     }
 
-    /// Looks at the messages that are there.
+    /// Scans the buffered input for messages.
     async fn scan(
         &mut self,
         connection: &mut TargetConnection,
@@ -258,7 +264,7 @@
         }
     }
 
-    /// Handles a message that is there whole.
+    /// Handles a message that is buffered in full.
     async fn handle_frame(
         &mut self,
         connection: &mut TargetConnection,
@@ -290,7 +296,8 @@
                 Ok(Some(RelayEvent::Error(frame)))
             }
             backend::PARAMETER_STATUS_TAG => self.handle_parameter_status(connection, header).await,
-            // Nobody who listens keeps this connection.
+            // Asynchronous notifications are dropped: no caller owns a pooled connection, so none can
+            // be listening.
             backend::NOTIFICATION_RESPONSE_TAG => {
                 self.split_frame_after_run(connection, header).await?;
                 Ok(None)
@@ -338,7 +345,7 @@
         match name {
             COMMIT_PARAMETER => Ok(Some(RelayEvent::Commit(value.to_owned()))),
             SERVED_PARAMETER => Ok(Some(RelayEvent::Served(value.to_owned()))),
-            // Another proxy's token speaks of that proxy's session, not of this caller's.
+            // The token reported by another proxy describes that proxy's session, not this caller's.
             _ if name.starts_with("skylark.") => Ok(None),
             _ => {
                 self.pending.extend_from_slice(&frame);
@@ -347,7 +354,7 @@
         }
     }
 
-    /// Cuts the message that follows the run out of the input. The run is kept, or written if large.
+    /// Splits the message after the run off the input. The run is buffered, or written if it is large.
     async fn split_frame_after_run(
         &mut self,
         connection: &mut TargetConnection,
@@ -387,13 +394,13 @@
     }
 }
 
-/// The parameter that carries a commit's position.
+/// The parameter in which a target reports the position of a commit.
 pub const COMMIT_PARAMETER: &str = "group.commit";
 
-/// The parameter with which a proxy tells another who served the request.
+/// The parameter in which a proxy reports the target that served a forwarded request.
 pub const SERVED_PARAMETER: &str = "skylark.served";
 
-/// Messages that are passed on as they come, however large.
+/// Returns whether messages of this type are forwarded while they arrive, regardless of their size.
 fn is_streamed(tag: u8) -> bool {
     matches!(tag, backend::DATA_ROW_TAG | backend::NOTICE_RESPONSE_TAG)
 }
--- a/crates/proxy/src/connection/reply.rs
+++ b/crates/proxy/src/connection/reply.rs
@@ -1,38 +1,38 @@
-//! The replies that an extended-protocol batch awaits, in order.
+//! The replies expected for an extended-protocol batch, in order.
 //!
-//! The proxy adds messages of its own to a batch and leaves some of the caller's out. The queue says
-//! of each reply that comes whether it is the caller's, and where replies stand that the proxy
-//! writes itself.
+//! The proxy adds messages of its own to a batch and leaves some of the caller's out. The queue
+//! determines for each received reply whether it is the caller's, and where replies that the proxy
+//! writes itself belong.
 
 use std::collections::VecDeque;
 
 use bytes::Bytes;
 use postgres_protocol::message::backend;
 
-/// One reply.
+/// One expected reply.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Reply {
-    /// ParseComplete of the caller's statement, which is prepared under its shared name then.
+    /// ParseComplete of the caller's statement, which is then prepared under its shared name.
     Parse {
-        /// The statement.
+        /// The id of the statement.
         id: u64,
     },
-    /// ParseComplete of a statement that the proxy prepared again.
+    /// ParseComplete of a statement that the proxy prepared because the connection lacked it.
     InjectedParse {
-        /// The statement.
+        /// The id of the statement.
         id: u64,
     },
     /// ParseComplete of the caller's unnamed statement.
     UnnamedParse,
-    /// ParseComplete of the caller's unnamed statement, sent again by the proxy.
+    /// ParseComplete of the caller's unnamed statement, whose Parse the proxy repeated.
     InjectedUnnamedParse,
-    /// CloseComplete of a shared statement that made room.
+    /// CloseComplete of a shared statement that was evicted.
     InjectedClose,
     /// BindComplete.
     Bind,
-    /// The description of a statement or portal.
+    /// The description of a statement or portal: RowDescription or NoData.
     Describe,
-    /// All of the answer of an Execute.
+    /// All messages that answer an Execute.
     Execute,
     /// CloseComplete of a portal.
     Close,
@@ -41,7 +41,7 @@
 }
 
 impl Reply {
-    /// Whether a message of this type is the end of the reply.
+    /// Returns whether a message of this type completes the reply.
     fn ends_with(&self, tag: u8) -> bool {
         match self {
             Reply::Parse { .. }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether the caller must not see it.
+    /// Returns whether the reply must not be forwarded to the caller.
     pub fn is_injected(&self) -> bool {
         matches!(
             self,
@@ -72,24 +72,24 @@
     }
 }
 
-/// The replies still to come.
+/// The queue of outstanding replies.
 #[derive(Clone, Debug, Default)]
 pub struct Replies {
     queue: VecDeque<Reply>,
 }
 
 impl Replies {
-    /// Adds the next reply.
+    /// Appends an expected reply.
     pub fn push(&mut self, reply: Reply) {
         self.queue.push_back(reply);
     }
 
-    /// Whether none is awaited.
+    /// Returns whether no reply is outstanding.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// Takes the first reply if a message of this type ends it.
+    /// Removes and returns the first reply if a message of this type completes it.
     pub fn complete(&mut self, tag: u8) -> Option<Reply> {
         match self.queue.front() {
             Some(first) if first.ends_with(tag) => self.queue.pop_front(),
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Takes what the proxy writes itself, if it is its turn.
+    /// Removes and returns the first reply if it is one that the proxy writes itself.
     pub fn take_local(&mut self) -> Option<Bytes> {
         if !matches!(self.queue.front(), Some(Reply::Local(_))) {
             return None;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Forgets the rest, after an error: the target skips the messages up to the next Sync.
+    /// Drops the outstanding replies after an error: the target skips messages up to the next Sync.
     pub fn clear(&mut self) {
         self.queue.clear();
     }
--- a/crates/proxy/src/connection/session.rs
+++ b/crates/proxy/src/connection/session.rs
@@ -1,4 +1,4 @@
-//! What a caller said about itself and what the proxy remembers of it between requests.
+//! The state of a caller's session that the proxy keeps between requests.
 
 use std::sync::Arc;
 
@@ -17,69 +17,71 @@
 use crate::request::refusal::Refusal;
 use crate::version::published::Published;
 
-/// How many settings of its own, and of which length in all, a session may have: they are sent in
-/// front of each transaction.
+/// Limits on the number and total length of a session's settings of target parameters, which are sent
+/// in front of each transaction.
 const MAX_SETTINGS: usize = 32;
 const MAX_SETTINGS_BYTES: usize = 2 << 10;
 
-/// The longest identity of a session.
+/// The longest identity of a session in bytes.
 const MAX_IDENTITY_BYTES: usize = 256;
 
-/// The longest token.
+/// The longest session token in bytes.
 const MAX_TOKEN_BYTES: usize = 4 << 10;
 
-/// The longest time limit that a caller can set.
+/// The longest time limit that a caller can set, in milliseconds.
 const MAX_DEADLINE_MS: u64 = 600_000;
 
 /// One caller's session.
 #[derive(Debug)]
 pub struct Session {
-    /// The group's name.
+    /// The name of the session's group.
     pub group: Box<str>,
-    /// The user name.
+    /// The caller's user name.
     pub user: Box<str>,
-    /// The user name as the queues know it.
+    /// The hash of the user name by which admission queues distinguish callers.
     pub caller: CallerId,
-    /// The proxy that forwards its callers' requests over this connection.
+    /// The VM of the proxy that forwards requests over this connection; `None` for a caller.
     pub forwarded_by: Option<Box<str>>,
-    /// The context of the next forwarded transaction.
+    /// The context of the next forwarded transaction, received from the forwarding proxy.
     pub forward: Option<Box<Forward>>,
-    /// What the session can be told to be.
+    /// The values that the caller declared with `SET`.
     pub declared: Declared,
-    /// The declarations of the start-up, which `RESET` and `DISCARD ALL` go back to.
+    /// The declarations made during start-up, which `RESET` and `DISCARD ALL` restore; `None` if there
+    /// were none.
     pub initial: Option<Box<Declared>>,
-    /// What the session must see of its own group.
+    /// The log position of the session's own group that its reads must cover.
     pub floor: LogPosition,
-    /// Floors of other groups in the session's token, kept to be reported again.
+    /// The entries of other groups in the session's token, which are reported back unchanged.
     pub other_floors: Box<str>,
-    /// Parameters of the target that the caller set for its session, each a whole `SET`.
+    /// Target parameters that the caller set for its session, each a complete `SET` statement.
     pub settings: Vec<Box<str>>,
-    /// The target that served the last request, and why.
+    /// The name of the target that served the last request, and the routing reason, separated by a
+    /// blank.
     pub last_served: Box<str>,
     named: FastMap<Box<str>, Arc<PreparedStatement>>,
     /// The unnamed prepared statement.
     pub unnamed: Option<Arc<PreparedStatement>>,
-    /// Portals of statements that the proxy answers itself.
+    /// Portals of statements that the proxy answers itself, by portal name.
     pub local_portals: Vec<(Box<str>, Arc<PreparedStatement>)>,
 }
 
-/// What a caller declares about its session.
+/// The values that a caller can declare for its session.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Declared {
-    /// The kind of its reads.
+    /// The read kind, which bounds the age of the data.
     pub read_kind: Option<Box<str>>,
-    /// Its class.
+    /// The class, for admission.
     pub class: Option<Box<str>>,
-    /// Its identity.
+    /// The identity by which the session's writes are recorded.
     pub identity: Option<Box<str>>,
-    /// Whether it carries a token, so that nobody else needs to be asked for its floors.
+    /// Whether the session carries a token, so that its floor need not be looked up.
     pub has_token: bool,
-    /// The time limit of its statements.
+    /// The time limit of each statement, in milliseconds.
     pub deadline_ms: Option<u64>,
 }
 
 impl Session {
-    /// A new session.
+    /// Creates a session without declarations.
     pub fn new(group: &str, user: &str) -> Session {
         let caller = CallerId(skylark_core::process::jitter::seed_of(user));
         Session {
@@ -100,20 +102,20 @@
         }
     }
 
-    /// Keeps the declarations made so far as those of the start-up.
+    /// Stores the current declarations as those of the start-up.
     pub fn record_initial_declarations(&mut self) {
         if self.declared != Declared::default() {
             self.initial = Some(Box::new(self.declared.clone()));
         }
     }
 
-    /// Carries out a statement about the session, and reports the token if that changed it. Returns
-    /// what a `SHOW` shows.
+    /// Executes a session statement, and reports the token if the statement changed it. Returns the
+    /// value for a `SHOW`.
     ///
-    /// A caller that roams takes the token that a connection last reported for the session's own.
-    /// If a `SET` changed it unreported, the caller would carry the older one on, and read without
-    /// its latest write at a proxy that can't know better. Reporting every change is enough, since
-    /// reports and answers reach the caller in order.
+    /// A caller that moves to another proxy takes along the last token reported on its connection. If a
+    /// `SET` changed the token without a report, the caller would present the older one, and another
+    /// proxy could serve a read without the caller's latest write. Reporting every change is
+    /// sufficient, since reports and answers reach the caller in order.
     pub fn apply_and_report(
         &mut self,
         statement: &LocalStatement,
@@ -130,7 +132,7 @@
         Ok(shown)
     }
 
-    /// Carries out a statement about the session. Returns what a `SHOW` shows.
+    /// Executes a session statement. Returns the value for a `SHOW`.
     pub fn apply(
         &mut self,
         statement: &LocalStatement,
@@ -209,7 +211,7 @@
             Parameter::Class => self.declared.class = initial.class,
             Parameter::Session => self.declared.identity = initial.identity,
             Parameter::DeadlineMs => self.declared.deadline_ms = initial.deadline_ms,
-            // The floors of writes that were made are never taken back.
+            // The floor itself is not lowered: the session's writes stay visible to it.
             Parameter::Token => self.declared.has_token = initial.has_token,
             _ => (),
         }
@@ -264,14 +266,15 @@
                 None => return Err(parameters::bad_value(Parameter::Token, entry)),
             }
         }
-        // An older token must not take back what this connection wrote itself.
+        // An older token must not hide writes made on this connection.
         self.floor = self.floor.max(floor);
         self.other_floors = others.join(",").into();
         self.declared.has_token = !token.is_empty();
         Ok(())
     }
 
-    /// The session's floors as the caller can carry them.
+    /// Returns the session token: `GROUP:POSITION` entries separated by commas, empty if there are
+    /// none.
     pub fn token(&self) -> String {
         let own = match self.floor {
             floor if floor == LogPosition::default() => String::new(),
@@ -310,10 +313,12 @@
         leader.map_or(String::new(), |leader| leader.term.to_string())
     }
 
-    /// Remembers a `SET` of a target's parameter, to be sent in front of each transaction.
+    /// Stores a `SET` of a target parameter, to be sent in front of each transaction.
     ///
-    /// Without it a caller's setting would be lost, or stay on for another caller, as soon as its
-    /// connection to the target changes.
+    /// Otherwise the setting would be lost as soon as the caller's target connection changes, or would
+    /// remain in effect for another caller.
+    ///
+    /// Fails if the session has too many settings.
     pub fn remember_setting(&mut self, set: &str) -> Result<(), Refusal> {
         let bytes: usize = self.settings.iter().map(|known| known.len()).sum();
         self.settings.retain(|known| **known != *set);
@@ -325,7 +330,7 @@
         Ok(())
     }
 
-    /// The caller's prepared statement of this name.
+    /// Returns the caller's prepared statement with this name.
     pub fn prepared(&self, name: &str) -> Option<&Arc<PreparedStatement>> {
         match name {
             "" => self.unnamed.as_ref(),
@@ -333,7 +338,7 @@
         }
     }
 
-    /// Remembers a prepared statement. Returns whether there was room.
+    /// Stores a prepared statement. Returns false if the session already has `limit` named statements.
     pub fn prepare(&mut self, name: &str, statement: Arc<PreparedStatement>, limit: usize) -> bool {
         if name.is_empty() {
             self.unnamed = Some(statement);
@@ -346,7 +351,7 @@
         true
     }
 
-    /// Forgets a prepared statement.
+    /// Removes a prepared statement.
     pub fn close_statement(&mut self, name: &str) {
         match name {
             "" => self.unnamed = None,
@@ -356,7 +361,7 @@
         }
     }
 
-    /// Gives back memory that an idle session does not need.
+    /// Frees memory that an idle session does not need.
     pub fn shrink(&mut self) {
         if self.named.is_empty() {
             self.named = FastMap::default();
--- a/crates/proxy/src/connection/socket.rs
+++ b/crates/proxy/src/connection/socket.rs
@@ -1,4 +1,4 @@
-//! Reading and writing a whole TCP stream with bounds on how long the other end may stall.
+//! Reads from and writes to TCP streams, with limits on how long the other end may stall.
 
 use std::io;
 use std::io::IoSlice;
@@ -12,13 +12,14 @@
 use tokio::net::TcpStream;
 use tokio::time;
 
-/// How much a read asks for.
+/// The buffer space reserved for each read, in bytes.
 pub const READ_BYTES: usize = 16 << 10;
 
-/// How long the other end may take to read a farewell before the socket is closed.
+/// The time that the other end has to read the last answer before the socket is closed.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Writes all of `first`, then all of `second`; the other end may take no byte for `stall` at most.
+/// Writes all of `first`, then all of `second`. Fails with `TimedOut` if the other end accepts no byte
+/// for `stall_timeout`.
 pub async fn write_both(
     stream: &TcpStream,
     mut first: &[u8],
@@ -45,7 +46,7 @@
     Ok(())
 }
 
-/// Writes all of `bytes`.
+/// Writes all of `bytes`. Fails with `TimedOut` if the other end accepts no byte for `stall_timeout`.
 pub async fn write_all(
     stream: &TcpStream,
     bytes: &[u8],
@@ -54,7 +55,8 @@
     write_both(stream, bytes, &[], stall_timeout).await
 }
 
-/// Appends what can be read without waiting. `None` when there is nothing now; zero at the end.
+/// Appends the bytes that can be read without waiting. Returns `None` if there are none yet, and zero
+/// at the end of the stream.
 pub fn try_read(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<Option<usize>> {
     buffer.reserve(READ_BYTES);
     match stream.try_read_buf(buffer) {
@@ -64,18 +66,20 @@
     }
 }
 
-/// Whether the stream is open and nothing can be read, by the system's own word.
+/// Returns whether the stream is open and has no input, as reported by the operating system.
 ///
-/// An event loop that came to watch the stream a moment ago has seen no event of it, and would say
-/// "nothing to read" of a stream that was closed long ago. So the system is asked in any case. What
-/// is read is lost: a stream that is not silent is of no further use.
+/// An event loop that has just registered the stream has seen no event for it, and would report
+/// "nothing to read" for a stream that was closed long before. Therefore the operating system is asked
+/// in any case. Input that is read here is lost, since a stream with unexpected input is not used
+/// again.
 pub fn is_open_without_input(stream: &TcpStream) -> bool {
     let mut asked = false;
     let mut look = || {
         asked = true;
         (&*SockRef::from(stream)).read(&mut [0])
     };
-    // Through the loop first, so that it learns that there is nothing and waits for more.
+    // The read goes through the event loop first, so that the loop registers that there is no input and
+    // waits for more.
     let mut found = stream.try_io(Interest::READABLE, &mut look);
     if !asked {
         found = (&*SockRef::from(stream)).read(&mut [0]);
@@ -83,7 +87,7 @@
     matches!(found, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Waits for input and appends it; zero at the end.
+/// Waits for input and appends it. Returns zero at the end of the stream.
 pub async fn read_some(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
     loop {
         stream.readable().await?;
@@ -93,10 +97,11 @@
     }
 }
 
-/// Gives the other end a moment to read the last answer before the socket is closed.
+/// Lets the other end read the last answer before the socket is closed.
 ///
-/// Closing a socket with unread input resets the connection, and the reset overtakes the last
-/// answer. So the write side is closed first, and the other end has a moment to close its own.
+/// Closing a socket with unread input resets the connection, and the reset may discard an answer that
+/// was not read yet. Therefore the write side is shut down first, and the other end has a limited time
+/// to close its own.
 pub async fn linger(stream: &mut TcpStream) {
     if stream.shutdown().await.is_err() {
         return;
@@ -107,6 +112,6 @@
             dropped.clear();
         }
     };
-    // Whether the other end closed or the time ran out, the socket is closed next.
+    // The socket is closed next, whether the other end has closed or the time has expired.
     let _ = time::timeout(LINGER_TIMEOUT, drained).await;
 }
--- a/crates/proxy/src/connection/startup.rs
+++ b/crates/proxy/src/connection/startup.rs
@@ -1,4 +1,4 @@
-//! The start-up of a connection, from its first byte to the greeting.
+//! The start-up of a caller's connection, from its first byte to the first ReadyForQuery.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,21 +25,21 @@
 use crate::request::parameters::Parameter;
 use crate::request::refusal::Refusal;
 
-/// The codes in place of a protocol version.
+/// Request codes sent in place of a protocol version.
 const CANCEL_CODE: u32 = 80_877_102;
 const SSL_CODE: u32 = 80_877_103;
 const GSS_CODE: u32 = 80_877_104;
 
-/// Protocol version 3.0; a higher minor version is answered as this one.
+/// The supported major protocol version. Any minor version is answered as 3.0.
 const MAJOR_VERSION: u32 = 3;
 
-/// The largest start-up packet.
+/// The largest start-up packet in bytes.
 const MAX_STARTUP_BYTES: usize = 10_000;
 
-/// The parameter with which another proxy names itself.
+/// The parameter in which a forwarding proxy gives the name of its VM.
 const FORWARDED_PARAMETER: &str = "skylark.forwarded";
 
-/// Parameters of drivers that make no difference here.
+/// Start-up parameters that drivers send and that the proxy ignores.
 const IGNORED_PARAMETERS: [&str; 8] = [
     "application_name",
     "datestyle",
@@ -51,7 +51,7 @@
     "bytea_output",
 ];
 
-/// What the first packets of a connection ask for.
+/// The request in an untyped packet at the beginning of a connection.
 #[derive(Debug)]
 enum Packet {
     Encryption,
@@ -59,10 +59,10 @@
     Startup(Vec<(String, String)>),
 }
 
-/// A caller that passed its start-up, with its place among the callers.
+/// A caller that completed its start-up, with its slot among the callers.
 pub type StartedCaller = (Caller, CallerPermit);
 
-/// Takes a new connection through its start-up. `None` when it ended there.
+/// Performs the start-up of a new connection. Returns `None` if the connection ended there.
 pub async fn run_startup(traffic: &Arc<Traffic>, stream: TcpStream) -> Option<StartedCaller> {
     let limit = Duration::from_millis(traffic.limits.startup_ms);
     let mut input = BytesMut::new();
@@ -87,7 +87,7 @@
     None
 }
 
-/// Answers a connection that gets no session.
+/// Refuses a connection during its start-up.
 pub async fn refuse(traffic: &Traffic, stream: &TcpStream, refusal: &Refusal) {
     traffic.counters.refusal(refusal.kind);
     let mut out = BytesMut::new();
@@ -104,10 +104,10 @@
     traffic.counters.event(event);
 }
 
-/// Reads up to the start-up packet; requests for encryption are answered with "no". The error is
-/// `None` when the connection is gone.
+/// Reads up to the start-up packet and declines requests for encryption. The error is `None` if the
+/// connection is gone.
 async fn read_packets(stream: &TcpStream, input: &mut BytesMut) -> Result<Packet, Option<Refusal>> {
-    // A client asks for each kind of encryption once.
+    // A client requests each kind of encryption at most once.
     for _ in 0..3 {
         match read_packet(stream, input).await? {
             Packet::Encryption => {
@@ -200,7 +200,7 @@
     }
     let mut session = Session::new(group, user);
     session.forwarded_by = find(FORWARDED_PARAMETER).map(Box::from);
-    // Another proxy's connections are bounded by that proxy, and carry many users.
+    // Another proxy limits its own connections, and they carry requests of many users.
     let permit = traffic.callers.admit(session.forwarded_by.is_none().then_some(user))?;
     for (name, value) in parameters {
         apply_startup_parameter(traffic, &mut session, name, value)?;
@@ -220,7 +220,7 @@
         "user" | "database" | FORWARDED_PARAMETER => Ok(()),
         "options" => apply_options(traffic, session, value),
         "client_encoding" => check_encoding(value),
-        // Names that a later minor version of the protocol brings may be left out by the server.
+        // Protocol extensions of later minor versions, which a server may ignore.
         _ if lower.starts_with("_pq_.") => Ok(()),
         _ if IGNORED_PARAMETERS.contains(&lower.as_str()) => Ok(()),
         _ if lower.starts_with(parameters::PREFIX) => {
@@ -250,7 +250,8 @@
     }
 }
 
-/// Reads `-c NAME=VALUE` and `--NAME=VALUE`, with `\` in front of blanks within values.
+/// Applies the settings in `options`, given as `-c NAME=VALUE` or `--NAME=VALUE` with blanks in values
+/// escaped by `\`.
 fn apply_options(traffic: &Traffic, session: &mut Session, options: &str) -> Result<(), Refusal> {
     let words = split_words(options);
     let mut words = words.iter().map(String::as_str);
--- a/crates/proxy/src/connection/target_connection.rs
+++ b/crates/proxy/src/connection/target_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a target, or to another proxy that stands in for it.
+//! A PostgreSQL connection to a target, or to another proxy that forwards to it.
 
 use std::fmt;
 use std::io;
@@ -19,33 +19,33 @@
 use crate::connection::prepared::PreparedOnConnection;
 use crate::connection::socket;
 
-/// The largest message that a target may send during start-up, drain or reset.
+/// The largest message accepted from a target during start-up.
 const MAX_CONTROL_FRAME_BYTES: usize = 1 << 20;
 
-/// How a connection introduces itself.
+/// The start-up parameters of a connection.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Login {
-    /// The group.
+    /// The group, sent as the database name.
     pub database: String,
     /// `ZONE/VM` of this proxy.
     pub application_name: String,
-    /// This proxy's VM where the other end is a proxy.
+    /// The name of this proxy's VM if the other end is a proxy; `None` for a target.
     pub forwarded_by: Option<String>,
 }
 
-/// The user name that the proxy gives to targets.
+/// The user name that the proxy uses on targets.
 const TARGET_USER: &str = "skylark";
 
-/// Why a connection did not come about.
+/// The reason that a connection could not be opened.
 #[derive(Debug)]
 pub enum OpenError {
-    /// No connection, or it broke.
+    /// Connecting failed, or the connection broke.
     Io(io::Error),
-    /// Nothing came in time.
+    /// The start-up did not complete within the time limit.
     TimedOut,
-    /// The other end refused with this SQLSTATE.
+    /// The other end refused the connection with this SQLSTATE.
     Refused(String),
-    /// The other end asks for an authentication that is not supported, or breaks the protocol.
+    /// The other end requires an unsupported authentication method or violates the protocol.
     Unsupported,
 }
 
@@ -60,35 +60,35 @@
     }
 }
 
-/// The key with which a running request is cancelled.
+/// The key that authorizes cancelling a running request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct CancelKey {
-    /// The process number.
+    /// The process id.
     pub process_id: i32,
-    /// The secret.
+    /// The secret key.
     pub secret: i32,
 }
 
-/// A connection that passed its start-up.
+/// A connection that completed its start-up.
 #[derive(Debug)]
 pub struct TargetConnection {
-    /// The stream.
+    /// The socket.
     pub stream: TcpStream,
-    /// What was read and not yet used.
+    /// Buffered input.
     pub input: BytesMut,
-    /// The transaction's status in the last ReadyForQuery.
+    /// The transaction status in the last ReadyForQuery.
     pub status: u8,
-    /// How many ReadyForQuery are still to come.
+    /// The number of outstanding ReadyForQuery messages.
     pub awaited_ready: u32,
-    /// Whether messages were sent that no Sync has ended.
+    /// Whether messages were sent without a subsequent Sync.
     pub needs_sync: bool,
-    /// Whether the session may differ from a new one's.
+    /// Whether the session may differ from a new one.
     pub session_changed: bool,
     /// The statements prepared under shared names.
     pub prepared: PreparedOnConnection,
-    /// The key for cancel requests.
+    /// The key for cancel requests to the other end.
     pub cancel_key: CancelKey,
-    /// The thread whose event loop watches the stream.
+    /// The thread whose event loop the stream is registered with.
     registered_on: ThreadId,
 }
 
@@ -107,7 +107,8 @@
         }
     }
 
-    /// The session's user is part of what is brought to the connection with each transaction.
+    /// Always true: all connections log in as the same user, and the session's state is applied with
+    /// each transaction.
     fn serves(&self, _user: Option<&Arc<str>>) -> bool {
         true
     }
@@ -116,7 +117,8 @@
         self.registered_on == thread::current().id()
     }
 
-    /// Another thread's event loop would serve as well, but each wake-up would cross threads.
+    /// A stream registered with another thread's event loop works as well, but each wake-up would cross
+    /// threads.
     fn move_to_current_thread(self) -> io::Result<TargetConnection> {
         if self.is_on_current_thread() {
             return Ok(self);
@@ -125,8 +127,8 @@
         Ok(TargetConnection { stream, registered_on: thread::current().id(), ..self })
     }
 
-    /// A connection that the other end closed while it was idle would swallow a request whose
-    /// outcome then can't be known, though it never ran.
+    /// A request sent on a connection that the other end closed while it was idle would have an unknown
+    /// outcome, although it never ran.
     fn is_healthy(&mut self) -> bool {
         self.input.is_empty() && socket::is_open_without_input(&self.stream)
     }
@@ -142,8 +144,8 @@
         self.session_changed
     }
 
-    /// The answer is read to its end, an open transaction rolled back, the session reset. An answer
-    /// left on the connection would reach the next caller as its own.
+    /// Reads the answer to its end, rolls back an open transaction and resets the session. A remaining
+    /// answer would be delivered to the next caller.
     async fn recover(&mut self, timeout: Duration) -> io::Result<()> {
         match time::timeout(timeout, self.drain_and_reset()).await {
             Ok(done) => done,
@@ -196,11 +198,11 @@
     }
 
     async fn send(&self, bytes: &[u8]) -> io::Result<()> {
-        // The caller's own time limit on the whole recovery ends a stall sooner.
+        // The time limit on the whole recovery, set by the function's caller, ends a stall sooner.
         socket::write_all(&self.stream, bytes, Duration::from_secs(60)).await
     }
 
-    /// Reads and drops messages until no ReadyForQuery is awaited.
+    /// Reads and drops messages until no ReadyForQuery is outstanding.
     async fn drain(&mut self) -> io::Result<()> {
         while self.awaited_ready > 0 {
             let skipped = self.skip_frame().await?;
@@ -211,7 +213,7 @@
         Ok(())
     }
 
-    /// Reads one message and drops it, however large it is; notes the status of a ReadyForQuery.
+    /// Reads and drops one message of any size. Updates the status from a ReadyForQuery.
     async fn skip_frame(&mut self) -> io::Result<FrameHeader> {
         let header = loop {
             let parsed = FrameHeader::parse(&self.input);
