--- a/crates/proxy/src/connection/admission.rs
+++ b/crates/proxy/src/connection/admission.rs
@@ -150,7 +150,7 @@
                 Turn::TimedOut(ticket) => (ticket, Err(ErrorKind::WaitTimedOut)),
             };
             let sender = inner.waiting.remove(&ticket);
-            let sender = sender.expect("each waiting ticket has its sender");
+            let sender = sender.expect("each queued ticket has a sender");
             wakeups.push((sender, result));
         }
         wakeups
--- a/crates/proxy/src/connection/frames.rs
+++ b/crates/proxy/src/connection/frames.rs
@@ -25,7 +25,7 @@
 
 impl fmt::Display for BadFrame {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the frame's length is shorter than its header")
+        f.write_str("frame length is shorter than the length field")
     }
 }
 
--- a/crates/proxy/src/connection/lease.rs
+++ b/crates/proxy/src/connection/lease.rs
@@ -32,7 +32,7 @@
 
     /// Returns the connection.
     pub fn connection(&mut self) -> &mut L {
-        self.connection.as_mut().expect("a lease holds its connection until it ends")
+        self.connection.as_mut().expect("a lease holds a connection until it is consumed")
     }
 
     /// Returns the address of the other end.
--- a/crates/proxy/src/connection/socket.rs
+++ b/crates/proxy/src/connection/socket.rs
@@ -73,15 +73,15 @@
 /// in any case. Input that is read here is lost, since a stream with unexpected input is not used
 /// again.
 pub fn is_open_without_input(stream: &TcpStream) -> bool {
-    let mut asked = false;
-    let mut look = || {
-        asked = true;
+    let mut read_attempted = false;
+    let mut probe = || {
+        read_attempted = true;
         (&*SockRef::from(stream)).read(&mut [0])
     };
     // The read goes through the event loop first, so that the loop registers that there is no input and
     // waits for more.
-    let mut found = stream.try_io(Interest::READABLE, &mut look);
-    if !asked {
+    let mut found = stream.try_io(Interest::READABLE, &mut probe);
+    if !read_attempted {
         found = (&*SockRef::from(stream)).read(&mut [0]);
     }
     matches!(found, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
--- a/crates/proxy/src/connection/startup.rs
+++ b/crates/proxy/src/connection/startup.rs
@@ -30,7 +30,8 @@
 const SSL_CODE: u32 = 80_877_103;
 const GSS_CODE: u32 = 80_877_104;
 
-/// The supported major protocol version. Any minor version is answered as 3.0.
+/// The supported major protocol version. A client of version 3.0 or any higher minor version is served
+/// as 3.0 clients are.
 const MAJOR_VERSION: u32 = 3;
 
 /// The largest start-up packet in bytes.
@@ -240,8 +241,8 @@
 }
 
 fn check_encoding(value: &str) -> Result<(), Refusal> {
-    let plain: String = value.chars().filter(char::is_ascii_alphanumeric).collect();
-    match plain.to_ascii_lowercase().as_str() {
+    let normalized: String = value.chars().filter(char::is_ascii_alphanumeric).collect();
+    match normalized.to_ascii_lowercase().as_str() {
         "utf8" | "unicode" => Ok(()),
         _ => {
             let note = format!("`client_encoding` is `{value}`, accepted is `UTF8`");
--- a/crates/proxy/src/connection/target_connection.rs
+++ b/crates/proxy/src/connection/target_connection.rs
@@ -52,10 +52,12 @@
 impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            OpenError::Io(error) => write!(f, "no connection: {error}"),
-            OpenError::TimedOut => f.write_str("no answer in time"),
+            OpenError::Io(error) => write!(f, "connection failed: {error}"),
+            OpenError::TimedOut => f.write_str("start-up timed out"),
             OpenError::Refused(sqlstate) => write!(f, "refused with {sqlstate}"),
-            OpenError::Unsupported => f.write_str("the start-up is not understood"),
+            OpenError::Unsupported => {
+                f.write_str("unsupported authentication method or protocol violation")
+            }
         }
     }
 }
--- a/crates/proxy/src/request/answer.rs
+++ b/crates/proxy/src/request/answer.rs
@@ -182,7 +182,9 @@
         }
         ExchangeResult::PartialMessage | ExchangeResult::CallerGone => Flow::Close,
         ExchangeResult::Complete(_) | ExchangeResult::FailedAttempt(_) => {
-            unreachable!("complete answers and failed tries are ended elsewhere")
+            unreachable!(
+                "complete answers and failed attempts are handled by the caller of this function"
+            )
         }
     }
 }
--- a/crates/proxy/src/request/execute.rs
+++ b/crates/proxy/src/request/execute.rs
@@ -426,7 +426,7 @@
 
 /// Executes a request of an open transaction on its pinned connection.
 async fn run_pinned(caller: &mut Caller, caller_request: &CallerRequest) -> Flow {
-    let mut held = caller.pinned.take().expect("the caller was seen to hold a connection");
+    let mut held = caller.pinned.take().expect("called only with a pinned connection");
     let deadline = Instant::now() + Duration::from_millis(held.deadline_ms);
     let ends_implicit = held.is_implicit && caller_request.awaits_ready();
     let effect = match caller_request.effect(false, ends_implicit) {
--- a/crates/proxy/src/request/route.rs
+++ b/crates/proxy/src/request/route.rs
@@ -87,7 +87,9 @@
         let snapshot = GroupSnapshot::latest(traffic, group_name)?;
         let step = search.step(&snapshot)?;
         let wait = match step {
-            Step::Send(destination, reason) => return Ok(Route { snapshot, destination, reason }),
+            Step::Dispatch(destination, reason) => {
+                return Ok(Route { snapshot, destination, reason });
+            }
             Step::Wait(wait) => wait,
         };
         search.waiting_since.get_or_insert_with(Instant::now);
@@ -129,7 +131,7 @@
 }
 
 enum Step {
-    Send(Destination, &'static str),
+    Dispatch(Destination, &'static str),
     Wait(Duration),
 }
 
@@ -191,7 +193,7 @@
         });
         let homes = members.iter().flat_map(|member| snapshot.published.homes_of(*member));
         let chosen = self.usable_home(snapshot, homes)?;
-        Ok(Step::Send(Destination::Peer(chosen, None), "forwarded"))
+        Ok(Step::Dispatch(Destination::Peer(chosen, None), "forwarded"))
     }
 
     fn usable_home<'b, I>(&self, snapshot: &GroupSnapshot, homes: I) -> Result<VmId, Refusal>
@@ -219,14 +221,14 @@
         if let Some(preferred_target) =
             self.eligible_preferred(snapshot, &request, leader, &members, now_us)
         {
-            return Ok(Step::Send(Destination::Target(preferred_target), "chosen_by_sender"));
+            return Ok(Step::Dispatch(Destination::Target(preferred_target), "chosen_by_sender"));
         }
         let policy = RoutingPolicy::default();
         let verdict = routing::route(&policy, &request, leader, &members, now_us);
         match verdict {
             ReadVerdict::Send { target, reason } => {
                 self.traffic.counters.read(reason);
-                Ok(Step::Send(self.destination_of(snapshot, target)?, reason.name()))
+                Ok(Step::Dispatch(self.destination_of(snapshot, target)?, reason.name()))
             }
             ReadVerdict::Wait { wait_us, reason, .. } => {
                 self.count_wait(reason);
@@ -344,7 +346,7 @@
             return self.wait_for_floor();
         }
         self.traffic.counters.event(Event::WritesRouted);
-        Ok(Step::Send(self.destination_of(snapshot, leader.target)?, "primary"))
+        Ok(Step::Dispatch(self.destination_of(snapshot, leader.target)?, "primary"))
     }
 
     /// Returns whether a primary that could not be connected to is reachable again. One that refused
