--- a/crates/proxy/src/request/exchange.rs
+++ b/crates/proxy/src/request/exchange.rs
@@ -219,8 +219,8 @@
                 RelayEvent::PreludeError(frame) if self.exchange.live.is_none() => {
                     return Some(self.refused_by_peer(&frame));
                 }
-                // The target no longer accepts one of the session's settings; the request runs without
-                // it.
+                // The target no longer accepts one of the session's settings. This does not fail the
+                // request.
                 RelayEvent::PreludeError(_) => (),
                 RelayEvent::Copy(backend::COPY_IN_RESPONSE_TAG) => self.fail_copy(connection).await,
                 // The caller did not ask for COPY and would misread the data.
