--- a/crates/proxy/src/connection/admission.rs
+++ b/crates/proxy/src/connection/admission.rs
@@ -1,5 +1,5 @@
-//! Waiting for a turn at a target: the decisions of `skylark_core::process::sharing::queue` with
-//! waiting tasks attached to its tickets.
+//! Admission of requests to a target: connects the decisions of `skylark_core::process::sharing::queue`
+//! with the tasks that wait for its tickets.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,21 +21,21 @@
 use crate::process::clock::MonotonicClock;
 use crate::request::refusal::Refusal;
 
-/// The strategy that the measurements chose, see `docs/design/sharing-in-a-surge.md`.
+/// The scheduling strategy. `docs/design/sharing-in-a-surge.md` compares it with the alternatives.
 pub type Strategy = skylark_core::process::sharing::weighted::WeightedMaxMin;
 
-/// Who asks for a turn.
+/// A request for admission.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct TurnRequest {
-    /// The class.
+pub struct AdmissionRequest {
+    /// The class of the request.
     pub class: ClassId,
-    /// The caller, by a hash of its user name.
+    /// The caller, identified by a hash of its user name.
     pub caller: CallerId,
-    /// When the request is given up.
+    /// The deadline of the request, in microseconds of the process's clock.
     pub deadline_us: u64,
 }
 
-/// The queue in front of one target.
+/// The admission queue in front of one target.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     inner: Mutex<Inner>,
@@ -47,22 +47,24 @@
     classes: Vec<ClassShare>,
     queue: TargetQueue<Strategy>,
     limits: QueueLimits,
-    waiting: FastMap<Ticket, oneshot::Sender<Result<Turnstile, ErrorKind>>>,
+    waiting: FastMap<Ticket, oneshot::Sender<Result<AdmissionPermit, ErrorKind>>>,
 }
 
 impl Inner {
-    /// A class of another version than the queue's is taken as the default one.
+    /// Returns `class`, or the default class if the queue does not have it: the queue may be of another
+    /// version.
     fn known_class(&self, class: ClassId) -> ClassId {
         if class.index() < self.classes.len() { class } else { ClassId(0) }
     }
 }
 
-/// What a decision does to waiting tasks. Carried out after the lock is given back, since a turn
-/// whose task has gone gives itself back.
-type Wakeup = (oneshot::Sender<Result<Turnstile, ErrorKind>>, Result<Turnstile, ErrorKind>);
+/// A result to deliver to a waiting task. Delivered only after the queue's lock is released: if the
+/// task is gone, dropping its permit takes the lock again.
+type Wakeup =
+    (oneshot::Sender<Result<AdmissionPermit, ErrorKind>>, Result<AdmissionPermit, ErrorKind>);
 
 impl AdmissionQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(
         limits: QueueLimits,
         classes: &[ClassShare],
@@ -74,7 +76,7 @@
         AdmissionQueue { inner: Mutex::new(inner), clock }
     }
 
-    /// Changes the bounds and the classes.
+    /// Changes the limits and the classes.
     pub fn configure(self: &Arc<Self>, limits: QueueLimits, classes: &[ClassShare]) {
         let mut inner = self.inner.lock();
         if inner.limits == limits && inner.classes == classes {
@@ -88,28 +90,31 @@
             inner.classes = classes.to_vec();
             inner.queue.set_classes(classes);
         }
-        let wakeups = self.take_turns(&mut inner);
+        let wakeups = self.grant_turns(&mut inner);
         drop(inner);
         wake(wakeups);
     }
 
-    /// How long a request is expected to wait.
-    pub fn predicted_wait_us(&self, request: &TurnRequest) -> u64 {
+    /// Returns the time that a request is expected to wait, in microseconds.
+    pub fn predicted_wait_us(&self, request: &AdmissionRequest) -> u64 {
         let inner = self.inner.lock();
         let class = inner.known_class(request.class);
         inner.queue.predicted_wait_us(class, self.clock.now_us())
     }
 
-    /// Waits for a turn, or is refused.
-    pub async fn admit(self: &Arc<Self>, request: &TurnRequest) -> Result<Turnstile, Refusal> {
+    /// Waits for admission. Fails if the queue refuses the request or the deadline expires.
+    pub async fn admit(
+        self: &Arc<Self>,
+        request: &AdmissionRequest,
+    ) -> Result<AdmissionPermit, Refusal> {
         let (class, ticket, granted) = {
             let now_us = self.clock.now_us();
             let mut inner = self.inner.lock();
             let class = inner.known_class(request.class);
             match inner.queue.arrive(class, request.caller, request.deadline_us, now_us) {
-                Admission::Granted => return Ok(self.turnstile(class)),
+                Admission::Granted => return Ok(self.new_permit(class)),
                 Admission::Refused { kind, retry_after_us } => {
-                    return Err(Refusal::after(kind, retry_after_us.div_ceil(1_000)));
+                    return Err(Refusal::with_retry_after(kind, retry_after_us.div_ceil(1_000)));
                 }
                 Admission::Queued { ticket, .. } => {
                     let (sender, granted) = oneshot::channel();
@@ -126,9 +131,9 @@
         }
     }
 
-    fn turnstile(self: &Arc<Self>, class: ClassId) -> Turnstile {
+    fn new_permit(self: &Arc<Self>, class: ClassId) -> AdmissionPermit {
         let now_us = self.clock.now_us();
-        Turnstile {
+        AdmissionPermit {
             queue: Arc::clone(self),
             class,
             granted_us: now_us,
@@ -137,27 +142,27 @@
         }
     }
 
-    fn take_turns(self: &Arc<Self>, inner: &mut Inner) -> Vec<Wakeup> {
+    fn grant_turns(self: &Arc<Self>, inner: &mut Inner) -> Vec<Wakeup> {
         let mut wakeups = Vec::new();
         while let Some(turn) = inner.queue.next_turn(self.clock.now_us()) {
             let (ticket, result) = match turn {
-                Turn::Granted(grant) => (grant.ticket, Ok(self.turnstile(grant.class))),
+                Turn::Granted(grant) => (grant.ticket, Ok(self.new_permit(grant.class))),
                 Turn::TimedOut(ticket) => (ticket, Err(ErrorKind::WaitTimedOut)),
             };
             let sender = inner.waiting.remove(&ticket);
-            let sender = sender.expect("each waiting ticket has its sender");
+            let sender = sender.expect("each queued ticket has a sender");
             wakeups.push((sender, result));
         }
         wakeups
     }
 
-    fn change<F>(self: &Arc<Self>, change: F)
+    fn update_queue<F>(self: &Arc<Self>, update: F)
     where
         F: FnOnce(&mut TargetQueue<Strategy>),
     {
         let mut inner = self.inner.lock();
-        change(&mut inner.queue);
-        let wakeups = self.take_turns(&mut inner);
+        update(&mut inner.queue);
+        let wakeups = self.grant_turns(&mut inner);
         drop(inner);
         wake(wakeups);
     }
@@ -165,12 +170,12 @@
 
 fn wake(wakeups: Vec<Wakeup>) {
     for (sender, result) in wakeups {
-        // A task that has gone leaves its turn unread, and the turn gives itself back.
+        // If the task is gone, the permit in the result is dropped and thereby released.
         let _ = sender.send(result);
     }
 }
 
-/// Takes a request out of the queue when its task stops waiting.
+/// Removes a request from the queue when its task stops waiting.
 struct AbandonOnDrop<'a> {
     queue: &'a Arc<AdmissionQueue>,
     class: ClassId,
@@ -186,9 +191,9 @@
     }
 }
 
-/// A turn at the target: one statement may run, and one connection be held until this is dropped.
+/// Permission to run one statement at a time and to hold one connection at the target, until dropped.
 #[derive(Debug)]
-pub struct Turnstile {
+pub struct AdmissionPermit {
     queue: Arc<AdmissionQueue>,
     class: ClassId,
     granted_us: u64,
@@ -196,15 +201,15 @@
     started_us: Option<u64>,
 }
 
-impl Turnstile {
-    /// The statement ended and its transaction goes on.
+impl AdmissionPermit {
+    /// Reports that the statement ended and its transaction continues.
     pub fn statement_ended(&mut self) {
         if self.stop_running() {
-            self.queue.change(TargetQueue::statement_ended);
+            self.queue.update_queue(TargetQueue::statement_ended);
         }
     }
 
-    /// The transaction's next statement runs.
+    /// Reports that the transaction's next statement runs.
     pub fn statement_started(&mut self) {
         if self.started_us.is_none() {
             self.started_us = Some(self.queue.clock.now_us());
@@ -219,12 +224,12 @@
     }
 }
 
-impl Drop for Turnstile {
+impl Drop for AdmissionPermit {
     fn drop(&mut self) {
         let was_running = self.stop_running();
         let held_us = self.queue.clock.now_us().saturating_sub(self.granted_us);
         let (class, ran_us) = (self.class, self.ran_us);
-        self.queue.change(|queue| {
+        self.queue.update_queue(|queue| {
             if was_running {
                 queue.statement_ended();
             }
--- a/crates/proxy/src/connection/caller.rs
+++ b/crates/proxy/src/connection/caller.rs
@@ -1,9 +1,9 @@
-//! One caller's connection: its messages are taken one by one, and each request is answered before
-//! the next is begun.
+//! One caller's connection: messages are processed in order, and each request is answered before the
+//! next is started.
 //!
-//! While nothing is under way the task waits for the socket to become readable and holds no buffer.
-//! What a request needs lives in a future that is boxed for the time of the request, so an idle
-//! caller costs its socket and its session only.
+//! Between requests the task waits for the socket to become readable and holds no buffer. The state of
+//! a request lives in a future that is boxed for the duration of the request, so an idle caller costs
+//! no more than its socket and its session.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,43 +32,43 @@
 use crate::request::batch::Batch;
 use crate::request::batch::BatchEnd;
 use crate::request::batch::PlanContext;
+use crate::request::caller_request::CallerRequest;
 use crate::request::execute;
 use crate::request::execute::Flow;
 use crate::request::parameters::LocalStatement;
 use crate::request::parameters::Parameter;
 use crate::request::refusal::Refusal;
 use crate::request::statement::StatementTraits;
-use crate::request::unit::Unit;
 
-/// A caller after its start-up.
+/// A caller that completed its start-up.
 #[derive(Debug)]
 pub struct Caller {
-    /// The process.
+    /// The state shared by all connections of the process.
     pub traffic: Arc<Traffic>,
-    /// The connection.
+    /// The caller's socket.
     pub stream: TcpStream,
-    /// What it said about itself.
+    /// The state of its session.
     pub session: Session,
     /// The connection of its open transaction.
     pub pinned: Option<Box<Pinned>>,
-    /// What a cancel request of it would hit.
+    /// The target connection that a cancel request of the caller is forwarded to.
     pub cancel: Arc<CancelSlot>,
-    /// The key for its cancel requests.
+    /// The key that authorizes its cancel requests.
     pub cancel_key: CancelKey,
     /// The retry budget of its group.
     pub budget: Arc<RetryBudget>,
-    /// Messages up to the next Sync are dropped, after an error.
+    /// Whether messages up to the next Sync are skipped, after an error.
     pub skip_to_sync: bool,
     /// The messages since the last Sync or Flush.
     pub batch: Option<Box<Batch>>,
-    /// What was read and not yet used.
+    /// Buffered input.
     pub input: CallerInput,
     /// Whether the process is stopping.
     pub stopping: watch::Receiver<bool>,
 }
 
-/// Why an idle caller's task goes on.
-enum Wake {
+/// The event that ended a wait between requests.
+enum WakeReason {
     Input,
     Stopping,
     IdleInTransaction,
@@ -76,22 +76,22 @@
 }
 
 impl Caller {
-    /// Serves the caller until it ends.
+    /// Serves the caller until its connection ends.
     pub async fn serve(mut self) {
         loop {
             match self.wait().await {
-                Wake::Gone => break,
-                Wake::Input => {
-                    if Box::pin(self.take_messages()).await == Flow::End {
+                WakeReason::Gone => break,
+                WakeReason::Input => {
+                    if Box::pin(self.process_messages()).await == Flow::Close {
                         break;
                     }
                 }
-                Wake::Stopping => {
-                    Box::pin(self.say_goodbye(ErrorKind::ShuttingDown)).await;
+                WakeReason::Stopping => {
+                    Box::pin(self.close_with_error(ErrorKind::ShuttingDown)).await;
                     break;
                 }
-                Wake::IdleInTransaction => {
-                    Box::pin(self.say_goodbye(ErrorKind::IdleInTransaction)).await;
+                WakeReason::IdleInTransaction => {
+                    Box::pin(self.close_with_error(ErrorKind::IdleInTransaction)).await;
                     break;
                 }
             }
@@ -99,7 +99,7 @@
         self.end_transaction();
     }
 
-    /// The transaction's status in a ReadyForQuery.
+    /// Returns the transaction status for a ReadyForQuery.
     pub fn status(&mut self) -> u8 {
         match &mut self.pinned {
             Some(held) => held.lease.connection().status,
@@ -107,47 +107,47 @@
         }
     }
 
-    /// Ends an open transaction by rolling it back.
+    /// Rolls back the open transaction, if any.
     pub fn end_transaction(&mut self) {
         if let Some(held) = self.pinned.take() {
             held.end(&self.cancel);
         }
     }
 
-    async fn wait(&mut self) -> Wake {
+    async fn wait(&mut self) -> WakeReason {
         self.input.shrink();
         if self.pinned.is_none() {
             self.session.shrink();
             tokio::select! {
                 biased;
-                ready = self.stream.readable() => wake_of(ready.is_ok()),
-                _ = self.stopping.wait_for(|stopping| *stopping) => Wake::Stopping,
+                ready = self.stream.readable() => wake_reason(ready.is_ok()),
+                _ = self.stopping.wait_for(|stopping| *stopping) => WakeReason::Stopping,
             }
         } else {
             let limit = Duration::from_millis(self.traffic.limits.idle_in_transaction_ms);
             match time::timeout(limit, self.stream.readable()).await {
-                Ok(ready) => wake_of(ready.is_ok()),
-                Err(_) => Wake::IdleInTransaction,
+                Ok(ready) => wake_reason(ready.is_ok()),
+                Err(_) => WakeReason::IdleInTransaction,
             }
         }
     }
 
-    /// Takes the messages that are there.
-    async fn take_messages(&mut self) -> Flow {
+    /// Processes the messages that have arrived.
+    async fn process_messages(&mut self) -> Flow {
         let limit_bytes = self.traffic.limits.message_bytes;
-        let stall = self.traffic.limits.slow_sender();
+        let stall_timeout = self.traffic.limits.slow_sender();
         loop {
-            match self.input.next(&self.stream, limit_bytes, stall).await {
+            match self.input.next(&self.stream, limit_bytes, stall_timeout).await {
                 Ok(Some(message)) => {
-                    if self.take(message).await == Flow::End {
+                    if self.process_message(message).await == Flow::Close {
                         socket::linger(&mut self.stream).await;
-                        return Flow::End;
+                        return Flow::Close;
                     }
                 }
-                Ok(None) => return Flow::GoOn,
+                Ok(None) => return Flow::Continue,
                 Err(error) => {
                     self.refuse_input(&error).await;
-                    return Flow::End;
+                    return Flow::Close;
                 }
             }
         }
@@ -160,19 +160,19 @@
             InputError::Stalled => ErrorKind::CallerTooSlow,
             InputError::BadFrame => ErrorKind::ProtocolViolation,
         };
-        self.say_goodbye(kind).await;
+        self.close_with_error(kind).await;
     }
 
-    async fn take(&mut self, message: CallerMessage) -> Flow {
+    async fn process_message(&mut self, message: CallerMessage) -> Flow {
         match message.tag {
-            b'X' => return Flow::End,
-            // After an error the protocol has the rest of the batch dropped.
+            b'X' => return Flow::Close,
+            // After an error the protocol requires the rest of the batch to be skipped.
             b'S' if self.skip_to_sync => return self.sync_after_error().await,
-            _ if self.skip_to_sync => return Flow::GoOn,
+            _ if self.skip_to_sync => return Flow::Continue,
             _ => (),
         }
         match message.tag {
-            b'Q' => self.simple(message).await,
+            b'Q' => self.simple_query(message).await,
             b'P' | b'B' | b'D' | b'E' | b'C' => self.add_to_batch(message).await,
             b'S' => self.end_batch(BatchEnd::Sync).await,
             b'H' => self.end_batch(BatchEnd::Flush).await,
@@ -180,8 +180,8 @@
                 let note = "function call".to_owned();
                 self.refuse(Refusal::with_note(ErrorKind::Unsupported, note), true).await
             }
-            // Left over from a COPY that was refused.
-            b'd' | b'c' | b'f' => Flow::GoOn,
+            // Remaining COPY data after a refused COPY.
+            b'd' | b'c' | b'f' => Flow::Continue,
             _ => self.refuse(ErrorKind::ProtocolViolation.into(), true).await,
         }
     }
@@ -190,7 +190,7 @@
         answer::refuse_message(self, &refusal, awaits_ready).await
     }
 
-    async fn simple(&mut self, message: CallerMessage) -> Flow {
+    async fn simple_query(&mut self, message: CallerMessage) -> Flow {
         let text = frames::split_cstr(message.body()).map(|(text, _)| text);
         let Some(text) = text.and_then(|text| std::str::from_utf8(text).ok()) else {
             return self.refuse(ErrorKind::ProtocolViolation.into(), true).await;
@@ -200,13 +200,13 @@
             Ok(None) => (),
             Err(refusal) => return self.refuse(refusal, true).await,
         }
-        let traits = StatementTraits::of(text);
-        if traits.copies {
+        let traits = StatementTraits::analyze(text);
+        if traits.has_copy {
             return self.refuse(batch::copy_refused(), true).await;
         }
-        let session_set = traits.sets.then(|| text.to_owned());
-        let unit = Unit::Simple { frame: message.frame, traits, session_set };
-        execute::run(self, &unit).await
+        let session_set = traits.sets_parameter.then(|| text.to_owned());
+        let caller_request = CallerRequest::Simple { frame: message.frame, traits, session_set };
+        execute::run(self, &caller_request).await
     }
 
     async fn answer_locally(&mut self, local: &LocalStatement) -> Flow {
@@ -232,7 +232,7 @@
         let batch = self.batch.get_or_insert_default();
         batch.push(message);
         if batch.bytes() <= self.traffic.limits.message_bytes {
-            return Flow::GoOn;
+            return Flow::Continue;
         }
         self.refuse(ErrorKind::MessageTooLarge.into(), false).await
     }
@@ -261,7 +261,7 @@
             }
             return answer::write(self, &out, &[]).await;
         }
-        execute::run(self, &Unit::Batch { plan, end }).await
+        execute::run(self, &CallerRequest::Batch { plan, end }).await
     }
 
     async fn sync_after_error(&mut self) -> Flow {
@@ -270,8 +270,8 @@
         self.end_batch(BatchEnd::Sync).await
     }
 
-    /// Ends the connection with an answer that the caller gets to read.
-    async fn say_goodbye(&mut self, kind: ErrorKind) {
+    /// Closes the connection with an error that the caller has time to read.
+    async fn close_with_error(&mut self, kind: ErrorKind) {
         self.traffic.counters.refusal(kind);
         self.end_transaction();
         let mut out = BytesMut::new();
@@ -281,10 +281,10 @@
     }
 }
 
-fn wake_of(is_ready: bool) -> Wake {
+fn wake_reason(is_ready: bool) -> WakeReason {
     match is_ready {
-        true => Wake::Input,
-        false => Wake::Gone,
+        true => WakeReason::Input,
+        false => WakeReason::Gone,
     }
 }
 
@@ -294,10 +294,11 @@
     }
 }
 
-/// The messages of a start-up that succeeded. A token that came with it is reported as after a `SET`.
-pub fn write_greeting(out: &mut BytesMut, key: CancelKey, token: &str) {
+/// Appends the messages that complete a start-up. A token set during the start-up is reported as after
+/// a `SET`.
+pub fn write_startup_response(out: &mut BytesMut, key: CancelKey, token: &str) {
     frames::authentication_ok(out);
-    for (name, value) in GREETING_PARAMETERS {
+    for (name, value) in SERVER_PARAMETERS {
         frames::parameter_status(out, name, value);
     }
     if !token.is_empty() {
@@ -308,8 +309,9 @@
     debug_assert_eq!(out[0], backend::AUTHENTICATION_TAG);
 }
 
-/// What drivers expect to be told of a server. A caller is greeted before any target is asked.
-const GREETING_PARAMETERS: [(&str, &str); 7] = [
+/// Parameters that drivers expect from a server. They are fixed, since a caller completes its start-up
+/// before any target is contacted.
+const SERVER_PARAMETERS: [(&str, &str); 7] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
     ("client_encoding", "UTF8"),
--- a/crates/proxy/src/connection/mod.rs
+++ b/crates/proxy/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as one connection.
+//! Connections to callers, targets and other proxies, with the state that is kept per connection.
 
 pub mod admission;
 pub mod caller;
@@ -9,10 +9,10 @@
 pub mod frames;
 pub mod lease;
 pub mod limits;
-pub mod link;
 pub mod pinned;
 pub mod pool;
 mod pool_state;
+pub mod pooled_connection;
 pub mod pools;
 pub mod prepared;
 pub mod relay;
--- a/crates/proxy/src/connection/target_connection.rs
+++ b/crates/proxy/src/connection/target_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a target, or to another proxy that stands in for it.
+//! A PostgreSQL connection to a target, or to another proxy that forwards to it.
 
 use std::fmt;
 use std::io;
@@ -15,84 +15,86 @@
 
 use crate::connection::frames;
 use crate::connection::frames::FrameHeader;
-use crate::connection::link::Link;
+use crate::connection::pooled_connection::PooledConnection;
 use crate::connection::prepared::PreparedOnConnection;
 use crate::connection::socket;
 
-/// The largest message that a target may send during start-up, drain or reset.
+/// The largest message accepted from a target during start-up.
 const MAX_CONTROL_FRAME_BYTES: usize = 1 << 20;
 
-/// How a connection introduces itself.
+/// The start-up parameters of a connection.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Login {
-    /// The group.
+    /// The group, sent as the database name.
     pub database: String,
     /// `ZONE/VM` of this proxy.
     pub application_name: String,
-    /// This proxy's VM where the other end is a proxy.
+    /// The name of this proxy's VM if the other end is a proxy; `None` for a target.
     pub forwarded_by: Option<String>,
 }
 
-/// The user name that the proxy gives to targets.
+/// The user name that the proxy uses on targets.
 const TARGET_USER: &str = "skylark";
 
-/// Why a connection did not come about.
+/// The reason that a connection could not be opened.
 #[derive(Debug)]
 pub enum OpenError {
-    /// No connection, or it broke.
+    /// Connecting failed, or the connection broke.
     Io(io::Error),
-    /// Nothing came in time.
+    /// The start-up did not complete within the time limit.
     TimedOut,
-    /// The other end refused with this SQLSTATE.
+    /// The other end refused the connection with this SQLSTATE.
     Refused(String),
-    /// The other end asks for an authentication that is not supported, or breaks the protocol.
+    /// The other end requires an unsupported authentication method or violates the protocol.
     Unsupported,
 }
 
 impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            OpenError::Io(error) => write!(f, "no connection: {error}"),
-            OpenError::TimedOut => f.write_str("no answer in time"),
+            OpenError::Io(error) => write!(f, "connection failed: {error}"),
+            OpenError::TimedOut => f.write_str("start-up timed out"),
             OpenError::Refused(sqlstate) => write!(f, "refused with {sqlstate}"),
-            OpenError::Unsupported => f.write_str("the start-up is not understood"),
+            OpenError::Unsupported => {
+                f.write_str("unsupported authentication method or protocol violation")
+            }
         }
     }
 }
 
-/// The key with which a running request is cancelled.
+/// The key that authorizes cancelling a running request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct CancelKey {
-    /// The process number.
+    /// The process id.
     pub process_id: i32,
-    /// The secret.
+    /// The secret key.
     pub secret: i32,
 }
 
-/// A connection that passed its start-up.
+/// A connection that completed its start-up.
 #[derive(Debug)]
 pub struct TargetConnection {
-    /// The stream.
+    /// The socket.
     pub stream: TcpStream,
-    /// What was read and not yet used.
+    /// Buffered input.
     pub input: BytesMut,
-    /// The transaction's status in the last ReadyForQuery.
+    /// The transaction status in the last ReadyForQuery.
     pub status: u8,
-    /// How many ReadyForQuery are still to come.
+    /// The number of outstanding ReadyForQuery messages.
     pub awaited_ready: u32,
-    /// Whether messages were sent that no Sync has ended.
+    /// Whether messages were sent without a subsequent Sync.
     pub needs_sync: bool,
-    /// Whether the session may differ from a new one's.
+    /// Whether the session may differ from a new one.
     pub session_changed: bool,
     /// The statements prepared under shared names.
     pub prepared: PreparedOnConnection,
-    /// The key for cancel requests.
+    /// The key for cancel requests to the other end.
     pub cancel_key: CancelKey,
-    /// The thread whose event loop watches the stream.
-    watched_by: ThreadId,
+    /// The thread whose event loop the stream is registered with.
+    registered_on: ThreadId,
 }
 
-impl Link for TargetConnection {
+impl PooledConnection for TargetConnection {
     type Login = Login;
 
     async fn open(
@@ -101,34 +103,36 @@
         _user: Option<&Arc<str>>,
         timeout: Duration,
     ) -> Result<TargetConnection, OpenError> {
-        match time::timeout(timeout, start(address, login)).await {
+        match time::timeout(timeout, connect_and_start(address, login)).await {
             Ok(opened) => opened,
             Err(_) => Err(OpenError::TimedOut),
         }
     }
 
-    /// The session's user is part of what is brought to the connection with each transaction.
+    /// Always true: all connections log in as the same user, and the session's state is applied with
+    /// each transaction.
     fn serves(&self, _user: Option<&Arc<str>>) -> bool {
         true
     }
 
-    fn is_here(&self) -> bool {
-        self.watched_by == thread::current().id()
+    fn is_on_current_thread(&self) -> bool {
+        self.registered_on == thread::current().id()
     }
 
-    /// Another thread's event loop would serve as well, but each wake-up would cross threads.
-    fn brought_here(self) -> io::Result<TargetConnection> {
-        if self.is_here() {
+    /// A stream registered with another thread's event loop works as well, but each wake-up would cross
+    /// threads.
+    fn move_to_current_thread(self) -> io::Result<TargetConnection> {
+        if self.is_on_current_thread() {
             return Ok(self);
         }
         let stream = TcpStream::from_std(self.stream.into_std()?)?;
-        Ok(TargetConnection { stream, watched_by: thread::current().id(), ..self })
+        Ok(TargetConnection { stream, registered_on: thread::current().id(), ..self })
     }
 
-    /// A connection that the other end closed while it was idle would swallow a request whose
-    /// outcome then can't be known, though it never ran.
-    fn is_quiet(&mut self) -> bool {
-        self.input.is_empty() && socket::is_silent(&self.stream)
+    /// A request sent on a connection that the other end closed while it was idle would have an unknown
+    /// outcome, although it never ran.
+    fn is_healthy(&mut self) -> bool {
+        self.input.is_empty() && socket::is_open_without_input(&self.stream)
     }
 
     fn is_idle(&self) -> bool {
@@ -142,8 +146,8 @@
         self.session_changed
     }
 
-    /// The answer is read to its end, an open transaction rolled back, the session reset. An answer
-    /// left on the connection would reach the next caller as its own.
+    /// Reads the answer to its end, rolls back an open transaction and resets the session. A remaining
+    /// answer would be delivered to the next caller.
     async fn recover(&mut self, timeout: Duration) -> io::Result<()> {
         match time::timeout(timeout, self.drain_and_reset()).await {
             Ok(done) => done,
@@ -196,11 +200,11 @@
     }
 
     async fn send(&self, bytes: &[u8]) -> io::Result<()> {
-        // The caller's own time limit on the whole recovery ends a stall sooner.
+        // The time limit on the whole recovery, set by the function's caller, ends a stall sooner.
         socket::write_all(&self.stream, bytes, Duration::from_secs(60)).await
     }
 
-    /// Reads and drops messages until no ReadyForQuery is awaited.
+    /// Reads and drops messages until no ReadyForQuery is outstanding.
     async fn drain(&mut self) -> io::Result<()> {
         while self.awaited_ready > 0 {
             let skipped = self.skip_frame().await?;
@@ -211,7 +215,7 @@
         Ok(())
     }
 
-    /// Reads one message and drops it, however large it is; notes the status of a ReadyForQuery.
+    /// Reads and drops one message of any size. Updates the status from a ReadyForQuery.
     async fn skip_frame(&mut self) -> io::Result<FrameHeader> {
         let header = loop {
             let parsed = FrameHeader::parse(&self.input);
@@ -243,7 +247,7 @@
     }
 }
 
-async fn start(address: &str, login: &Login) -> Result<TargetConnection, OpenError> {
+async fn connect_and_start(address: &str, login: &Login) -> Result<TargetConnection, OpenError> {
     let stream = TcpStream::connect(address).await.map_err(OpenError::Io)?;
     stream.set_nodelay(true).map_err(OpenError::Io)?;
     let mut connection = TargetConnection {
@@ -255,7 +259,7 @@
         session_changed: false,
         prepared: PreparedOnConnection::default(),
         cancel_key: CancelKey::default(),
-        watched_by: thread::current().id(),
+        registered_on: thread::current().id(),
     };
     let mut parameters = vec![
         ("user", TARGET_USER),
@@ -270,7 +274,7 @@
     connection.send(&request).await.map_err(OpenError::Io)?;
     while connection.awaited_ready > 0 {
         let frame = next_frame(&mut connection).await?;
-        take_startup_frame(&mut connection, &frame)?;
+        handle_startup_frame(&mut connection, &frame)?;
     }
     Ok(connection)
 }
@@ -290,7 +294,7 @@
     }
 }
 
-fn take_startup_frame(connection: &mut TargetConnection, frame: &[u8]) -> Result<(), OpenError> {
+fn handle_startup_frame(connection: &mut TargetConnection, frame: &[u8]) -> Result<(), OpenError> {
     let body = &frame[frames::HEADER_BYTES..];
     match frame[0] {
         backend::AUTHENTICATION_TAG if body == [0, 0, 0, 0] => Ok(()),
--- a/crates/proxy/src/process/traffic.rs
+++ b/crates/proxy/src/process/traffic.rs
@@ -204,7 +204,7 @@
 fn begin(traffic: &Arc<Traffic>, stream: TcpStream, event_loop: &Handle) {
     // A socket that can't be taken out of this loop is of no use; dropping it closes it.
     let Ok(stream) = stream.into_std() else { return };
-    let permit = traffic.callers.begin();
+    let permit = traffic.callers.begin_startup();
     let traffic = Arc::clone(traffic);
     event_loop.spawn(serve_one(traffic, stream, permit));
 }
@@ -220,7 +220,7 @@
     }
     let welcomed = tokio::select! {
         biased;
-        welcomed = Box::pin(startup::welcome(&traffic, stream)) => welcomed,
+        welcomed = Box::pin(startup::run_startup(&traffic, stream)) => welcomed,
         // Closed without a word: in a flood of connections that never start, an answer would cost
         // more than the flood does.
         () = half_open.evicted() => {
--- a/crates/proxy/src/request/acknowledge.rs
+++ b/crates/proxy/src/request/acknowledge.rs
@@ -1,10 +1,12 @@
-//! Waiting until a commit is confirmed, before its success may be seen.
+//! Waits for the confirmation of a commit before its success is reported.
 //!
-//! A primary that was replaced goes on answering commits as long as it doesn't know. Its commits are
-//! confirmed by no majority in their term, so a success passed on without waiting would acknowledge
-//! a write that the new primary doesn't have. The caller would see its write vanish. Comparing the
-//! term as well as the index is enough: a majority that confirms a position in its own term has not
-//! promised itself to a newer one, and every newer primary comes out of a majority that holds it.
+//! A replaced primary keeps answering commits until it learns of its replacement. No majority confirms
+//! these commits in their term, so reporting success without waiting would acknowledge a write that the
+//! new primary lacks, and the caller's write would be lost.
+//!
+//! Comparing the term and the index is sufficient: a majority that confirms a position in its own term
+//! has not voted for a newer term, and every newer primary is elected by a majority that holds the
+//! position.
 
 use std::cell::RefCell;
 use std::time::Instant;
@@ -15,51 +17,55 @@
 
 use crate::version::published::GroupLive;
 
-/// Whether a commit may be acknowledged.
+/// The result of waiting for a confirmation.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Verdict {
-    /// A majority holds it.
+pub enum Confirmation {
+    /// A majority holds the commit, so it may be acknowledged.
     Confirmed,
-    /// It can't be said whether it lasts: no confirmation came in time, or a newer term has begun.
+    /// The commit's durability is unknown: no confirmation arrived in time, or a newer term has begun.
     Unknown,
 }
 
-/// A group's confirmed position, and this thread's copy of it.
-struct Followed {
+/// A group's published confirmed position and this thread's copy of it.
+struct LocalPosition {
     published: watch::Receiver<LogPosition>,
     copy: watch::Receiver<LogPosition>,
 }
 
 thread_local! {
-    /// The groups that commits of this thread wait for. The control thread wakes one task of each
-    /// thread, not one for each commit: each wake-up of another thread is a system call of its own.
-    static FOLLOWED: RefCell<Vec<Followed>> = const { RefCell::new(Vec::new()) };
+    /// The groups whose commits are awaited on this thread. The control thread wakes one task per
+    /// thread instead of one per commit, since each wake-up across threads costs a system call.
+    static LOCAL_POSITIONS: RefCell<Vec<LocalPosition>> = const { RefCell::new(Vec::new()) };
 }
 
-/// This thread's copy of a group's confirmed position. It is never ahead of what is published, and
-/// ends with it.
-fn follow(live: &GroupLive) -> watch::Receiver<LogPosition> {
+/// Returns this thread's copy of a group's confirmed position. The copy is never ahead of the published
+/// position, and its channel closes with the published one.
+fn local_position(live: &GroupLive) -> watch::Receiver<LogPosition> {
     let published = live.confirmed.subscribe();
-    FOLLOWED.with_borrow_mut(|followed| {
-        followed.retain(|group| group.copy.has_changed().is_ok());
-        if let Some(known) = followed.iter().find(|group| group.published.same_channel(&published))
+    LOCAL_POSITIONS.with_borrow_mut(|local_positions| {
+        local_positions.retain(|group| group.copy.has_changed().is_ok());
+        if let Some(known) =
+            local_positions.iter().find(|group| group.published.same_channel(&published))
         {
             return known.copy.clone();
         }
         let (sender, copy) = watch::channel(*published.borrow());
-        tokio::spawn(keep_up(published.clone(), sender));
-        followed.push(Followed { published, copy: copy.clone() });
+        tokio::spawn(forward_updates(published.clone(), sender));
+        local_positions.push(LocalPosition { published, copy: copy.clone() });
         copy
     })
 }
 
-async fn keep_up(mut published: watch::Receiver<LogPosition>, copy: watch::Sender<LogPosition>) {
+async fn forward_updates(
+    mut published: watch::Receiver<LogPosition>,
+    copy: watch::Sender<LogPosition>,
+) {
     loop {
         let confirmed = *published.borrow_and_update();
         copy.send_if_modified(|copied| {
-            let grew = confirmed > *copied;
+            let advanced = confirmed > *copied;
             *copied = confirmed;
-            grew
+            advanced
         });
         if published.changed().await.is_err() {
             return;
@@ -68,12 +74,12 @@
 }
 
 /// Waits until `position` is confirmed in its own term, a newer term is confirmed, or the deadline
-/// comes.
-pub async fn wait(live: &GroupLive, position: LogPosition, deadline: Instant) -> Verdict {
-    let mut confirmed = follow(live);
+/// expires.
+pub async fn wait(live: &GroupLive, position: LogPosition, deadline: Instant) -> Confirmation {
+    let mut confirmed = local_position(live);
     let decided = confirmed.wait_for(|confirmed| *confirmed >= position);
     match time::timeout_at(deadline.into(), decided).await {
-        Ok(Ok(confirmed)) if confirmed.term == position.term => Verdict::Confirmed,
-        _ => Verdict::Unknown,
+        Ok(Ok(confirmed)) if confirmed.term == position.term => Confirmation::Confirmed,
+        _ => Confirmation::Unknown,
     }
 }
--- a/crates/proxy/src/request/batch.rs
+++ b/crates/proxy/src/request/batch.rs
@@ -1,9 +1,9 @@
 //! A batch of extended-protocol messages up to a Sync or Flush.
 //!
-//! The caller's messages are kept until the batch is whole, then routed as a unit: a batch without a
-//! Sync in between is one implicit transaction. [`Batch::plan`] resolves the names of statements and
-//! answers what the proxy answers itself; [`Plan::encode`] writes the batch for one connection,
-//! with the Parse messages that this connection lacks.
+//! The caller's messages are buffered until the batch is complete and then routed as a whole, since a
+//! batch up to its Sync is one implicit transaction. [`Batch::plan`] resolves statement names and
+//! answers the messages that need no target. [`Plan::encode`] encodes the batch for one connection and
+//! adds the Parse messages for statements that this connection lacks.
 
 use std::sync::Arc;
 
@@ -28,35 +28,35 @@
 use crate::request::statement::StatementTraits;
 use crate::version::published::Published;
 
-/// The largest definition of an unnamed statement that is kept for later batches.
+/// The largest definition of an unnamed statement that is kept for later batches, in bytes.
 const MAX_UNNAMED_BYTES: usize = 16 << 10;
 
-/// What ends a batch.
+/// The message that ends a batch.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum BatchEnd {
-    /// Ends the implicit transaction.
+    /// Sync: ends the implicit transaction.
     Sync,
-    /// Asks for the answers so far.
+    /// Flush: requests the pending answers and leaves the implicit transaction open.
     Flush,
 }
 
-/// The messages of a batch as the caller sent them.
+/// The messages of a batch as received from the caller.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     messages: Vec<CallerMessage>,
     bytes: usize,
 }
 
-/// What planning needs besides the batch and the session.
+/// The process state that planning needs besides the batch and the session.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanContext<'a> {
-    /// The statements of the process.
+    /// The prepared statements shared by all callers of the process.
     pub statements: &'a StatementTable,
-    /// The version in force.
+    /// The published version in force.
     pub published: &'a Published,
     /// The name of this process's VM.
     pub vm: &'a str,
-    /// How many prepared statements the caller may hold.
+    /// The maximum number of named prepared statements per caller.
     pub prepared_limit: usize,
 }
 
@@ -65,12 +65,12 @@
 enum Step {
     ParseNamed(Arc<PreparedStatement>),
     ParseUnnamed(Bytes),
-    /// A message that names a statement: the bytes before and after the name.
+    /// A message that refers to a statement, with the parts of its body before and after the name.
     Use {
         tag: u8,
         before: Bytes,
         after: Bytes,
-        statement: Used,
+        statement: StatementRef,
         reply: Reply,
     },
     Raw(Bytes, Reply),
@@ -78,37 +78,37 @@
 }
 
 #[derive(Clone, Debug)]
-enum Used {
+enum StatementRef {
     Named(Arc<PreparedStatement>),
-    /// The unnamed statement, with its definition if this batch does not parse it itself.
+    /// The unnamed statement, with its definition if the batch does not contain its Parse.
     Unnamed(Option<Bytes>),
     Unknown,
 }
 
-/// A batch that is ready to be sent to any connection.
+/// A planned batch, which can be encoded for any connection.
 #[derive(Clone, Debug)]
 pub struct Plan {
     steps: Vec<Step>,
-    /// What the texts of its statements show together.
+    /// The combined traits of its statements.
     pub traits: StatementTraits,
-    /// The text of a `SET` that the batch executes, if that is all it does.
+    /// The text of the session-level `SET` or `RESET` that the batch executes, if any.
     pub session_set: Option<String>,
     parsed_names: Vec<String>,
 }
 
 impl Batch {
-    /// Adds a message.
+    /// Appends a message.
     pub fn push(&mut self, message: CallerMessage) {
         self.bytes += message.frame.len();
         self.messages.push(message);
     }
 
-    /// The size of all messages.
+    /// Returns the total size of all messages in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Resolves the batch against the session. On an error nothing of the batch is to be run.
+    /// Resolves the batch against the session. After an error nothing of the batch may be executed.
     pub fn plan(self, session: &mut Session, context: PlanContext<'_>) -> Result<Plan, Refusal> {
         let mut planner = Planner {
             session,
@@ -116,7 +116,7 @@
             unnamed_in_batch: false,
             plan: Plan {
                 steps: Vec::with_capacity(self.messages.len()),
-                traits: StatementTraits::of(""),
+                traits: StatementTraits::analyze(""),
                 session_set: None,
                 parsed_names: Vec::new(),
             },
@@ -139,12 +139,12 @@
 }
 
 impl Plan {
-    /// Whether no target is needed.
+    /// Returns whether the batch can be answered without a target.
     pub fn is_local(&self) -> bool {
         self.steps.iter().all(|step| matches!(step, Step::Local(_)))
     }
 
-    /// Writes the answers of a batch that needs no target.
+    /// Appends the answers of a batch that needs no target.
     pub fn write_local(&self, out: &mut BytesMut) {
         for step in &self.steps {
             if let Step::Local(bytes) = step {
@@ -155,23 +155,26 @@
 
     fn named_uses(&self) -> usize {
         let named = |step: &&Step| {
-            matches!(step, Step::ParseNamed(_) | Step::Use { statement: Used::Named(_), .. })
+            matches!(
+                step,
+                Step::ParseNamed(_) | Step::Use { statement: StatementRef::Named(_), .. }
+            )
         };
         self.steps.iter().filter(named).count()
     }
 
-    /// Forgets the statements that the batch was to prepare, after an error.
+    /// Removes the statements that the batch prepares from the session, after an error.
     ///
-    /// Some may have been prepared before the error. The caller can't know which after an error
-    /// either, and prepares again what it needs.
+    /// Some may have been prepared before the error. The caller can't tell which and has to prepare
+    /// again the ones it needs.
     pub fn forget_parsed(&self, session: &mut Session) {
         for name in &self.parsed_names {
             session.close_statement(name);
         }
     }
 
-    /// Writes the batch for a connection that has `prepared`. Returns how many of its replies
-    /// belong to statements that were prepared again.
+    /// Encodes the batch for a connection that has the statements in `prepared`. Returns the number of
+    /// Parse messages that were added for statements the connection lacks.
     pub fn encode(
         &self,
         prepared: &mut PreparedOnConnection,
@@ -180,8 +183,8 @@
         replies: &mut Replies,
     ) -> std::io::Result<usize> {
         let mut encoder = Encoder { prepared, out, replies, parsing: Vec::new(), injected: 0 };
-        // Room is made in front of the batch: closing a statement closes the portals that were
-        // bound to it, and those of this batch come later.
+        // Statements are evicted before the batch begins: closing a statement also closes the portals
+        // bound to it, which must not affect the portals of this batch.
         for _ in 0..self.named_uses() {
             encoder.evict(limit)?;
         }
@@ -213,14 +216,14 @@
 
     fn parse(&mut self, message: &CallerMessage) -> Result<(), Refusal> {
         let (name, definition) = split_name(message.body())?;
-        let made = match name {
+        let created = match name {
             "" => PreparedStatement::new(0, Bytes::copy_from_slice(definition))
-                .map(|made| made.map(Arc::new)),
+                .map(|created| created.map(Arc::new)),
             _ => self.context.statements.intern(definition),
         };
-        let statement = made.ok_or(ErrorKind::ProtocolViolation)??;
+        let statement = created.ok_or(ErrorKind::ProtocolViolation)??;
         let step = match (&statement.local, name) {
-            (Some(_), _) => Step::Local(message_of(backend::PARSE_COMPLETE_TAG)),
+            (Some(_), _) => Step::Local(empty_message(backend::PARSE_COMPLETE_TAG)),
             (None, "") => Step::ParseUnnamed(message.frame.clone()),
             (None, _) => Step::ParseNamed(Arc::clone(&statement)),
         };
@@ -246,12 +249,12 @@
         let known = self.session.prepared(name).cloned();
         if let Some(statement) = known.as_ref().filter(|known| known.local.is_some()) {
             self.session.local_portals.push((portal.into(), Arc::clone(statement)));
-            self.plan.steps.push(Step::Local(message_of(backend::BIND_COMPLETE_TAG)));
+            self.plan.steps.push(Step::Local(empty_message(backend::BIND_COMPLETE_TAG)));
             return Ok(());
         }
         if let Some(statement) = &known {
             self.plan.traits = self.plan.traits.join(statement.traits);
-            self.note_set(statement);
+            self.record_session_set(statement);
             self.refuse_copy()?;
         }
         let name_at = frames::HEADER_BYTES + portal.len() + 1;
@@ -259,8 +262,8 @@
         Ok(())
     }
 
-    fn note_set(&mut self, statement: &PreparedStatement) {
-        if statement.traits.sets {
+    fn record_session_set(&mut self, statement: &PreparedStatement) {
+        if statement.traits.sets_parameter {
             let text = frames::split_cstr(&statement.definition).map(|(text, _)| text);
             let text = text.and_then(|text| std::str::from_utf8(text).ok());
             self.plan.session_set = text.map(str::to_owned);
@@ -315,12 +318,12 @@
         let (variant, name) = split_variant(message.body())?;
         if variant == b'S' {
             self.session.close_statement(name);
-            self.plan.steps.push(Step::Local(message_of(backend::CLOSE_COMPLETE_TAG)));
+            self.plan.steps.push(Step::Local(empty_message(backend::CLOSE_COMPLETE_TAG)));
             return Ok(());
         }
         if self.local_portal(name).is_some() {
             self.session.local_portals.retain(|(known, _)| **known != *name);
-            self.plan.steps.push(Step::Local(message_of(backend::CLOSE_COMPLETE_TAG)));
+            self.plan.steps.push(Step::Local(empty_message(backend::CLOSE_COMPLETE_TAG)));
             return Ok(());
         }
         self.plan.steps.push(Step::Raw(message.frame.clone(), Reply::Close));
@@ -333,7 +336,7 @@
     }
 
     fn refuse_copy(&self) -> Result<(), Refusal> {
-        match self.plan.traits.copies {
+        match self.plan.traits.has_copy {
             true => Err(copy_refused()),
             false => Ok(()),
         }
@@ -348,10 +351,10 @@
         reply: Reply,
     ) {
         let statement = match (known, name) {
-            (Some(_), "") if self.unnamed_in_batch => Used::Unnamed(None),
-            (Some(known), "") => Used::Unnamed(Some(known.definition.clone())),
-            (Some(known), _) => Used::Named(known),
-            (None, _) => Used::Unknown,
+            (Some(_), "") if self.unnamed_in_batch => StatementRef::Unnamed(None),
+            (Some(known), "") => StatementRef::Unnamed(Some(known.definition.clone())),
+            (Some(known), _) => StatementRef::Named(known),
+            (None, _) => StatementRef::Unknown,
         };
         self.plan.steps.push(Step::Use {
             tag: message.tag,
@@ -363,7 +366,7 @@
     }
 }
 
-/// The refusal of COPY.
+/// Returns the refusal of a COPY statement.
 pub fn copy_refused() -> Refusal {
     Refusal::with_note(ErrorKind::Unsupported, "COPY".to_owned())
 }
@@ -372,7 +375,7 @@
     prepared: &'a mut PreparedOnConnection,
     out: &'a mut BytesMut,
     replies: &'a mut Replies,
-    /// Statements whose Parse stands earlier in this batch.
+    /// The ids of statements whose Parse occurs earlier in this batch.
     parsing: Vec<u64>,
     injected: usize,
 }
@@ -389,8 +392,8 @@
                 self.out.extend_from_slice(frame);
                 self.replies.push(Reply::UnnamedParse);
             }
-            Step::ParseNamed(statement) if self.has(statement.id) => {
-                self.replies.push(Reply::Local(message_of(backend::PARSE_COMPLETE_TAG)));
+            Step::ParseNamed(statement) if self.is_prepared(statement.id) => {
+                self.replies.push(Reply::Local(empty_message(backend::PARSE_COMPLETE_TAG)));
             }
             Step::ParseNamed(statement) => {
                 self.parse(statement);
@@ -409,33 +412,33 @@
         Ok(())
     }
 
-    fn has(&self, id: u64) -> bool {
-        self.prepared.has(id) || self.parsing.contains(&id)
+    fn is_prepared(&self, id: u64) -> bool {
+        self.prepared.is_prepared(id) || self.parsing.contains(&id)
     }
 
-    fn name_of(&mut self, statement: &Used) -> std::io::Result<String> {
+    fn name_of(&mut self, statement: &StatementRef) -> std::io::Result<String> {
         match statement {
-            Used::Named(statement) => {
-                if !self.has(statement.id) {
+            StatementRef::Named(statement) => {
+                if !self.is_prepared(statement.id) {
                     self.parse(statement);
                     self.replies.push(Reply::InjectedParse { id: statement.id });
                     self.injected += 1;
                 }
                 Ok(statement.name())
             }
-            Used::Unnamed(None) => Ok(String::new()),
-            Used::Unnamed(Some(definition)) => {
+            StatementRef::Unnamed(None) => Ok(String::new()),
+            StatementRef::Unnamed(Some(definition)) => {
                 write_parse(self.out, "", definition);
                 self.replies.push(Reply::InjectedUnnamedParse);
                 self.injected += 1;
                 Ok(String::new())
             }
-            // No statement has this name, and the target says so.
-            Used::Unknown => Ok("unknown".to_owned()),
+            // No statement has this name. The target reports the error.
+            StatementRef::Unknown => Ok("unknown".to_owned()),
         }
     }
 
-    /// Closes a statement to make room for another.
+    /// Closes the oldest statement if the connection has reached `limit`.
     fn evict(&mut self, limit: usize) -> std::io::Result<()> {
         if let Some(evicted) = self.prepared.evict(limit) {
             frontend::close(b'S', &prepared::shared_name(evicted), self.out)?;
@@ -457,7 +460,7 @@
     });
 }
 
-fn message_of(tag: u8) -> Bytes {
+fn empty_message(tag: u8) -> Bytes {
     let mut out = BytesMut::with_capacity(frames::HEADER_BYTES);
     frames::empty(&mut out, tag);
     out.freeze()
--- a/crates/proxy/src/request/unit.rs
+++ b/crates/proxy/src/request/caller_request.rs
@@ -1,4 +1,4 @@
-//! What is routed as one: a simple query, or a batch of extended-protocol messages.
+//! The unit of routing: a simple query, or a batch of extended-protocol messages.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -9,56 +9,57 @@
 use crate::connection::target_connection::TargetConnection;
 use crate::request::batch::BatchEnd;
 use crate::request::batch::Plan;
-use crate::request::exchange::Encoded;
+use crate::request::exchange::EncodedRequest;
 use crate::request::statement::StatementTraits;
 
-/// A request of a caller.
+/// A request of a caller that is routed and executed as a whole.
 #[derive(Clone, Debug)]
-pub enum Unit {
-    /// A simple query.
+pub enum CallerRequest {
+    /// A simple query, which may contain several statements.
     Simple {
-        /// The frame.
+        /// The complete Query message, header included.
         frame: Bytes,
-        /// What its text shows.
+        /// The traits of the query text.
         traits: StatementTraits,
-        /// The text, if it is one `SET` or `RESET` for the session.
+        /// The query text if it is a single session-level `SET` or `RESET`.
         session_set: Option<String>,
     },
-    /// A batch.
+    /// A batch of extended-protocol messages.
     Batch {
-        /// The planned batch.
+        /// The batch with its statement names resolved.
         plan: Plan,
-        /// What ends it.
+        /// The message that ended the batch.
         end: BatchEnd,
     },
 }
 
-impl Unit {
-    /// What its texts show.
+impl CallerRequest {
+    /// Returns the combined traits of all statements in the request.
     pub fn traits(&self) -> &StatementTraits {
         match self {
-            Unit::Simple { traits, .. } => traits,
-            Unit::Batch { plan, .. } => &plan.traits,
+            CallerRequest::Simple { traits, .. } => traits,
+            CallerRequest::Batch { plan, .. } => &plan.traits,
         }
     }
 
-    /// The text of the session's parameter that it sets, if that is all it does.
+    /// Returns the text of the session-level `SET` or `RESET` if the request contains nothing else.
     pub fn session_set(&self) -> Option<&str> {
         match self {
-            Unit::Simple { session_set, .. } => session_set.as_deref(),
-            Unit::Batch { plan, .. } => plan.session_set.as_deref(),
+            CallerRequest::Simple { session_set, .. } => session_set.as_deref(),
+            CallerRequest::Batch { plan, .. } => plan.session_set.as_deref(),
         }
     }
 
-    /// Whether its answer ends with a ReadyForQuery.
+    /// Returns whether the answer ends with a ReadyForQuery.
     pub fn awaits_ready(&self) -> bool {
         match self {
-            Unit::Simple { .. } => true,
-            Unit::Batch { end, .. } => *end == BatchEnd::Sync,
+            CallerRequest::Simple { .. } => true,
+            CallerRequest::Batch { end, .. } => *end == BatchEnd::Sync,
         }
     }
 
-    /// What it would do, for a decision on a retry.
+    /// Returns the effect that a retry decision has to assume. `ends_implicit` is set if the request
+    /// ends an implicit transaction and thereby commits it.
     pub fn effect(&self, is_read: bool, ends_implicit: bool) -> Effect {
         match () {
             _ if is_read => Effect::Read,
@@ -67,29 +68,32 @@
         }
     }
 
-    /// Writes it for a connection, behind `prelude`, the proxy's own requests.
+    /// Encodes the request for `connection`, after `prelude`, the proxy's own requests.
+    ///
+    /// `prelude_ready` is the number of ReadyForQuery messages that the prelude is answered with.
+    /// `prepared_limit` bounds the prepared statements on the connection.
     pub fn encode(
         &self,
         connection: &mut TargetConnection,
         prelude: BytesMut,
         prelude_ready: u32,
         prepared_limit: usize,
-    ) -> std::io::Result<Encoded> {
-        let mut encoded = Encoded {
+    ) -> std::io::Result<EncodedRequest> {
+        let mut encoded = EncodedRequest {
             prelude_bytes: prelude.len(),
             prelude_ready,
             awaits_ready: self.awaits_ready(),
             changes_session: self.traits().changes_session,
-            ..Encoded::default()
+            ..EncodedRequest::default()
         };
         let mut out = prelude;
         match self {
-            Unit::Simple { frame, .. } if out.is_empty() => encoded.bytes = frame.clone(),
-            Unit::Simple { frame, .. } => {
+            CallerRequest::Simple { frame, .. } if out.is_empty() => encoded.bytes = frame.clone(),
+            CallerRequest::Simple { frame, .. } => {
                 out.extend_from_slice(frame);
                 encoded.bytes = out.freeze();
             }
-            Unit::Batch { plan, end } => {
+            CallerRequest::Batch { plan, end } => {
                 let mut replies = Replies::default();
                 encoded.prepared_again =
                     plan.encode(&mut connection.prepared, prepared_limit, &mut out, &mut replies)?;
--- a/crates/proxy/src/request/exchange.rs
+++ b/crates/proxy/src/request/exchange.rs
@@ -1,4 +1,5 @@
-//! One request on one connection: sent, its answer passed on, and what became of it.
+//! One attempt of a request on one connection: sends the request, relays the answer to the caller and
+//! determines the result.
 
 use std::time::Instant;
 
@@ -20,122 +21,124 @@
 use tokio::time;
 
 use crate::connection::frames;
-use crate::connection::relay::Notice;
 use crate::connection::relay::Relay;
 use crate::connection::relay::RelayError;
+use crate::connection::relay::RelayEvent;
 use crate::connection::reply::Replies;
 use crate::connection::target_connection::TargetConnection;
 use crate::process::counters::Event;
 use crate::process::traffic::Traffic;
 use crate::request::acknowledge;
-use crate::request::acknowledge::Verdict;
+use crate::request::acknowledge::Confirmation;
 use crate::version::published::GroupLive;
 
-/// What is sent for one request.
+/// A request encoded for one connection.
 #[derive(Debug, Default)]
-pub struct Encoded {
-    /// The bytes, the proxy's own requests first.
+pub struct EncodedRequest {
+    /// The bytes to send, with the proxy's own requests (the prelude) first.
     pub bytes: Bytes,
-    /// How many of the bytes are the proxy's own requests.
+    /// The length of the prelude.
     pub prelude_bytes: usize,
-    /// How many ReadyForQuery the proxy's own requests bring.
+    /// The number of ReadyForQuery messages that answer the prelude.
     pub prelude_ready: u32,
-    /// The replies of a batch; none for a simple query.
+    /// The expected replies of a batch; `None` for a simple query.
     pub replies: Option<Replies>,
-    /// Whether the request ends with a ReadyForQuery.
+    /// Whether the answer ends with a ReadyForQuery.
     pub awaits_ready: bool,
-    /// How many statements are prepared again for it.
+    /// The number of Parse messages that the proxy added because the connection lacked the statements.
     pub prepared_again: usize,
-    /// Whether the request may change the session beyond its transaction.
+    /// Whether the request may change the target's session beyond its transaction.
     pub changes_session: bool,
 }
 
-/// What a failure of the request would mean.
+/// What decides whether the request may be retried after a failure.
 #[derive(Clone, Copy, Debug)]
-pub struct Stakes<'a> {
-    /// What the request would do.
+pub struct RetryContext<'a> {
+    /// The effect of the request on data.
     pub effect: Effect,
-    /// Whether it belongs to a transaction that is open already.
+    /// Whether the request belongs to an open transaction.
     pub in_transaction: bool,
-    /// How often it was tried before.
+    /// The number of earlier attempts.
     pub retries: u32,
     /// The retry budget of the group.
     pub budget: &'a RetryBudget,
-    /// When it is given up.
+    /// The deadline of the request.
     pub deadline: Instant,
 }
 
-/// What became of a request.
+/// The result of an exchange.
 #[derive(Debug)]
-pub enum Ending {
-    /// The answer is complete; this is the part not written yet, without its ReadyForQuery.
+pub enum ExchangeResult {
+    /// The answer is complete. Carries the part not yet written to the caller, without its
+    /// ReadyForQuery.
     Complete(Answer),
-    /// It failed, and this is what to do.
-    Failed(Failed),
-    /// The other end said goodbye with this answer, which is to be passed on as the last one.
-    Farewell(BytesMut),
-    /// A commit was not confirmed.
+    /// The attempt failed. The verdict in it says whether to retry.
+    FailedAttempt(FailedAttempt),
+    /// The other end closed the connection with this ErrorResponse, which is the last message that the
+    /// caller receives.
+    Terminated(BytesMut),
+    /// A commit was not confirmed in time, so its outcome is unknown.
     NotConfirmed,
-    /// The caller has part of a message, and nothing else can follow.
-    Torn,
-    /// The caller is gone.
+    /// The caller received only part of a message, so nothing else can be sent to it.
+    PartialMessage,
+    /// The caller closed its connection.
     CallerGone,
-    /// The caller does not read.
+    /// The caller did not read its answer within the time limit.
     CallerTooSlow,
 }
 
-/// A complete answer.
+/// A complete answer of a target or another proxy.
 #[derive(Debug, Default)]
 pub struct Answer {
-    /// What is left to be written.
+    /// The part of the answer not yet written to the caller.
     pub rest: BytesMut,
-    /// The status in the ReadyForQuery; none for a batch that ended with a Flush.
+    /// The transaction status in the ReadyForQuery; `None` for a batch that ended with a Flush.
     pub status: Option<u8>,
-    /// The position of the last commit in it.
+    /// The log position of the last commit in the answer.
     pub commit: Option<LogPosition>,
-    /// Whether the commit was confirmed already.
+    /// Whether the commit is already confirmed.
     pub confirmed: bool,
-    /// Who served it, in the words of another proxy.
+    /// The target and reason as reported by the proxy that served the request.
     pub served: Option<String>,
-    /// Whether an error is part of it.
+    /// Whether the answer contains an ErrorResponse.
     pub has_error: bool,
 }
 
-/// A failed try.
+/// A failed attempt.
 #[derive(Clone, Debug)]
-pub struct Failed {
-    /// [`RetryVerdict::Again`], or the kind of the answer.
+pub struct FailedAttempt {
+    /// [`RetryVerdict::Again`] for a retry, otherwise the error to answer with.
     pub verdict: RetryVerdict,
-    /// What was seen.
+    /// The failure as observed.
     pub failure: Failure,
-    /// How far the request had come.
+    /// How far the exchange had progressed.
     pub stage: Stage,
-    /// Whether the connection broke.
+    /// Whether the connection is unusable and has to be closed.
     pub broken: bool,
-    /// Another proxy's refusal, to be passed on if no other try succeeds: it says more than this
-    /// proxy knows.
+    /// Another proxy's refusal, which is sent to the caller if no other attempt succeeds: it is more
+    /// specific than an error of this proxy.
     pub refusal: Option<BytesMut>,
 }
 
-/// A request on its way.
+/// An attempt of a request on one connection.
 #[derive(Debug)]
 pub struct Exchange<'a> {
-    /// The process.
+    /// The state shared by all connections of the process.
     pub traffic: &'a Traffic,
-    /// The caller.
+    /// The caller's socket.
     pub caller: &'a TcpStream,
-    /// What is sent.
-    pub encoded: &'a Encoded,
-    /// What a failure would mean.
-    pub stakes: Stakes<'a>,
-    /// The group's state where the connection goes straight to a target; none where another proxy
-    /// waits for the confirmation.
+    /// The encoded request.
+    pub encoded: &'a EncodedRequest,
+    /// What decides about a retry.
+    pub retry_context: RetryContext<'a>,
+    /// The group's live state if the connection leads directly to a target; `None` if it leads to
+    /// another proxy, which waits for confirmations itself.
     pub live: Option<&'a GroupLive>,
 }
 
 impl Exchange<'_> {
-    /// Sends the request and passes its answer on.
-    pub async fn run(&self, connection: &mut TargetConnection) -> Ending {
+    /// Sends the request and relays its answer to the caller.
+    pub async fn run(&self, connection: &mut TargetConnection) -> ExchangeResult {
         let encoded = self.encoded;
         connection.awaited_ready += encoded.prelude_ready + u32::from(encoded.awaits_ready);
         connection.needs_sync = !encoded.awaits_ready;
@@ -143,90 +146,95 @@
         for _ in 0..encoded.prepared_again {
             self.traffic.counters.event(Event::StatementsPrepared);
         }
-        let stall = self.traffic.limits.slow_reader();
-        let eager = self.stakes.effect == Effect::Read;
+        let stall_timeout = self.traffic.limits.slow_reader();
+        let eager = self.retry_context.effect == Effect::Read;
         let replies = encoded.replies.clone();
-        let mut run = Run {
+        let mut run = ExchangeRun {
             exchange: self,
-            relay: Relay::new(self.caller, stall, encoded.prelude_ready, replies, eager),
+            relay: Relay::new(self.caller, stall_timeout, encoded.prelude_ready, replies, eager),
             unsent: &encoded.bytes,
             answer: Answer::default(),
-            copying: BytesMut::new(),
+            copy_fail_message: BytesMut::new(),
         };
-        let pumped = time::timeout_at(self.stakes.deadline.into(), run.pump(connection)).await;
-        match pumped {
-            Ok(Some(ending)) => ending,
+        let relayed =
+            time::timeout_at(self.retry_context.deadline.into(), run.relay_answer(connection))
+                .await;
+        match relayed {
+            Ok(Some(result)) => result,
             Ok(None) => {
-                let Run { relay, mut answer, .. } = run;
+                let ExchangeRun { relay, mut answer, .. } = run;
                 answer.rest = relay.finish(connection);
-                Ending::Complete(answer)
+                ExchangeResult::Complete(answer)
             }
-            Err(_) => run.failed(Failure::TimedOut),
+            Err(_) => run.failure_result(Failure::TimedOut),
         }
     }
 }
 
-struct Run<'a> {
+struct ExchangeRun<'a> {
     exchange: &'a Exchange<'a>,
     relay: Relay<'a>,
     unsent: &'a [u8],
     answer: Answer,
-    copying: BytesMut,
+    copy_fail_message: BytesMut,
 }
 
-impl Run<'_> {
-    /// Passes the answer on until it is complete (`None`) or ends otherwise.
-    async fn pump(&mut self, connection: &mut TargetConnection) -> Option<Ending> {
+impl ExchangeRun<'_> {
+    /// Relays the answer until it is complete (`None`) or the exchange ends otherwise.
+    async fn relay_answer(&mut self, connection: &mut TargetConnection) -> Option<ExchangeResult> {
         loop {
-            let notice = match self.relay.next(connection, &mut self.unsent).await {
-                Ok(notice) => notice,
-                Err(RelayError::Target(_)) => return Some(self.failed(Failure::Broken)),
+            let relay_event = match self.relay.next(connection, &mut self.unsent).await {
+                Ok(relay_event) => relay_event,
+                Err(RelayError::Target(_)) => return Some(self.failure_result(Failure::Broken)),
                 Err(RelayError::Caller(error)) if error.kind() == std::io::ErrorKind::TimedOut => {
-                    return Some(Ending::CallerTooSlow);
+                    return Some(ExchangeResult::CallerTooSlow);
                 }
-                Err(RelayError::Caller(_)) => return Some(Ending::CallerGone),
+                Err(RelayError::Caller(_)) => return Some(ExchangeResult::CallerGone),
             };
-            match notice {
-                Notice::Ready(status) => {
+            match relay_event {
+                RelayEvent::Ready(status) => {
                     self.answer.status = Some(status);
                     return None;
                 }
-                Notice::Flushed => return None,
-                Notice::Commit(position) => {
-                    if !self.committed(&position) {
-                        return Some(Ending::NotConfirmed);
+                RelayEvent::Flushed => return None,
+                RelayEvent::Commit(position) => {
+                    if !self.handle_commit(&position) {
+                        return Some(ExchangeResult::NotConfirmed);
                     }
                 }
-                Notice::HeldEnough => {
+                RelayEvent::HoldLimitReached => {
                     if !self.confirm().await {
-                        return Some(Ending::NotConfirmed);
+                        return Some(ExchangeResult::NotConfirmed);
                     }
                     if let Err(error) = self.relay.release_held(connection).await {
-                        return Some(caller_ending(&error));
+                        return Some(caller_error_result(&error));
                     }
                 }
-                Notice::Served(served) => self.answer.served = Some(served),
-                Notice::Error(frame) => {
-                    if let Some(ending) = self.error(connection, &frame) {
-                        return Some(ending);
+                RelayEvent::Served(served) => self.answer.served = Some(served),
+                RelayEvent::Error(frame) => {
+                    if let Some(result) = self.handle_error(connection, &frame) {
+                        return Some(result);
                     }
                 }
-                Notice::PreludeError(frame) if self.exchange.live.is_none() => {
+                RelayEvent::PreludeError(frame) if self.exchange.live.is_none() => {
                     return Some(self.refused_by_peer(&frame));
                 }
-                // A setting that the target no longer accepts.
-                Notice::PreludeError(_) => (),
-                Notice::Copy(backend::COPY_IN_RESPONSE_TAG) => self.fail_copy(connection).await,
-                // The caller would take the data for an answer that it did not ask for.
-                Notice::Copy(_) => return Some(self.failed(Failure::Broken)),
+                // The target no longer accepts one of the session's settings. This does not fail the
+                // request.
+                RelayEvent::PreludeError(_) => (),
+                RelayEvent::Copy(backend::COPY_IN_RESPONSE_TAG) => self.fail_copy(connection).await,
+                // The caller did not ask for COPY and would misread the data.
+                RelayEvent::Copy(_) => return Some(self.failure_result(Failure::Broken)),
             }
         }
     }
 
-    /// From a commit on the answer is held back: its success may not be seen before it is confirmed.
-    /// Returns whether the position can be read. Nothing confirms one that can't, and a success passed
-    /// on regardless could be a write that the next primary lacks.
-    fn committed(&mut self, position: &str) -> bool {
+    /// Holds the answer back from a commit on, since success must not be visible before the commit is
+    /// confirmed.
+    ///
+    /// Returns false if the position can't be parsed. Such a commit can't be confirmed, and reporting
+    /// its success could acknowledge a write that the next primary lacks.
+    fn handle_commit(&mut self, position: &str) -> bool {
         let Ok(position) = position.parse::<LogPosition>() else { return false };
         self.answer.commit = self.answer.commit.max(Some(position));
         self.answer.confirmed = self.exchange.live.is_none();
@@ -240,52 +248,65 @@
         let (Some(live), Some(position)) = (self.exchange.live, self.answer.commit) else {
             return true;
         };
-        let deadline = self.exchange.traffic.confirm_deadline(self.exchange.stakes.deadline);
+        let deadline = self.exchange.traffic.confirm_deadline(self.exchange.retry_context.deadline);
         let verdict = acknowledge::wait(live, position, deadline).await;
-        self.answer.confirmed = verdict == Verdict::Confirmed;
+        self.answer.confirmed = verdict == Confirmation::Confirmed;
         self.answer.confirmed
     }
 
-    fn error(&mut self, connection: &mut TargetConnection, frame: &[u8]) -> Option<Ending> {
-        let stakes = &self.exchange.stakes;
+    fn handle_error(
+        &mut self,
+        connection: &mut TargetConnection,
+        frame: &[u8],
+    ) -> Option<ExchangeResult> {
+        let retry_context = &self.exchange.retry_context;
         let is_fatal = is_fatal(frame);
-        let is_first = !self.relay.passed_on
+        let is_first = !self.relay.sent_to_caller
             && self.answer.commit.is_none()
             && !self.answer.has_error
-            && !stakes.in_transaction;
+            && !retry_context.in_transaction;
         self.answer.has_error = true;
         if !is_first && !is_fatal {
-            self.relay.add(connection, frame);
+            self.relay.append(connection, frame);
             return None;
         }
-        let said = self.said(frame);
-        // A declared read that turns out to write is the caller's own error.
-        let own_error = stakes.effect == Effect::Read && is_code(&said, b"25006");
-        let verdict = match own_error {
+        let reported_failure = self.reported_failure(frame);
+        // A declared read that writes fails with 25006 (read_only_sql_transaction), an error of the
+        // caller, not a sign that the target is no longer the primary.
+        let is_caller_error =
+            retry_context.effect == Effect::Read && has_sqlstate(&reported_failure, b"25006");
+        let verdict = match is_caller_error {
             true => RetryVerdict::PassThrough,
-            false => self.decide(said, self.answer_stage()),
+            false => self.decide(reported_failure, self.answer_stage()),
         };
         if verdict != RetryVerdict::PassThrough {
             let stage = self.answer_stage();
             let is_refusal = !is_fatal && self.exchange.live.is_none();
             let refusal = is_refusal.then(|| BytesMut::from(frame));
-            let failed = Failed { verdict, failure: said, stage, broken: is_fatal, refusal };
-            return Some(self.unless_torn(Ending::Failed(failed)));
+            let failed = FailedAttempt {
+                verdict,
+                failure: reported_failure,
+                stage,
+                broken: is_fatal,
+                refusal,
+            };
+            return Some(self.unless_partial_message(ExchangeResult::FailedAttempt(failed)));
         }
-        self.relay.add(connection, frame);
-        is_fatal.then(|| Ending::Farewell(BytesMut::from(frame)))
+        self.relay.append(connection, frame);
+        is_fatal.then(|| ExchangeResult::Terminated(BytesMut::from(frame)))
     }
 
-    /// Another proxy refused the context of the request, and with it the request.
-    fn refused_by_peer(&mut self, frame: &[u8]) -> Ending {
-        let said = self.said(frame);
-        match self.decide(said, Stage::Sent) {
-            RetryVerdict::PassThrough => Ending::Farewell(BytesMut::from(frame)),
+    /// Handles an error in the prelude: another proxy refused the context of the request, and therefore
+    /// the request.
+    fn refused_by_peer(&mut self, frame: &[u8]) -> ExchangeResult {
+        let reported_failure = self.reported_failure(frame);
+        match self.decide(reported_failure, Stage::Sent) {
+            RetryVerdict::PassThrough => ExchangeResult::Terminated(BytesMut::from(frame)),
             verdict => {
                 let stage = Stage::Sent;
-                Ending::Failed(Failed {
+                ExchangeResult::FailedAttempt(FailedAttempt {
                     verdict,
-                    failure: said,
+                    failure: reported_failure,
                     stage,
                     broken: true,
                     refusal: None,
@@ -294,7 +315,7 @@
         }
     }
 
-    fn said(&self, frame: &[u8]) -> Failure {
+    fn reported_failure(&self, frame: &[u8]) -> Failure {
         let sqlstate = frames::error_field(frame, b'C').unwrap_or("");
         let sqlstate = sqlstate.as_bytes().try_into().unwrap_or(*b"XX000");
         let detail = frames::error_field(frame, b'D').unwrap_or("");
@@ -305,9 +326,9 @@
         Failure::Said { sqlstate, claimed }
     }
 
-    /// How far an answer has come whose latest message is an error.
+    /// Returns the stage of an answer whose latest message is an error.
     fn answer_stage(&self) -> Stage {
-        match (self.relay.passed_on, self.relay.has_pending()) {
+        match (self.relay.sent_to_caller, self.relay.has_pending()) {
             (true, _) => Stage::AnswerRelayed,
             (false, true) => Stage::AnswerStarted,
             (false, false) => Stage::Sent,
@@ -319,8 +340,8 @@
         let sent_bytes = encoded.bytes.len() - self.unsent.len();
         let is_simple = encoded.replies.is_none();
         match () {
-            _ if self.relay.passed_on => Stage::AnswerRelayed,
-            _ if self.relay.begun => Stage::AnswerStarted,
+            _ if self.relay.sent_to_caller => Stage::AnswerRelayed,
+            _ if self.relay.answer_begun => Stage::AnswerStarted,
             _ if sent_bytes == 0 => Stage::NothingSent,
             _ if sent_bytes <= encoded.prelude_bytes => Stage::PartlySent,
             _ if is_simple && !self.unsent.is_empty() => Stage::PartlySent,
@@ -329,53 +350,67 @@
     }
 
     fn decide(&self, failure: Failure, stage: Stage) -> RetryVerdict {
-        let stakes = &self.exchange.stakes;
+        let retry_context = &self.exchange.retry_context;
         let attempt = Attempt {
-            effect: if self.answer.commit.is_some() { Effect::Commit } else { stakes.effect },
+            effect: if self.answer.commit.is_some() {
+                Effect::Commit
+            } else {
+                retry_context.effect
+            },
             stage,
-            in_transaction: stakes.in_transaction,
+            in_transaction: retry_context.in_transaction,
             failure,
-            retries: stakes.retries,
+            retries: retry_context.retries,
         };
-        let left = stakes.deadline.saturating_duration_since(Instant::now());
-        retry::decide(&attempt, stakes.budget, left.as_micros() as u64)
+        let left = retry_context.deadline.saturating_duration_since(Instant::now());
+        retry::decide(&attempt, retry_context.budget, left.as_micros() as u64)
     }
 
-    fn failed(&self, failure: Failure) -> Ending {
+    fn failure_result(&self, failure: Failure) -> ExchangeResult {
         let stage = self.stage();
         let verdict = match self.decide(failure, stage) {
-            // There is nothing to pass on where no answer came.
+            // Without an ErrorResponse there is nothing to relay.
             RetryVerdict::PassThrough => RetryVerdict::Answer(ErrorKind::AnswerLost),
             verdict => verdict,
         };
         let broken = failure == Failure::Broken;
-        self.unless_torn(Ending::Failed(Failed { verdict, failure, stage, broken, refusal: None }))
+        self.unless_partial_message(ExchangeResult::FailedAttempt(FailedAttempt {
+            verdict,
+            failure,
+            stage,
+            broken,
+            refusal: None,
+        }))
     }
 
-    fn unless_torn(&self, ending: Ending) -> Ending {
+    fn unless_partial_message(&self, result: ExchangeResult) -> ExchangeResult {
         match self.relay.is_within_frame() {
-            true => Ending::Torn,
-            false => ending,
+            true => ExchangeResult::PartialMessage,
+            false => result,
         }
     }
 
-    /// Ends a COPY that got past the look at the statement's text.
+    /// Aborts a COPY that the classification of the statement's text missed.
     async fn fail_copy(&mut self, connection: &mut TargetConnection) {
-        self.copying.clear();
-        let _ = frontend::copy_fail("COPY is not supported", &mut self.copying);
-        let stall = self.exchange.traffic.limits.slow_reader();
-        // A connection that breaks here shows at the next read.
-        let _ =
-            crate::connection::socket::write_all(&connection.stream, &self.copying, stall).await;
+        self.copy_fail_message.clear();
+        let _ = frontend::copy_fail("COPY is not supported", &mut self.copy_fail_message);
+        let stall_timeout = self.exchange.traffic.limits.slow_reader();
+        // A write error is ignored: the next read reports a broken connection.
+        let _ = crate::connection::socket::write_all(
+            &connection.stream,
+            &self.copy_fail_message,
+            stall_timeout,
+        )
+        .await;
     }
 }
 
-fn caller_ending(error: &RelayError) -> Ending {
+fn caller_error_result(error: &RelayError) -> ExchangeResult {
     match error {
         RelayError::Caller(error) if error.kind() == std::io::ErrorKind::TimedOut => {
-            Ending::CallerTooSlow
+            ExchangeResult::CallerTooSlow
         }
-        _ => Ending::CallerGone,
+        _ => ExchangeResult::CallerGone,
     }
 }
 
@@ -384,11 +419,11 @@
     matches!(severity, Some("FATAL" | "PANIC"))
 }
 
-fn is_code(failure: &Failure, code: &[u8; 5]) -> bool {
+fn has_sqlstate(failure: &Failure, code: &[u8; 5]) -> bool {
     matches!(failure, Failure::Said { sqlstate, .. } if sqlstate == code)
 }
 
-/// The outcome that another proxy's answer states.
+/// Returns the outcome stated in another proxy's error detail.
 fn claimed_outcome(detail: &str) -> Option<Outcome> {
     let all = [Outcome::NotRun, Outcome::Ran, Outcome::Unknown];
     all.into_iter().find(|outcome| outcome.description() == detail)
--- a/crates/proxy/src/request/mod.rs
+++ b/crates/proxy/src/request/mod.rs
@@ -1,8 +1,9 @@
-//! What lives as long as one request.
+//! The processing of one request, from parsing to its answer.
 
 pub mod acknowledge;
 pub mod answer;
 pub mod batch;
+pub mod caller_request;
 pub mod context;
 pub mod exchange;
 pub mod execute;
@@ -11,4 +12,3 @@
 pub mod refusal;
 pub mod route;
 pub mod statement;
-pub mod unit;
--- a/crates/proxy/src/request/statement.rs
+++ b/crates/proxy/src/request/statement.rs
@@ -1,72 +1,75 @@
-//! What the text of a statement shows without an SQL parser: its parts, and the first word of each.
+//! Classification of query texts without an SQL parser: a text is split into statements, which are
+//! classified by their first keyword.
 //!
-//! Every answer errs to the safe side. A text that only might write is no read, one that only might
-//! commit may have committed, and one that only might change its session has it reset.
+//! Every answer errs on the safe side. A text that might write is not a read, one that might commit is
+//! treated as if it committed, and one that might change its session causes a reset.
 
-/// What the proxy needs to know of a query text.
+/// Properties of a query text that routing, retries and pooling depend on.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct StatementTraits {
-    /// Every part only reads, so it may go to a replica if the caller declared a read.
+    /// Whether all statements only read, so that the text may go to a replica if the caller declared a
+    /// read.
     pub only_reads: bool,
-    /// Some part may end a transaction with a commit, apart from the implicit one.
+    /// Whether some statement may commit a transaction explicitly; the implicit commit at the end of a
+    /// query does not count.
     pub may_commit: bool,
-    /// Some part may change the state of the target's session beyond the transaction.
+    /// Whether some statement may change the state of the target's session beyond the transaction.
     pub changes_session: bool,
-    /// Some part is a COPY.
-    pub copies: bool,
-    /// Some part opens a transaction that may write.
+    /// Whether some statement is a COPY.
+    pub has_copy: bool,
+    /// Whether some statement opens a transaction that may write.
     pub opens_writable: bool,
-    /// The text is one statement that opens a transaction.
+    /// The access mode if the text is a single statement that opens a transaction.
     pub begins: Option<Access>,
-    /// The text is one SET or RESET of a parameter for the session.
-    pub sets: bool,
-    /// There is no statement in the text.
+    /// Whether the text is a single `SET` or `RESET` of a session parameter.
+    pub sets_parameter: bool,
+    /// Whether the text contains no statement.
     pub is_empty: bool,
 }
 
-/// The access that a statement opening a transaction asks for.
+/// The access mode in a statement that opens a transaction.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Access {
     /// `READ ONLY`.
     ReadOnly,
     /// `READ WRITE`.
     ReadWrite,
-    /// Neither is said.
-    Unsaid,
+    /// No access mode is given, so the session's default applies.
+    Unspecified,
 }
 
 impl StatementTraits {
-    /// Reads the text.
-    pub fn of(text: &str) -> StatementTraits {
+    /// Classifies a query text.
+    pub fn analyze(text: &str) -> StatementTraits {
         let mut all = StatementTraits {
             only_reads: true,
             may_commit: false,
             changes_session: false,
-            copies: false,
+            has_copy: false,
             opens_writable: false,
             begins: None,
-            sets: false,
+            sets_parameter: false,
             is_empty: true,
         };
-        let mut parts = 0;
-        for part in Parts::of(text) {
-            parts += 1;
-            all.add(part);
+        let mut statements = 0;
+        for statement_text in Statements::new(text) {
+            statements += 1;
+            all.add(statement_text);
         }
-        all.is_empty = parts == 0;
-        if is_opaque(text) {
+        all.is_empty = statements == 0;
+        if has_unsupported_quoting(text) {
             all.only_reads = false;
             all.may_commit = true;
             all.changes_session = true;
         }
-        if parts > 1 {
+        if statements > 1 {
             all.begins = None;
-            all.sets = false;
+            all.sets_parameter = false;
         }
         all
     }
 
-    /// What both texts together show.
+    /// Returns the traits of both texts run one after the other.
     pub fn join(self, other: StatementTraits) -> StatementTraits {
         if self.is_empty {
             return other;
@@ -78,32 +81,34 @@
             only_reads: self.only_reads && other.only_reads,
             may_commit: self.may_commit || other.may_commit,
             changes_session: self.changes_session || other.changes_session,
-            copies: self.copies || other.copies,
+            has_copy: self.has_copy || other.has_copy,
             opens_writable: self.opens_writable || other.opens_writable,
             begins: self.begins.or(other.begins),
-            sets: false,
+            sets_parameter: false,
             is_empty: false,
         }
     }
 
-    fn add(&mut self, part: &str) {
-        let keyword = first_word(part).to_ascii_uppercase();
+    fn add(&mut self, statement_text: &str) {
+        let keyword = first_word(statement_text).to_ascii_uppercase();
         let keyword = keyword.as_str();
-        self.only_reads &= only_reads(keyword, part);
-        self.may_commit |= !COMMITS_NOTHING.contains(&keyword);
-        self.changes_session |= changes_session(keyword, part);
-        self.copies |= keyword == "COPY";
-        self.sets = matches!(keyword, "SET" | "RESET") && changes_session(keyword, part);
+        self.only_reads &= only_reads(keyword, statement_text);
+        self.may_commit |= !NEVER_COMMIT.contains(&keyword);
+        self.changes_session |= changes_session(keyword, statement_text);
+        self.has_copy |= keyword == "COPY";
+        self.sets_parameter =
+            matches!(keyword, "SET" | "RESET") && changes_session(keyword, statement_text);
         if matches!(keyword, "BEGIN" | "START") {
-            let access = access(part);
+            let access = access(statement_text);
             self.begins = Some(access);
             self.opens_writable |= access != Access::ReadOnly;
         }
     }
 }
 
-/// Statements that can't contain a commit. A procedure (`CALL`, `DO`) can.
-const COMMITS_NOTHING: &[&str] = &[
+/// First keywords of statements that never commit. Procedures and code blocks (`CALL`, `DO`) can, so
+/// they are not listed.
+const NEVER_COMMIT: &[&str] = &[
     "SELECT",
     "INSERT",
     "UPDATE",
@@ -133,8 +138,8 @@
     "TRUNCATE",
 ];
 
-/// Statements that leave the session as it was once their transaction has ended.
-const LEAVES_SESSION: &[&str] = &[
+/// First keywords of statements that leave the session unchanged once their transaction has ended.
+const PRESERVE_SESSION: &[&str] = &[
     "SELECT",
     "INSERT",
     "UPDATE",
@@ -163,47 +168,49 @@
     "TRUNCATE",
 ];
 
-/// Words within a statement that show a change of the session: a parameter set by a function, an
-/// advisory lock, a temporary table.
-const SESSION_WORDS: &[&str] = &["set_config", "advisory", "temp"];
+/// Substrings that indicate a change of the session in a statement whose keyword does not: a parameter
+/// set by a function, an advisory lock, a temporary table.
+const SESSION_CHANGE_MARKERS: &[&str] = &["set_config", "advisory", "temp"];
 
-fn only_reads(keyword: &str, part: &str) -> bool {
+fn only_reads(keyword: &str, statement_text: &str) -> bool {
     match keyword {
-        "SELECT" | "VALUES" | "TABLE" => !contains_any(part, &["into", "for update", "for share"]),
+        "SELECT" | "VALUES" | "TABLE" => {
+            !contains_any(statement_text, &["into", "for update", "for share"])
+        }
         "SHOW" => true,
-        "EXPLAIN" => !contains_any(part, &["analy"]),
-        "WITH" => !contains_any(part, &["insert", "update", "delete", "merge", "into"]),
-        "BEGIN" | "START" => access(part) != Access::ReadWrite,
+        "EXPLAIN" => !contains_any(statement_text, &["analy"]),
+        "WITH" => !contains_any(statement_text, &["insert", "update", "delete", "merge", "into"]),
+        "BEGIN" | "START" => access(statement_text) != Access::ReadWrite,
         "COMMIT" | "END" | "ROLLBACK" | "ABORT" => true,
         _ => false,
     }
 }
 
-fn changes_session(keyword: &str, part: &str) -> bool {
+fn changes_session(keyword: &str, statement_text: &str) -> bool {
     if keyword == "SET" {
-        let second = first_word(after_word(part)).to_ascii_uppercase();
+        let second = first_word(after_first_word(statement_text)).to_ascii_uppercase();
         return !matches!(second.as_str(), "LOCAL" | "TRANSACTION" | "CONSTRAINTS");
     }
-    !LEAVES_SESSION.contains(&keyword) || contains_any(part, SESSION_WORDS)
+    !PRESERVE_SESSION.contains(&keyword) || contains_any(statement_text, SESSION_CHANGE_MARKERS)
 }
 
-fn access(part: &str) -> Access {
-    if contains_any(part, &["read only"]) {
+fn access(statement_text: &str) -> Access {
+    if contains_any(statement_text, &["read only"]) {
         return Access::ReadOnly;
     }
-    if contains_any(part, &["read write"]) {
+    if contains_any(statement_text, &["read write"]) {
         return Access::ReadWrite;
     }
-    Access::Unsaid
+    Access::Unspecified
 }
 
-/// Whether the text contains one of the lower-case words in any case, also within a literal or as
-/// part of a longer word. A run of white space counts as one blank.
+/// Returns whether the text contains one of the lower-case `words`, ignoring case. Literals and parts
+/// of longer words match too. A run of white space counts as one blank.
 fn contains_any(text: &str, words: &[&str]) -> bool {
-    words.iter().any(|word| find_ignoring_case(text.as_bytes(), word.as_bytes()))
+    words.iter().any(|word| contains_ignoring_case(text.as_bytes(), word.as_bytes()))
 }
 
-fn find_ignoring_case(text: &[u8], word: &[u8]) -> bool {
+fn contains_ignoring_case(text: &[u8], word: &[u8]) -> bool {
     (0..text.len()).any(|start| starts_ignoring_case(&text[start..], word))
 }
 
@@ -219,37 +226,37 @@
     true
 }
 
-/// The first word: letters, digits and underscores.
+/// Returns the leading run of ASCII letters, digits and underscores.
 pub fn first_word(text: &str) -> &str {
     let end = text.find(|c: char| !c.is_ascii_alphanumeric() && c != '_').unwrap_or(text.len());
     &text[..end]
 }
 
-/// What follows the first word, without leading white space.
-pub fn after_word(text: &str) -> &str {
+/// Returns the text after the first word, without leading white space.
+pub fn after_first_word(text: &str) -> &str {
     text[first_word(text).len()..].trim_start()
 }
 
-/// The statements of a text: cut at semicolons outside literals, quoted names and comments, without
-/// leading white space and comments.
+/// Iterator over the statements of a text, split at semicolons outside of literals, quoted names and
+/// comments. Leading white space and comments are stripped, empty statements are skipped.
 #[derive(Debug)]
-pub struct Parts<'a> {
+pub struct Statements<'a> {
     rest: &'a str,
 }
 
-impl<'a> Parts<'a> {
-    /// The statements of `text`.
-    pub fn of(text: &'a str) -> Parts<'a> {
-        Parts { rest: text }
+impl<'a> Statements<'a> {
+    /// Creates an iterator over the statements of `text`.
+    pub fn new(text: &'a str) -> Statements<'a> {
+        Statements { rest: text }
     }
 }
 
-impl<'a> Iterator for Parts<'a> {
+impl<'a> Iterator for Statements<'a> {
     type Item = &'a str;
 
     fn next(&mut self) -> Option<&'a str> {
         loop {
-            let text = skip_blank(self.rest);
+            let text = skip_blanks_and_comments(self.rest);
             if text.is_empty() {
                 return None;
             }
@@ -262,16 +269,16 @@
     }
 }
 
-/// Whether the text has quoting that [`Parts`] does not follow, so that a statement could hide
-/// in what looks like a literal: backslash escapes, dollar quotes, nested comments.
-fn is_opaque(text: &str) -> bool {
+/// Returns whether the text uses quoting that [`Statements`] does not handle: backslash escapes, dollar
+/// quotes or nested comments. A statement could hide in what looks like a literal.
+fn has_unsupported_quoting(text: &str) -> bool {
     let bytes = text.as_bytes();
     let dollar_quote = bytes.windows(2).any(|pair| pair[0] == b'$' && !pair[1].is_ascii_digit());
     dollar_quote || bytes.contains(&b'\\') || text.matches("/*").count() > 1
 }
 
-/// Skips white space and comments.
-fn skip_blank(mut text: &str) -> &str {
+/// Strips leading white space and comments.
+fn skip_blanks_and_comments(mut text: &str) -> &str {
     loop {
         text = text.trim_start();
         text = if text.starts_with("--") {
@@ -284,21 +291,21 @@
     }
 }
 
-/// The place of the semicolon that ends the first statement, or the length of the text.
+/// Returns the offset of the semicolon that ends the first statement, or the length of the text.
 fn statement_end(text: &str) -> usize {
     let bytes = text.as_bytes();
-    let mut at = 0;
-    while at < bytes.len() {
-        match bytes[at] {
-            b';' => return at,
-            quote @ (b'\'' | b'"') => at = after_quoted(bytes, at, quote),
-            b'-' if bytes[at + 1..].first() == Some(&b'-') => {
-                at += text[at..].find('\n').unwrap_or(text.len() - at);
+    let mut offset = 0;
+    while offset < bytes.len() {
+        match bytes[offset] {
+            b';' => return offset,
+            quote @ (b'\'' | b'"') => offset = after_quoted(bytes, offset, quote),
+            b'-' if bytes[offset + 1..].first() == Some(&b'-') => {
+                offset += text[offset..].find('\n').unwrap_or(text.len() - offset);
             }
-            b'/' if bytes[at + 1..].first() == Some(&b'*') => {
-                at += text[at..].find("*/").map_or(text.len() - at, |end| end + 2);
+            b'/' if bytes[offset + 1..].first() == Some(&b'*') => {
+                offset += text[offset..].find("*/").map_or(text.len() - offset, |end| end + 2);
             }
-            _ => at += 1,
+            _ => offset += 1,
         }
     }
     text.len()
