--- a/crates/proxy/src/sessions/connection/peer.rs
+++ b/crates/proxy/src/sessions/connection/peer.rs
@@ -35,7 +35,7 @@
 use crate::sessions::connection::reply::Lost;
 use crate::sessions::connection::reply::Reply;
 use crate::sessions::process::feed;
-use crate::sessions::process::feed::tell;
+use crate::sessions::process::feed::publisher;
 use crate::sessions::process::gateway::Gateway;
 use crate::sessions::process::limits;
 use crate::sessions::process::quota::answer;
@@ -97,8 +97,8 @@
     let mut input = BytesMut::new();
     let first = next_message::<C>(&stream, &mut input);
     let Ok(Some(message)) = time::timeout(limits::STARTUP_LIMIT, first).await else { return };
-    if let Some(known_version) = feed::subscribed_from(&message) {
-        return tell::tell(gateway, stream, known_version).await;
+    if let Some(known_version) = feed::parse_subscription(&message) {
+        return publisher::serve(gateway, stream, known_version).await;
     }
     if answer::is_question(&message) {
         return answer::answer(&gateway, &stream, message, input).await;
--- a/crates/proxy/src/sessions/process/cluster_state.rs
+++ b/crates/proxy/src/sessions/process/cluster_state.rs
@@ -24,15 +24,15 @@
 
 impl ClusterState {
     /// The listed target of this name.
-    fn named(&self, name: &str) -> Option<Arc<str>> {
-        let named = self.targets.values().find(|member| &*member.record.name == name);
-        named.map(|member| Arc::clone(&member.record.id))
+    fn id_by_name(&self, name: &str) -> Option<Arc<str>> {
+        let id_by_name = self.targets.values().find(|member| &*member.record.name == name);
+        id_by_name.map(|member| Arc::clone(&member.record.id))
     }
 
     /// A target is listed.
-    fn list(&mut self, member: Member, now_us: u64) {
+    fn insert_member(&mut self, member: Member, now_us: u64) {
         let id = Arc::clone(&member.record.id);
-        self.lapsed.remove(&id);
+        self.expired.remove(&id);
         self.departures_of(&member.record.service, now_us).returned(&id);
         self.targets.insert(id, member);
     }
@@ -59,24 +59,24 @@
     }
 
     /// Takes in a configuration.
-    pub fn take_routes(&self, routes: Arc<RouteTable>) {
-        self.put_in_force(&mut self.known.lock(), routes);
+    pub fn apply_routes(&self, routes: Arc<RouteTable>) {
+        self.install_routes(&mut self.known.lock(), routes);
     }
 
     /// Takes in what changed of the configuration. Returns whether it follows from the version that is
     /// known, or is known already.
-    pub fn take_route_changes(&self, changes: &RouteChanges) -> bool {
+    pub fn apply_route_changes(&self, changes: &RouteChanges) -> bool {
         let mut known = self.known.lock();
         let Some(present) = &known.routes else { return false };
         if present.version >= changes.version {
             return true;
         }
         let Some(next) = changes.applied_to(present) else { return false };
-        self.put_in_force(&mut known, Arc::new(next));
+        self.install_routes(&mut known, Arc::new(next));
         true
     }
 
-    fn put_in_force(&self, known: &mut ClusterState, routes: Arc<RouteTable>) {
+    fn install_routes(&self, known: &mut ClusterState, routes: Arc<RouteTable>) {
         // A stale answer must not bring back what was changed.
         if known.routes.as_ref().is_some_and(|present| present.version >= routes.version) {
             return;
@@ -87,42 +87,42 @@
         self.publish(known);
     }
 
-    pub(super) fn take_list(&self, revision: u64, listed: Vec<ListedTarget>) {
+    pub(super) fn apply_target_list(&self, revision: u64, listed: Vec<ListedTarget>) {
         let mut known = self.known.lock();
         let member = |target: ListedTarget| {
             let before = known.targets.get(&target.record.id);
             member_of(target, before)
         };
         let members = listed.into_iter().map(member).collect();
-        self.replace_all(&mut known, revision, members);
+        self.replace_targets(&mut known, revision, members);
     }
 
     /// Takes in all targets as another process knows them, unless they are older than what is known.
-    pub fn take_members(&self, list: &TargetList) {
+    pub fn apply_target_snapshot(&self, list: &TargetList) {
         let mut known = self.known.lock();
         if list.revision >= known.targets_revision {
-            self.replace_all(&mut known, list.revision, list.entries.clone());
+            self.replace_targets(&mut known, list.revision, list.entries.clone());
         }
     }
 
-    fn replace_all(&self, known: &mut ClusterState, revision: u64, members: Vec<Member>) {
+    fn replace_targets(&self, known: &mut ClusterState, revision: u64, members: Vec<Member>) {
         known.targets_revision = revision;
         let now_us = self.gateway.clock.now_us();
         let mut previous = std::mem::take(&mut known.targets);
         for member in members {
             previous.remove(&member.record.id);
-            known.list(member, now_us);
+            known.insert_member(member, now_us);
         }
         for (_, member) in previous {
-            match known.named(&member.record.name) {
-                Some(_) => self.leave(known, &member),
-                None => self.missing(known, member),
+            match known.id_by_name(&member.record.name) {
+                Some(_) => self.record_departure(known, &member),
+                None => self.handle_unlisted(known, member),
             }
         }
         self.publish(known);
     }
 
-    pub(super) fn take_changes(&self, revision: u64, changes: Vec<TargetChange>) {
+    pub(super) fn apply_target_changes(&self, revision: u64, changes: Vec<TargetChange>) {
         let mut known = self.known.lock();
         known.targets_revision = revision;
         if changes.is_empty() {
@@ -132,25 +132,25 @@
         for change in changes {
             match change {
                 TargetChange::Listed(target) => {
-                    let earlier = known.named(&target.record.name);
+                    let earlier = known.id_by_name(&target.record.name);
                     if let Some(id) = earlier.filter(|earlier| *earlier != target.record.id)
                         && let Some(member) = known.targets.remove(&id)
                     {
                         // It started again under its name, and what it held is gone.
-                        self.leave(&mut known, &member);
+                        self.record_departure(&mut known, &member);
                     }
                     let before = known.targets.remove(&target.record.id);
                     let member = member_of(target, before.as_ref());
                     if before.as_ref() != Some(&member) {
                         self.log_member(&member);
                     }
-                    known.list(member, now_us);
+                    known.insert_member(member, now_us);
                 }
                 TargetChange::Removed(name) => {
-                    if let Some(id) = known.named(&name)
+                    if let Some(id) = known.id_by_name(&name)
                         && let Some(member) = known.targets.remove(&id)
                     {
-                        self.missing(&mut known, member);
+                        self.handle_unlisted(&mut known, member);
                     }
                 }
             }
@@ -159,18 +159,18 @@
     }
 
     /// Gives up the targets that lapsed while the store was away and did not come back.
-    pub fn drop_lapsed(&self) {
+    pub fn drop_expired(&self) {
         if !self.list_is_settled() {
             return;
         }
         let mut known = self.known.lock();
-        let lapsed = std::mem::take(&mut known.lapsed);
-        let gone: Vec<Member> = lapsed.iter().filter_map(|id| known.targets.remove(id)).collect();
+        let expired = std::mem::take(&mut known.expired);
+        let gone: Vec<Member> = expired.iter().filter_map(|id| known.targets.remove(id)).collect();
         if gone.is_empty() {
             return;
         }
         for member in gone {
-            self.leave(&mut known, &member);
+            self.record_departure(&mut known, &member);
         }
         self.publish(&mut known);
     }
@@ -178,19 +178,19 @@
     /// A target is no longer listed. One that may have lapsed only because the store was away is kept
     /// until the list is settled: the targets that live are back within 2 s, and without them all
     /// requests of their services would be refused until then.
-    fn missing(&self, known: &mut ClusterState, member: Member) {
-        let may_be_back = !member.record.leaving && !self.is_settled(known);
-        if may_be_back {
+    fn handle_unlisted(&self, known: &mut ClusterState, member: Member) {
+        let may_return = !member.record.leaving && !self.is_settled(known);
+        if may_return {
             slog::info!(self.gateway.log, "target lapsed, perhaps for a moment";
                 "target" => &*member.record.id);
-            known.lapsed.insert(Arc::clone(&member.record.id));
+            known.expired.insert(Arc::clone(&member.record.id));
             known.targets.insert(Arc::clone(&member.record.id), member);
         } else {
-            self.leave(known, &member);
+            self.record_departure(known, &member);
         }
     }
 
-    fn leave(&self, known: &mut ClusterState, member: &Member) {
+    fn record_departure(&self, known: &mut ClusterState, member: &Member) {
         slog::info!(self.gateway.log, "target no longer listed";
             "target" => &*member.record.id,
             "service" => &*member.record.service,
@@ -219,57 +219,57 @@
         for members in services.values_mut() {
             members.sort_by(|a, b| a.record.id.cmp(&b.record.id));
         }
-        self.tell_departures(known);
+        self.publish_departures(known);
         let view = View { number: known.number, routes: known.routes.clone(), services };
         self.gateway.publish(view);
-        self.tell(known);
+        self.update_feed(known);
     }
 
     /// Puts what is known where those that this process tells find it. That costs processor time, so it is
     /// left out where nobody would be told.
-    fn tell(&self, known: &ClusterState) {
+    fn update_feed(&self, known: &ClusterState) {
         let outbox = &self.gateway.outbox;
-        if !self.gateway.is_watcher() && outbox.bulletin.receiver_count() == 0 {
+        if !self.gateway.is_watcher() && outbox.feed_state.receiver_count() == 0 {
             return;
         }
         let members = known.targets.values().cloned().collect();
         let targets = TargetList::new(known.targets_revision, members);
-        outbox.put(known.number, known.routes.as_ref(), targets);
+        outbox.update(known.number, known.routes.as_ref(), targets);
     }
 
     /// Brings what others are told up to date: those that began to ask find what was not put there
     /// while there was nobody to tell.
-    pub fn tell_state(&self) {
+    pub fn refresh_feed(&self) {
         let known = self.known.lock();
-        let is_current = self.gateway.outbox.bulletin.borrow().number == known.number;
+        let is_current = self.gateway.outbox.feed_state.borrow().number == known.number;
         if !is_current && !known.targets.is_empty() {
-            self.tell(&known);
+            self.update_feed(&known);
         }
         let (news, is_settled) = (self.news(&known), self.is_settled(&known));
         let zone_is_cut = self.gateway.zone_is_cut();
-        self.gateway.outbox.bulletin.send_if_modified(|bulletin| {
-            let changes = bulletin.news != news
-                || bulletin.is_settled != is_settled
-                || bulletin.zone_is_cut != zone_is_cut;
-            bulletin.news = news;
-            bulletin.zone_is_cut = zone_is_cut;
-            bulletin.is_settled = is_settled;
+        self.gateway.outbox.feed_state.send_if_modified(|feed_state| {
+            let changes = feed_state.news != news
+                || feed_state.is_settled != is_settled
+                || feed_state.zone_is_cut != zone_is_cut;
+            feed_state.news = news;
+            feed_state.zone_is_cut = zone_is_cut;
+            feed_state.is_settled = is_settled;
             changes
         });
     }
 
     /// Takes in a list of VMs, from the store or from another process, unless it is older than what is
     /// known.
-    pub fn take_vms(&self, list: Arc<VmList>) {
+    pub fn apply_vms(&self, list: Arc<VmList>) {
         let mut known = self.known.lock();
         if list.revision < known.vms_revision {
             return;
         }
         known.vms_revision = list.revision;
         drop(known);
-        let is_new = self.gateway.outbox.bulletin.send_if_modified(|bulletin| {
-            let changes = bulletin.vms.entries != list.entries;
-            bulletin.vms = Arc::clone(&list);
+        let is_new = self.gateway.outbox.feed_state.send_if_modified(|feed_state| {
+            let changes = feed_state.vms.entries != list.entries;
+            feed_state.vms = Arc::clone(&list);
             changes
         });
         if is_new || !self.gateway.knows_vms() {
--- a/crates/proxy/src/sessions/process/control.rs
+++ b/crates/proxy/src/sessions/process/control.rs
@@ -11,7 +11,7 @@
 
 use crate::sessions::codec::Codec;
 use crate::sessions::process::counted_store::CountedStore;
-use crate::sessions::process::feed::listen;
+use crate::sessions::process::feed::subscriber;
 use crate::sessions::process::gateway::Gateway;
 use crate::sessions::process::isolation::Isolation;
 use crate::sessions::process::takeover;
@@ -71,7 +71,7 @@
     tokio::spawn(async move { configuration.follow_configuration().await });
     tokio::spawn(async move { targets.follow_targets().await });
     tokio::spawn(zone_reach::follow(Arc::clone(&gateway)));
-    tokio::spawn(listen::listen(Arc::clone(&watcher), Arc::clone(&gateway)));
+    tokio::spawn(subscriber::run(Arc::clone(&watcher), Arc::clone(&gateway)));
     let mut isolation = Isolation::new(&gateway);
     let mut looks = time::interval(takeover::LOOK_INTERVAL);
     looks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -79,9 +79,9 @@
         looks.tick().await;
         let knows_targets = !gateway.view().services.is_empty() && gateway.knows_vms();
         gateway.serves.store(knows_targets, Ordering::Relaxed);
-        watcher.drop_lapsed();
+        watcher.drop_expired();
         gateway.list_is_complete.store(watcher.list_is_complete(), Ordering::Relaxed);
-        watcher.tell_state();
+        watcher.refresh_feed();
         takeovers.look();
         isolation.look();
     }
--- a/crates/proxy/src/sessions/process/departed.rs
+++ b/crates/proxy/src/sessions/process/departed.rs
@@ -13,7 +13,7 @@
 impl ClusterState {
     /// Whether a target of this name is listed. The name of one that started again stands for its new
     /// start, which holds nothing of what the earlier one held and must not answer for it.
-    fn lists(&self, name: &str) -> bool {
+    fn lists_name(&self, name: &str) -> bool {
         self.targets.values().any(|listed| &*listed.record.name == name)
     }
 }
@@ -51,7 +51,7 @@
     }
 
     /// Puts what is known of departures where requests find it.
-    pub(super) fn tell_departures(&self, known: &ClusterState) {
+    pub(super) fn publish_departures(&self, known: &ClusterState) {
         for (service, departures) in &known.departures {
             self.gateway.service(service).set_departed(departures);
         }
@@ -67,7 +67,7 @@
         };
         let needed = departures.needed().filter(|(id, _)| Some(*id) != primary);
         let (lost, away): (Vec<_>, Vec<_>) =
-            needed.map(|(_, record)| Arc::clone(record)).partition(|it| known.lists(&it.name));
+            needed.map(|(_, record)| Arc::clone(record)).partition(|it| known.lists_name(&it.name));
         DepartedMembers { away, lost: lost.len(), floor: departures.floor() }
     }
 
@@ -77,7 +77,7 @@
         let Some(departures) = known.departures.get(service) else { return Vec::new() };
         let gone = departures
             .dispensable()
-            .filter(|(id, record)| Some(*id) != primary && !known.lists(&record.name));
+            .filter(|(id, record)| Some(*id) != primary && !known.lists_name(&record.name));
         gone.map(|(_, record)| Arc::clone(record)).collect()
     }
 
--- a/crates/proxy/src/sessions/process/feed/mod.rs
+++ b/crates/proxy/src/sessions/process/feed/mod.rs
@@ -1,10 +1,10 @@
 //! Configuration and targets from another proxy instead of the platform's store.
 //!
 //! Each change wakes every watch at the store, and each answer is paid for. So with many VMs only a few
-//! in each availability zone watch the store, and tell the others there as soon as they know ([`tell`]).
+//! in each availability zone watch the store, and tell the others there as soon as they know ([`publisher`]).
 //! They also tell that the store does not answer, and that it does again, so that the others need not try.
 //! One that is not told for a while turns to the next watcher, then to those of other zones, and watches
-//! the store by itself while it finds none ([`listen`]).
+//! the store by itself while it finds none ([`subscriber`]).
 //!
 //! A watcher has no better link than those that it tells, and its own link also carries its callers and
 //! its own watch. So it is told what the others know and sends what changed since, and no more than a
@@ -12,10 +12,10 @@
 //! what there is to tell.
 
 pub mod frame;
-pub mod listen;
 pub mod listing;
 pub mod outbox;
-pub mod tell;
+pub mod publisher;
+pub mod subscriber;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 use crate::sessions::version::view::Member;
 
 /// How often a sign of life is sent.
-const SIGN_OF_LIFE: Duration = Duration::from_millis(1_000);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// The word by which a proxy asks to be told. The version of the configuration that it knows follows.
 const SUBSCRIBE: &str = "SUBSCRIBE";
@@ -70,10 +70,10 @@
 }
 
 /// The version that one who asks to be told knows; none if the message asks for something else.
-pub fn subscribed_from(message: &[u8]) -> Option<u64> {
+pub fn parse_subscription(message: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(message).ok()?;
-    let (word, version) = text.trim_end().split_once(' ')?;
-    if word != SUBSCRIBE {
+    let (command, version) = text.trim_end().split_once(' ')?;
+    if command != SUBSCRIBE {
         return None;
     }
     version.parse().ok()
--- a/crates/proxy/src/sessions/process/feed/outbox.rs
+++ b/crates/proxy/src/sessions/process/feed/outbox.rs
@@ -28,14 +28,14 @@
 /// How many are sent a configuration or a large message at the same time. Each has a send buffer of
 /// 64 KB, so what callers wait behind on a link of 10 Mbit/s is 0.2 s long (reckoned). With 14 at once up
 /// to 2.7 MB were sent in one second, and the watcher's own calls to the store got no answer in 3.3 s.
-const TURNS: usize = 4;
+const MAX_LARGE_SENDS: usize = 4;
 
 /// From how many earlier lists the changes are kept encoded.
-const LISTS_KNOWN: usize = 8;
+const MAX_CACHED_LISTS: usize = 8;
 
 /// What a watcher has to tell now.
 #[derive(Clone, Debug)]
-pub struct Bulletin {
+pub struct FeedState {
     /// The publication of this process that it tells of; zero before the first.
     pub number: u64,
     /// The version of the configuration; zero while there is none.
@@ -52,9 +52,9 @@
     pub vms: Arc<VmList>,
 }
 
-impl Default for Bulletin {
-    fn default() -> Bulletin {
-        Bulletin {
+impl Default for FeedState {
+    fn default() -> FeedState {
+        FeedState {
             number: 0,
             version: 0,
             targets: Arc::default(),
@@ -66,10 +66,10 @@
     }
 }
 
-impl Bulletin {
+impl FeedState {
     /// The sign of life that goes with it.
-    pub(super) fn sign_of_life(&self) -> Message {
-        let Bulletin { version, news, is_settled, zone_is_cut, .. } = *self;
+    pub(super) fn heartbeat(&self) -> Message {
+        let FeedState { version, news, is_settled, zone_is_cut, .. } = *self;
         let (store_answers, relayed) = match news {
             StoreNews::Answers => (true, false),
             StoreNews::Relayed => (true, true),
@@ -119,7 +119,7 @@
             return Arc::clone(frame);
         }
         let frame = frame::encode(&message(before.changes_to(newest)));
-        if self.frames.len() == LISTS_KNOWN {
+        if self.frames.len() == MAX_CACHED_LISTS {
             self.frames.remove(0);
         }
         self.frames.push((Arc::clone(before), Arc::clone(&frame)));
@@ -143,9 +143,9 @@
 #[derive(Debug)]
 pub struct Outbox {
     /// What there is to tell now.
-    pub bulletin: watch::Sender<Bulletin>,
+    pub feed_state: watch::Sender<FeedState>,
     /// Held while a configuration or a large message is sent.
-    pub(super) turns: Semaphore,
+    pub(super) send_permits: Semaphore,
     /// What changed of the lists.
     pub(super) target_changes: Mutex<ChangeFrames<Member>>,
     pub(super) vm_changes: Mutex<ChangeFrames<VmAddress>>,
@@ -155,8 +155,8 @@
 impl Default for Outbox {
     fn default() -> Outbox {
         Outbox {
-            bulletin: watch::Sender::default(),
-            turns: Semaphore::new(TURNS),
+            feed_state: watch::Sender::default(),
+            send_permits: Semaphore::new(MAX_LARGE_SENDS),
             target_changes: Mutex::default(),
             vm_changes: Mutex::default(),
             configurations: Mutex::default(),
@@ -166,19 +166,19 @@
 
 impl Outbox {
     /// Has configuration and targets of a publication told from now on.
-    pub fn put(&self, number: u64, routes: Option<&Arc<RouteTable>>, targets: TargetList) {
-        let version = self.take_in(routes);
-        self.bulletin.send_modify(|bulletin| {
-            bulletin.number = number;
-            bulletin.version = version;
-            if *bulletin.targets != targets {
-                bulletin.targets = Arc::new(targets);
+    pub fn update(&self, number: u64, routes: Option<&Arc<RouteTable>>, targets: TargetList) {
+        let version = self.push_configuration(routes);
+        self.feed_state.send_modify(|feed_state| {
+            feed_state.number = number;
+            feed_state.version = version;
+            if *feed_state.targets != targets {
+                feed_state.targets = Arc::new(targets);
             }
         });
     }
 
     /// Takes in a configuration. Returns the newest version.
-    fn take_in(&self, routes: Option<&Arc<RouteTable>>) -> u64 {
+    fn push_configuration(&self, routes: Option<&Arc<RouteTable>>) -> u64 {
         let mut configurations = self.configurations.lock();
         if routes.is_some_and(|routes| configurations.recent.push(routes)) {
             configurations.frames.clear();
--- a/crates/proxy/src/sessions/process/feed/listen.rs
+++ b/crates/proxy/src/sessions/process/feed/subscriber.rs
@@ -30,76 +30,76 @@
 use crate::sessions::store::VmAddress;
 
 /// After which silence the next watcher is asked: some signs of life are missing.
-const SILENCE: Duration = Duration::from_millis(2_500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// After which time without a version that a watcher tells of this process looks at the store by
 /// itself, and goes on listening. A version has to be in force within 3 s of its confirmation, and a
 /// link may be so slow, or a watcher have so many to tell, that it takes longer that way.
-const LATE: Duration = Duration::from_millis(1_500);
+const VERSION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// The time for a connection to a watcher.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// After which time without an answer of the store a VM that asks it has others help, in microseconds.
 /// Single calls that go wrong are over by then, and what changes still comes into force within 3 s.
 const HELP_AFTER_US: u64 = 1_000_000;
 
 /// How many VMs are asked for help in a row: while the store is down for all, none can tell.
-const HELPERS_ASKED: usize = 2;
+const MAX_HELPERS: usize = 2;
 
 /// How long a watcher that says that the store is away is listened to before the next one is asked: the
 /// store may turn only some VMs away. Each of them goes on trying, so meanwhile nothing is missed.
-const AWAY_LIMIT: Duration = Duration::from_millis(2_000);
+const STORE_AWAY_LIMIT: Duration = Duration::from_millis(2_000);
 
 /// How long a watcher of another availability zone is listened to before those of this zone are asked
 /// again, which are nearer.
-const FAR_LIMIT: Duration = Duration::from_millis(10_000);
+const FAR_WATCHER_LIMIT: Duration = Duration::from_millis(10_000);
 
 /// How many watchers of other zones are asked in a row where those of this one can't be reached.
-const FAR_ASKED: usize = 3;
+const MAX_FAR_WATCHERS: usize = 3;
 
 /// The first and the longest pause before the watchers are asked again after none of them could tell
 /// anything. After a start the watchers are there a moment later.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LAST_PAUSE: Duration = Duration::from_millis(1_000);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
 
 /// Why a watcher tells no longer.
 #[derive(Debug)]
-enum End {
+enum CloseReason {
     /// The store does not answer it, and has not for a while.
-    CantTell,
+    StoreUnavailable,
     /// It knows an older configuration than this process. It may be cut off without noticing, and
     /// whoever went on being told by it would have no version that follows.
-    Behind,
+    Outdated,
     /// It tells of changes to a configuration that is not known here.
     UnknownBase,
     /// It watches for this process no longer, the store answers this one again, or a nearer one may tell.
-    NotWanted,
+    NotNeeded,
     /// The connection failed.
     Failed(io::Error),
 }
 
-impl From<io::Error> for End {
-    fn from(error: io::Error) -> End {
-        End::Failed(error)
+impl From<io::Error> for CloseReason {
+    fn from(error: io::Error) -> CloseReason {
+        CloseReason::Failed(error)
     }
 }
 
-impl fmt::Display for End {
+impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            End::CantTell => f.write_str("it can't tell"),
-            End::Behind => f.write_str("it is behind"),
-            End::UnknownBase => f.write_str("its changes are to an unknown version"),
-            End::NotWanted => f.write_str("it is not wanted any more"),
-            End::Failed(error) => error.fmt(f),
+            CloseReason::StoreUnavailable => f.write_str("it can't tell"),
+            CloseReason::Outdated => f.write_str("it is behind"),
+            CloseReason::UnknownBase => f.write_str("its changes are to an unknown version"),
+            CloseReason::NotNeeded => f.write_str("it is not wanted any more"),
+            CloseReason::Failed(error) => error.fmt(f),
         }
     }
 }
 
 /// What another VM is to this one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Teller {
+enum FeedSource {
     /// It watches the store in this one's place.
     Watcher,
     /// The same in another availability zone.
@@ -111,45 +111,47 @@
 /// Has this process told by watchers, whenever there are enough VMs for that. One that watches the store
 /// itself is told by others while the store does not answer it: it served by an old version for as long as
 /// that took, though every other VM could tell it.
-pub async fn listen<C, S>(watcher: Arc<Watcher<C, S>>, gateway: Arc<Gateway<C>>)
+pub async fn run<C, S>(watcher: Arc<Watcher<C, S>>, gateway: Arc<Gateway<C>>)
 where
     C: Codec,
     S: StateStore,
 {
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = MIN_BACKOFF;
     loop {
         let had_feed = match gateway.store_access.standing() {
-            Standing::Asks => ask_for_help(&watcher).await,
-            Standing::Told | Standing::ToldAway | Standing::Alone => ask_watchers(&watcher).await,
+            Standing::Asks => follow_helpers(&watcher).await,
+            Standing::Told | Standing::ToldAway | Standing::Alone => {
+                follow_watchers(&watcher).await
+            }
         };
-        pause = if had_feed { FIRST_PAUSE } else { (pause * 2).min(LAST_PAUSE) };
-        time::sleep(pause).await;
+        backoff = if had_feed { MIN_BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
+        time::sleep(backoff).await;
     }
 }
 
 /// Listens to those that watch the store in this VM's place, one after the other. Returns whether any of
 /// them had something to tell.
-async fn ask_watchers<C, S>(watcher: &Watcher<C, S>) -> bool
+async fn follow_watchers<C, S>(watcher: &Watcher<C, S>) -> bool
 where
     C: Codec,
     S: StateStore,
 {
     let gateway = &watcher.gateway;
     let (mut had_feed, mut is_reached) = (false, false);
-    for vm in in_turn(gateway, gateway.watchers(), usize::MAX) {
-        let heard = hear_until_the_end(watcher, &vm, Teller::Watcher).await;
-        had_feed |= heard == Some(Standing::Told);
-        is_reached |= heard.is_some();
+    for vm in rotated(gateway, gateway.watchers(), usize::MAX) {
+        let best_standing = follow_publisher(watcher, &vm, FeedSource::Watcher).await;
+        had_feed |= best_standing == Some(Standing::Told);
+        is_reached |= best_standing.is_some();
     }
     if had_feed {
         return true;
     }
     // Those of this zone tell what others have heard, so one other is enough beside them.
-    let count = if is_reached { 1 } else { FAR_ASKED };
-    for vm in in_turn(gateway, gateway.far_watchers(), count) {
-        let heard = hear_until_the_end(watcher, &vm, Teller::FarWatcher).await;
-        had_feed |= heard == Some(Standing::Told);
-        is_reached |= heard.is_some();
+    let count = if is_reached { 1 } else { MAX_FAR_WATCHERS };
+    for vm in rotated(gateway, gateway.far_watchers(), count) {
+        let best_standing = follow_publisher(watcher, &vm, FeedSource::FarWatcher).await;
+        had_feed |= best_standing == Some(Standing::Told);
+        is_reached |= best_standing.is_some();
     }
     if !is_reached {
         watcher.set_feed_status(None);
@@ -158,7 +160,7 @@
 }
 
 /// Listens to others while the store turns this VM away. Returns whether any had something to tell.
-async fn ask_for_help<C, S>(watcher: &Watcher<C, S>) -> bool
+async fn follow_helpers<C, S>(watcher: &Watcher<C, S>) -> bool
 where
     C: Codec,
     S: StateStore,
@@ -168,52 +170,52 @@
     }
     let gateway = &watcher.gateway;
     let mut had_feed = false;
-    for vm in in_turn(gateway, gateway.helpers(), HELPERS_ASKED) {
-        let heard = hear_until_the_end(watcher, &vm, Teller::Helper).await;
-        had_feed |= heard == Some(Standing::Told);
+    for vm in rotated(gateway, gateway.helpers(), MAX_HELPERS) {
+        let best_standing = follow_publisher(watcher, &vm, FeedSource::Helper).await;
+        had_feed |= best_standing == Some(Standing::Told);
     }
     had_feed
 }
 
 /// Some of these VMs in an order that differs between processes, and for the same one between times if
 /// not all are asked.
-fn in_turn<C>(gateway: &Gateway<C>, mut vms: Vec<VmAddress>, count: usize) -> Vec<VmAddress>
+fn rotated<C>(gateway: &Gateway<C>, mut vms: Vec<VmAddress>, count: usize) -> Vec<VmAddress>
 where
     C: Codec,
 {
     let first = jitter::seed_of(&gateway.vm) as usize;
-    let turn = match count < vms.len() {
-        true => (gateway.clock.now_us() / LAST_PAUSE.as_micros() as u64) as usize,
+    let offset = match count < vms.len() {
+        true => (gateway.clock.now_us() / MAX_BACKOFF.as_micros() as u64) as usize,
         false => 0,
     };
-    let places = vms.len().max(1);
-    vms.rotate_left(first.wrapping_add(turn) % places);
+    let len_or_one = vms.len().max(1);
+    vms.rotate_left(first.wrapping_add(offset) % len_or_one);
     vms.truncate(count);
     vms
 }
 
 /// Listens to one VM. Returns what it made of this one; none if it can't be reached.
-async fn hear_until_the_end<C, S>(
+async fn follow_publisher<C, S>(
     watcher: &Watcher<C, S>,
     vm: &VmAddress,
-    teller: Teller,
+    source: FeedSource,
 ) -> Option<Standing>
 where
     C: Codec,
     S: StateStore,
 {
-    let mut feed = Feed::new(watcher, teller);
-    let end = feed.hear(vm).await.err().unwrap_or(End::NotWanted);
+    let mut feed = Feed::new(watcher, source);
+    let reason = feed.receive(vm).await.err().unwrap_or(CloseReason::NotNeeded);
     // The next one may say the same of the store, and nothing is asked of it until then.
-    if !matches!(end, End::CantTell) {
+    if !matches!(reason, CloseReason::StoreUnavailable) {
         watcher.set_feed_status(None);
     }
     let gateway = &watcher.gateway;
     gateway.counters.event(Event::FeedsGivenUp);
     slog::info!(gateway.log, "not told by a watcher";
-        "watcher" => &*vm.name, "as" => ?teller, "reason" => end.to_string(),
+        "watcher" => &*vm.name, "as" => ?source, "reason" => reason.to_string(),
         "unfinished_bytes" => feed.input.len(), "version" => watcher.version());
-    feed.heard
+    feed.best_standing
 }
 
 async fn subscribe<C, S>(watcher: &Watcher<C, S>, vm: &VmAddress) -> io::Result<TcpStream>
@@ -221,11 +223,11 @@
     C: Codec,
     S: StateStore,
 {
-    let stream = time::timeout(CONNECT_LIMIT, TcpStream::connect(vm.peer_address)).await;
+    let stream = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(vm.peer_address)).await;
     let stream = stream.map_err(|_| io::ErrorKind::TimedOut)??;
     link::watch_for_silence(&stream)?;
     let subscription = feed::subscription(watcher.version());
-    socket::write_all(&stream, subscription.as_bytes(), CONNECT_LIMIT).await?;
+    socket::write_all(&stream, subscription.as_bytes(), CONNECT_TIMEOUT).await?;
     Ok(stream)
 }
 
@@ -235,12 +237,12 @@
     C: Codec,
 {
     watcher: &'a Watcher<C, S>,
-    teller: Teller,
+    source: FeedSource,
     began: Instant,
     /// What came and is no whole message yet.
     input: BytesMut,
     /// Whether it told anything, and whether it ever could.
-    heard: Option<Standing>,
+    best_standing: Option<Standing>,
     /// The list of VMs as it tells it.
     vms: Arc<VmList>,
     /// The list of targets as it tells it.
@@ -260,13 +262,13 @@
     C: Codec,
     S: StateStore,
 {
-    fn new(watcher: &'a Watcher<C, S>, teller: Teller) -> Feed<'a, C, S> {
+    fn new(watcher: &'a Watcher<C, S>, source: FeedSource) -> Feed<'a, C, S> {
         Feed {
             watcher,
-            teller,
+            source,
             began: Instant::now(),
             input: BytesMut::new(),
-            heard: None,
+            best_standing: None,
             vms: Arc::default(),
             targets: TargetList::default(),
             is_settled: false,
@@ -277,30 +279,30 @@
     }
 
     /// Takes in what one VM tells, for as long as that is wanted.
-    async fn hear(&mut self, vm: &VmAddress) -> Result<(), End> {
+    async fn receive(&mut self, vm: &VmAddress) -> Result<(), CloseReason> {
         let stream = subscribe(self.watcher, vm).await?;
-        while self.is_wanted(vm) {
-            self.hear_next(&stream).await?;
+        while self.is_needed(vm) {
+            self.receive_next(&stream).await?;
         }
         Ok(())
     }
 
     /// Whether this VM still needs to be told by that one.
-    fn is_wanted(&self, vm: &VmAddress) -> bool {
+    fn is_needed(&self, vm: &VmAddress) -> bool {
         let gateway = &self.watcher.gateway;
-        let is_named = |vms: Vec<VmAddress>| vms.iter().any(|known| known.name == vm.name);
-        match self.teller {
-            Teller::Watcher => is_named(gateway.watchers()),
-            Teller::FarWatcher => {
-                self.began.elapsed() < FAR_LIMIT && is_named(gateway.far_watchers())
+        let contains_vm = |vms: Vec<VmAddress>| vms.iter().any(|known| known.name == vm.name);
+        match self.source {
+            FeedSource::Watcher => contains_vm(gateway.watchers()),
+            FeedSource::FarWatcher => {
+                self.began.elapsed() < FAR_WATCHER_LIMIT && contains_vm(gateway.far_watchers())
             }
-            Teller::Helper => self.watcher.store_silent_us() > 0,
+            FeedSource::Helper => self.watcher.store_silent_us() > 0,
         }
     }
 
     /// Waits for a message and takes it in. Returns without one when a version is late.
-    async fn hear_next(&mut self, stream: &TcpStream) -> Result<(), End> {
-        let next = frame::next(stream, &mut self.input, SILENCE);
+    async fn receive_next(&mut self, stream: &TcpStream) -> Result<(), CloseReason> {
+        let next = frame::next(stream, &mut self.input, SILENCE_TIMEOUT);
         let body = match self.late_at {
             None => next.await?,
             Some(late_at) => match time::timeout_at(late_at, next).await {
@@ -312,37 +314,37 @@
                 }
             },
         };
-        self.take(frame::decode(&body).map_err(io::Error::from)?)
+        self.apply(frame::decode(&body).map_err(io::Error::from)?)
     }
 
-    fn take(&mut self, message: Message) -> Result<(), End> {
+    fn apply(&mut self, message: Message) -> Result<(), CloseReason> {
         if let Message::Alive { zone_is_cut, .. } = message
-            && self.teller == Teller::Watcher
+            && self.source == FeedSource::Watcher
         {
             self.watcher.gateway.set_zone_is_cut(zone_is_cut);
         }
         match message {
-            Message::Routes(routes) => self.watcher.take_routes(routes),
+            Message::Routes(routes) => self.watcher.apply_routes(routes),
             Message::Changes(changes) => {
-                if !self.watcher.take_route_changes(&changes) {
-                    return Err(End::UnknownBase);
+                if !self.watcher.apply_route_changes(&changes) {
+                    return Err(CloseReason::UnknownBase);
                 }
             }
             Message::TargetChanges(changes) => {
                 self.targets = self.targets.with(changes);
-                self.watcher.take_members(&self.targets);
+                self.watcher.apply_target_snapshot(&self.targets);
             }
             Message::Vms(changes) => {
                 self.vms = Arc::new(self.vms.with(changes));
-                self.watcher.take_vms(Arc::clone(&self.vms));
+                self.watcher.apply_vms(Arc::clone(&self.vms));
             }
-            Message::Alive { store_answers: false, .. } => return self.store_is_away(),
+            Message::Alive { store_answers: false, .. } => return self.handle_store_away(),
             // What it has from others might come from this VM itself.
-            Message::Alive { relayed: true, .. } if self.teller == Teller::Helper => {
-                return self.store_is_away();
+            Message::Alive { relayed: true, .. } if self.source == FeedSource::Helper => {
+                return self.handle_store_away();
             }
             Message::Alive { version, .. } if version < self.watcher.version() => {
-                return Err(End::Behind);
+                return Err(CloseReason::Outdated);
             }
             Message::Alive { version, is_settled, .. } => {
                 self.away_since = None;
@@ -353,29 +355,29 @@
         let is_current = self.announced.is_some_and(|version| version <= self.watcher.version());
         if is_current && self.away_since.is_none() {
             self.late_at = None;
-            self.tells(StoreNews::Answers);
+            self.report_news(StoreNews::Answers);
         }
         Ok(())
     }
 
     /// It has nothing from the store. One that watches in this VM's place goes on trying, and says when the
     /// store is back.
-    fn store_is_away(&mut self) -> Result<(), End> {
+    fn handle_store_away(&mut self) -> Result<(), CloseReason> {
         let away_since = *self.away_since.get_or_insert_with(Instant::now);
         (self.announced, self.late_at) = (None, None);
-        self.tells(StoreNews::Away);
-        match self.teller == Teller::Helper || away_since.elapsed() >= AWAY_LIMIT {
-            true => Err(End::CantTell),
+        self.report_news(StoreNews::Away);
+        match self.source == FeedSource::Helper || away_since.elapsed() >= STORE_AWAY_LIMIT {
+            true => Err(CloseReason::StoreUnavailable),
             false => Ok(()),
         }
     }
 
-    fn tells(&mut self, news: StoreNews) {
+    fn report_news(&mut self, news: StoreNews) {
         let feed = FeedStatus { news, is_settled: self.is_settled };
         self.watcher.set_feed_status(Some(feed));
         let standing = store_calls::standing(false, Some(news));
-        if self.heard != Some(Standing::Told) {
-            self.heard = Some(standing);
+        if self.best_standing != Some(Standing::Told) {
+            self.best_standing = Some(standing);
         }
     }
 
@@ -384,7 +386,7 @@
     fn announce(&mut self, version: u64) {
         let is_new = self.announced.is_none_or(|announced| announced < version);
         if is_new && self.late_at.is_none() {
-            self.late_at = Some(Instant::now() + LATE);
+            self.late_at = Some(Instant::now() + VERSION_TIMEOUT);
         }
         self.announced = Some(version);
     }
--- a/crates/proxy/src/sessions/process/metrics_text.rs
+++ b/crates/proxy/src/sessions/process/metrics_text.rs
@@ -61,7 +61,7 @@
 {
     let view = gateway.view();
     let version = view.routes.as_ref().map_or(0, |routes| routes.version);
-    let subscribers = gateway.outbox.bulletin.receiver_count() as u64;
+    let subscribers = gateway.outbox.feed_state.receiver_count() as u64;
     let sessions = u64::from(gateway.sessions.load(Ordering::Relaxed));
     line(out, Metric::ConfigurationVersion.name(), "", version);
     line(out, Metric::Sessions.name(), "", sessions);
--- a/crates/proxy/src/sessions/process/vms.rs
+++ b/crates/proxy/src/sessions/process/vms.rs
@@ -124,6 +124,6 @@
         if !vms.iter().any(|vm| vm.name == self.own.name) {
             vms.push(self.own.clone());
         }
-        self.watcher.take_vms(Arc::new(VmList::new(found.revision, vms)));
+        self.watcher.apply_vms(Arc::new(VmList::new(found.revision, vms)));
     }
 }
--- a/crates/proxy/src/sessions/process/watch.rs
+++ b/crates/proxy/src/sessions/process/watch.rs
@@ -127,7 +127,7 @@
     /// Members that left the list, by service.
     pub(super) departures: FastMap<Arc<str>, Departures<Arc<TargetRecord>>>,
     /// Those of the targets that are no longer listed, but may be back.
-    pub(super) lapsed: FastSet<Arc<str>>,
+    pub(super) expired: FastSet<Arc<str>>,
     /// The store's revision of the list of targets.
     pub(super) targets_revision: u64,
     /// How the watches stand with the store.
@@ -246,7 +246,7 @@
                     self.record_answer(Watched::Configuration);
                     revision = Some(found.revision);
                     if let Some(routes) = found.value {
-                        self.take_routes(Arc::new(routes));
+                        self.apply_routes(Arc::new(routes));
                     }
                 }
                 Err(error) => {
@@ -280,7 +280,7 @@
     async fn list_targets(&self) -> Result<u64, StoreError> {
         let found = self.store.targets().await?;
         self.record_answer(Watched::Targets);
-        self.take_list(found.revision, found.value);
+        self.apply_target_list(found.revision, found.value);
         Ok(found.revision)
     }
 
@@ -289,7 +289,7 @@
         let found = self.store.watch_targets(revision, wait).await?;
         self.record_answer(Watched::Targets);
         let has_changes = !found.value.is_empty();
-        self.take_changes(found.revision, found.value);
+        self.apply_target_changes(found.revision, found.value);
         if has_changes && self.is_change_burst() {
             time::sleep(BATCH_DELAY).await;
         }
@@ -333,7 +333,7 @@
             return None;
         }
         self.record_failure(watched, &error);
-        self.tell_state();
+        self.refresh_feed();
         self.gateway.store_access.wait_after_failure(&self.store).await;
         revision
     }
--- a/crates/proxy/tests/feed_frames.rs
+++ b/crates/proxy/tests/feed_frames.rs
@@ -55,10 +55,10 @@
 
 #[test]
 fn only_a_subscription_asks_to_be_told() {
-    assert_eq!(feed::subscribed_from(b"SUBSCRIBE 14\n"), Some(14));
-    assert_eq!(feed::subscribed_from(b"SUBSCRIBE\n"), None);
-    assert_eq!(feed::subscribed_from(b"SUBSCRIBE x\n"), None);
-    assert_eq!(feed::subscribed_from(b"STARTUP loans vm-1\r\n"), None);
+    assert_eq!(feed::parse_subscription(b"SUBSCRIBE 14\n"), Some(14));
+    assert_eq!(feed::parse_subscription(b"SUBSCRIBE\n"), None);
+    assert_eq!(feed::parse_subscription(b"SUBSCRIBE x\n"), None);
+    assert_eq!(feed::parse_subscription(b"STARTUP loans vm-1\r\n"), None);
 }
 
 quickcheck! {
