--- a/crates/proxy/src/sessions/connection/peer.rs
+++ b/crates/proxy/src/sessions/connection/peer.rs
@@ -100,11 +100,11 @@
     if let Some(known_version) = feed::parse_subscription(&message) {
         return publisher::serve(gateway, stream, known_version).await;
     }
-    if answer::is_question(&message) {
+    if answer::is_request(&message) {
         return answer::answer(&gateway, &stream, message, input).await;
     }
-    if zone_reach::is_question(&message) {
-        return zone_reach::answer(&stream, input).await;
+    if zone_reach::is_probe(&message) {
+        return zone_reach::echo(&stream, input).await;
     }
     let Ok(TargetRequest::Startup { service, target_id, .. }) = C::decode_request(&message) else {
         return;
@@ -112,7 +112,7 @@
     let mut output = BytesMut::new();
     let known = gateway.target(target_id).filter(|target| &*target.record.service == service);
     // A proxy that is no home itself would send it on, perhaps in a circle.
-    let Some(target) = known.filter(|target| gateway.connects(target)) else {
+    let Some(target) = known.filter(|target| gateway.connects_directly(target)) else {
         push_refusal::<C>(&Refusal::from(ErrorKind::TargetUnreachable), &mut output);
         // The other proxy takes a broken connection for the same.
         let _ = socket::write_all(&stream, &output, limits::SLOW_READER).await;
@@ -206,7 +206,7 @@
         // A fallback may go through another one by now, which could send a statement back here for ever, so it
         // connects again. One that is no home any more goes through a home, which sends nothing on.
         if self.held.is_none() {
-            self.gateway.connects(&self.target);
+            self.gateway.connects_directly(&self.target);
         }
         let Query::Statement { id, at_least, statement } = query else {
             return match query {
@@ -268,7 +268,7 @@
         let max_age_us = max_age_us.max(LEAST_POSITION_AGE_US);
         let first = || state.positions.lock().first_since(now_us.saturating_sub(max_age_us));
         if first().is_none()
-            && let Some(_sampling) = state.sampling.begin()
+            && let Some(_sampling) = state.sampling_flight.begin()
         {
             // Whatever comes of it, the newest position is told.
             let _ = sample::sample(gateway, service, max_age_us).await;
--- a/crates/proxy/src/sessions/process/claims.rs
+++ b/crates/proxy/src/sessions/process/claims.rs
@@ -22,16 +22,16 @@
 /// The first pause after a claim that could not be read, in microseconds. It doubles with each failure: all
 /// homes of all services in trouble ask at the same time, and a store that is slow under that must not be
 /// asked as often.
-const FIRST_RETRY_PAUSE_US: u64 = 120_000;
+const BASE_RETRY_PAUSE_US: u64 = 120_000;
 
 /// How often a pause is doubled at most.
 const MAX_DOUBLINGS: u32 = 3;
 
 /// How long a store that is known not to answer is left alone. Its return is noticed by others.
-const AWAY_LIMIT: Duration = Duration::from_millis(2_500);
+const STORE_AWAY_LIMIT: Duration = Duration::from_millis(2_500);
 
 /// The longest pause before another VM's claim is looked at again.
-const LOOK_AGAIN: Duration = Duration::from_millis(300);
+const MAX_POLL_PAUSE: Duration = Duration::from_millis(300);
 
 /// The claims of one process.
 #[derive(Debug)]
@@ -55,7 +55,7 @@
 
     /// Gets hold of a service's claim, which was wanted since `wanted_us`. `None` if it is needed no
     /// longer before that.
-    pub async fn take<F>(
+    pub async fn acquire<F>(
         &self,
         service: &Arc<str>,
         wanted_us: u64,
@@ -67,7 +67,7 @@
         let mut seen: Option<SeenClaim> = None;
         let mut failures = 0;
         loop {
-            self.gateway.store_access.wait_while_away(AWAY_LIMIT).await;
+            self.gateway.store_access.wait_while_away(STORE_AWAY_LIMIT).await;
             match self.store.claim(service).await {
                 Ok(found) => {
                     failures = 0;
@@ -106,7 +106,7 @@
                 }
                 ClaimStep::LeaveUntil { at_us } => {
                     let wait = Duration::from_micros(at_us.saturating_sub(now_us).max(1));
-                    time::sleep(wait.min(LOOK_AGAIN)).await;
+                    time::sleep(wait.min(MAX_POLL_PAUSE)).await;
                 }
             }
             if !is_needed() {
@@ -118,7 +118,7 @@
     /// The pause after a claim that could not be read, and this many before it.
     fn retry_pause(&self, failures: u32) -> Duration {
         let seed = jitter::seed_of(&self.gateway.vm);
-        let pause_us = FIRST_RETRY_PAUSE_US << failures.min(MAX_DOUBLINGS);
+        let pause_us = BASE_RETRY_PAUSE_US << failures.min(MAX_DOUBLINGS);
         Duration::from_micros(jitter::upper_half_us(seed, u64::from(failures), pause_us))
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Lets a claim go. Whoever comes next takes it as it is if this fails.
-    pub async fn settle(&self, service: &Arc<str>, held: HeldClaim) -> bool {
+    pub async fn release(&self, service: &Arc<str>, held: HeldClaim) -> bool {
         let claim = Claim { state: ClaimState::Settled, ..held.claim };
         self.store.write_claim(service, &claim, Some(held.revision)).await.is_ok()
     }
--- a/crates/proxy/src/sessions/process/control.rs
+++ b/crates/proxy/src/sessions/process/control.rs
@@ -26,7 +26,7 @@
 /// The control thread, which ends when this is dropped.
 #[derive(Debug)]
 pub struct ControlThread {
-    _ends: oneshot::Sender<()>,
+    _shutdown: oneshot::Sender<()>,
 }
 
 /// Starts the control thread.
@@ -43,18 +43,18 @@
 {
     let gateway = Arc::clone(gateway);
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    let (ends, ended) = oneshot::channel::<()>();
+    let (shutdown, shut_down) = oneshot::channel::<()>();
     let run = move || {
         runtime.block_on(async {
             tokio::select! {
                 () = run(gateway, own, store, promoter) => (),
                 // The sender says nothing; it is dropped.
-                _ = ended => (),
+                _ = shut_down => (),
             }
         });
     };
     thread::Builder::new().name("control".to_owned()).spawn(run)?;
-    Ok(ControlThread { _ends: ends })
+    Ok(ControlThread { _shutdown: shutdown })
 }
 
 async fn run<C, S, P>(gateway: Arc<Gateway<C>>, own: VmAddress, store: S, promoter: P)
@@ -70,19 +70,19 @@
     let (configuration, targets) = (Arc::clone(&watcher), Arc::clone(&watcher));
     tokio::spawn(async move { configuration.follow_configuration().await });
     tokio::spawn(async move { targets.follow_targets().await });
-    tokio::spawn(zone_reach::follow(Arc::clone(&gateway)));
+    tokio::spawn(zone_reach::run(Arc::clone(&gateway)));
     tokio::spawn(subscriber::run(Arc::clone(&watcher), Arc::clone(&gateway)));
     let mut isolation = Isolation::new(&gateway);
-    let mut looks = time::interval(takeover::LOOK_INTERVAL);
-    looks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
+    let mut ticks = time::interval(takeover::CHECK_INTERVAL);
+    ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
-        looks.tick().await;
+        ticks.tick().await;
         let knows_targets = !gateway.view().services.is_empty() && gateway.knows_vms();
-        gateway.serves.store(knows_targets, Ordering::Relaxed);
+        gateway.can_serve.store(knows_targets, Ordering::Relaxed);
         watcher.drop_expired();
         gateway.list_is_complete.store(watcher.list_is_complete(), Ordering::Relaxed);
         watcher.refresh_feed();
-        takeovers.look();
-        isolation.look();
+        takeovers.check();
+        isolation.check();
     }
 }
--- a/crates/proxy/src/sessions/process/daemon.rs
+++ b/crates/proxy/src/sessions/process/daemon.rs
@@ -37,13 +37,13 @@
 
 /// Nobody is accepted any more this long before the process would be killed: a statement that is
 /// taken later may not be answered in time.
-const LAST_MARGIN: Duration = Duration::from_millis(1_500);
+const LAST_PHASE_MARGIN: Duration = Duration::from_millis(1_500);
 
 /// The process is gone this long before it would be killed.
-const GRACE_MARGIN: Duration = Duration::from_millis(250);
+const EXIT_MARGIN: Duration = Duration::from_millis(250);
 
 /// How often a stopping process looks whether its callers are gone.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why the process can't run.
 #[derive(Debug)]
@@ -167,19 +167,19 @@
         let sessions = || gateway.sessions.load(Ordering::Relaxed);
         slog::info!(gateway.log, "stopping"; "sessions" => sessions());
         gateway.begin_stop();
-        let last = grace.saturating_sub(GRACE_MARGIN);
+        let last = grace.saturating_sub(EXIT_MARGIN);
         loop {
             let passed = began.elapsed();
             let phase = phase_after(passed, grace);
             if phase == StopPhase::Last {
                 self.accepting.abort();
             }
-            gateway.enter(phase);
+            gateway.set_phase(phase);
             let is_empty = phase >= StopPhase::ClosingIdle && sessions() == 0;
             if is_empty || passed >= last {
                 break;
             }
-            time::sleep(STOP_LOOK).await;
+            time::sleep(STOP_CHECK_INTERVAL).await;
         }
         slog::info!(gateway.log, "stopped"; "sessions_cut" => sessions());
     }
@@ -200,9 +200,9 @@
 /// How far a process is that began to stop this long ago.
 fn phase_after(passed: Duration, grace: Duration) -> StopPhase {
     match () {
-        _ if passed >= grace.saturating_sub(LAST_MARGIN) => StopPhase::Last,
+        _ if passed >= grace.saturating_sub(LAST_PHASE_MARGIN) => StopPhase::Last,
         _ if passed >= grace / 2 => StopPhase::Ending,
-        _ if passed >= limits::BALANCER_NOTICES.min(grace / 2) => StopPhase::ClosingIdle,
+        _ if passed >= limits::BALANCER_REACTION_TIME.min(grace / 2) => StopPhase::ClosingIdle,
         _ => StopPhase::NotReady,
     }
 }
--- a/crates/proxy/src/sessions/process/fleet.rs
+++ b/crates/proxy/src/sessions/process/fleet.rs
@@ -32,23 +32,24 @@
     pub fn maintain_pools(&self) {
         let (view, peer_routes, now_us) =
             (self.view.load(), self.peer_routes.load(), self.clock.now_us());
-        let looked_us = self.looked_us.load(Ordering::Relaxed);
-        let looks_at_all =
-            looked_us == 0 || now_us >= looked_us + limits::ALL_PATHS_US || peer_routes.take_news();
-        if looks_at_all {
-            self.looked_us.store(now_us.max(1), Ordering::Relaxed);
+        let paths_checked_us = self.paths_checked_us.load(Ordering::Relaxed);
+        let checks_all = paths_checked_us == 0
+            || now_us >= paths_checked_us + limits::ALL_PATHS_US
+            || peer_routes.take_new_failures();
+        if checks_all {
+            self.paths_checked_us.store(now_us.max(1), Ordering::Relaxed);
         }
         for target in self.targets.load().all() {
-            if !looks_at_all && target.rests() {
+            if !checks_all && target.is_idle() {
                 continue;
             }
             self.counters.event(Event::PathsChecked);
             let demand = demand(&view, &target.record.service, &peer_routes);
             let inputs = PathInputs { demand, is_primary: self.is_primary(target) };
-            let is_settled = target.is_settled(inputs) && !looks_at_all;
-            if !is_settled && !target.must_rest(now_us) {
+            let is_settled = target.is_settled(inputs) && !checks_all;
+            if !is_settled && !target.refuses_work(now_us) {
                 self.counters.event(Event::PathsSet);
-                peer_routes.lead(target, inputs, now_us);
+                peer_routes.update_path(target, inputs, now_us);
             }
             target.maintain();
         }
@@ -56,8 +57,8 @@
 
     /// Whether this process has connections of its own to a target, if need be as a fallback for its homes,
     /// which another VM can't reach.
-    pub fn connects(&self, target: &TargetState<C>) -> bool {
-        if target.is_own() {
+    pub fn connects_directly(&self, target: &TargetState<C>) -> bool {
+        if target.is_direct() {
             return true;
         }
         let (view, peer_routes, now_us) =
@@ -67,7 +68,7 @@
             return false;
         }
         let inputs = PathInputs { demand, is_primary: self.is_primary(target) };
-        peer_routes.lead(target, inputs, now_us);
+        peer_routes.update_path(target, inputs, now_us);
         true
     }
 
@@ -77,7 +78,7 @@
         self.quotas.set_vms(vms);
         self.store_access.set_fleet(vms.len(), peer_routes.has_direct_access());
         self.peer_routes.store(Arc::new(peer_routes));
-        self.looked_us.store(0, Ordering::Relaxed);
+        self.paths_checked_us.store(0, Ordering::Relaxed);
     }
 
     /// How many VMs are known.
@@ -122,8 +123,8 @@
 
     /// Whether this process looks after the primary of a service: where it has connections of its own
     /// to a member, so that not all VMs ask a primary that is in trouble.
-    pub fn drives(&self, service: &str) -> bool {
-        self.targets.load().members(service).iter().any(|member| member.is_own())
+    pub fn monitors_primary(&self, service: &str) -> bool {
+        self.targets.load().members(service).iter().any(|member| member.is_direct())
     }
 
     /// The other availability zones that have VMs.
--- a/crates/proxy/src/sessions/process/gateway.rs
+++ b/crates/proxy/src/sessions/process/gateway.rs
@@ -81,7 +81,7 @@
     /// Until when this process's zone counts as cut off, in microseconds; zero if it does not.
     pub(super) zone_cut_until_us: AtomicU64,
     /// Whether this process may be given new callers, as far as the control thread knows.
-    pub serves: AtomicBool,
+    pub can_serve: AtomicBool,
     /// Whether no target can run that is not listed, as far as the control thread knows.
     pub list_is_complete: AtomicBool,
     /// Whether the process was told to stop.
@@ -95,7 +95,7 @@
     pub(super) changed: watch::Sender<u64>,
     pub(super) targets: ArcSwap<TargetTable<C>>,
     /// When all paths were last checked, in microseconds; zero if something changed since.
-    pub(super) looked_us: AtomicU64,
+    pub(super) paths_checked_us: AtomicU64,
     services: RwLock<FastMap<Arc<str>, Arc<ServiceState>>>,
 }
 
@@ -126,7 +126,7 @@
             store_access: StoreAccess::new(&settings.vm, clock),
             zone_reach: Mutex::default(),
             zone_cut_until_us: AtomicU64::new(0),
-            serves: AtomicBool::new(false),
+            can_serve: AtomicBool::new(false),
             list_is_complete: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             peer_routes: ArcSwap::default(),
@@ -134,7 +134,7 @@
             view: ArcSwap::default(),
             changed: watch::Sender::new(0),
             targets: ArcSwap::default(),
-            looked_us: AtomicU64::new(0),
+            paths_checked_us: AtomicU64::new(0),
             services: RwLock::default(),
         }
     }
@@ -191,14 +191,14 @@
 
     /// Whether the platform may send new callers here.
     pub fn is_ready(&self) -> bool {
-        let serves = self.serves.load(Ordering::Relaxed);
-        serves && self.is_configured() && self.stop.borrow().phase == StopPhase::Serving
+        let can_serve = self.can_serve.load(Ordering::Relaxed);
+        can_serve && self.is_configured() && self.stop.borrow().phase == StopPhase::Serving
     }
 
     /// The process stops: it says that it is not ready from now on.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
-        self.enter(StopPhase::NotReady);
+        self.set_phase(StopPhase::NotReady);
     }
 
     /// Whether the process was told to stop.
@@ -207,14 +207,14 @@
     }
 
     /// Comes into another phase, unless the process stops, which has phases of its own.
-    pub fn enter_unless_stopping(&self, phase: StopPhase) {
+    pub fn set_phase_unless_stopping(&self, phase: StopPhase) {
         if !self.is_stopping() {
-            self.enter(phase);
+            self.set_phase(phase);
         }
     }
 
     /// Comes into another phase.
-    pub fn enter(&self, phase: StopPhase) {
+    pub fn set_phase(&self, phase: StopPhase) {
         self.stop.send_if_modified(|known| {
             let next = known.in_phase(phase);
             std::mem::replace(known, next) != next
@@ -254,8 +254,8 @@
         let now_us = self.clock.now_us();
         let is_due = |name: &Arc<str>, state: &ServiceState| {
             let newest_us = state.positions.lock().newest().map(|newest| newest.taken_us);
-            let tells_others = self.primary(name).is_some_and(|primary| primary.is_own());
-            state.demand.lock().brings(tells_others, newest_us, now_us)
+            let serves_peers = self.primary(name).is_some_and(|primary| primary.is_direct());
+            state.demand.lock().brings(serves_peers, newest_us, now_us)
         };
         let services: Vec<(Arc<str>, Arc<ServiceState>)> = {
             let services = self.services.read();
@@ -271,11 +271,11 @@
         let state = self.service(service);
         let targets = self.targets.load();
         let now_us = self.clock.now_us();
-        let may_ask = |member: &&Arc<TargetState<C>>| !member.must_rest(now_us);
+        let may_ask = |member: &&Arc<TargetState<C>>| !member.refuses_work(now_us);
         let members = targets.members(service).iter().filter(may_ask);
         let ids: Vec<&Arc<str>> = members.map(|member| &member.record.id).collect();
         let leaving = |id: &str| targets.get(id).is_none_or(|target| target.is_leaving());
-        let id = state.leader.lock().ask(&ids, leaving, now_us)?;
+        let id = state.leader.lock().pick_target(&ids, leaving, now_us)?;
         targets.get(&id).cloned()
     }
 
@@ -287,7 +287,7 @@
     }
 
     /// A target refused because it does not lead.
-    pub fn refused_lead(&self, target: &TargetState<C>) {
+    pub fn record_not_primary(&self, target: &TargetState<C>) {
         let state = self.service(&target.record.service);
         state.leader.lock().refused(&target.record.id, self.clock.now_us());
     }
@@ -299,7 +299,7 @@
 
     /// Puts a new version in force.
     pub fn publish(&self, view: View) {
-        self.align_targets(&view);
+        self.reconcile_targets(&view);
         for (service, members) in &view.services {
             let state = self.service(service);
             let mut leader = state.leader.lock();
@@ -308,7 +308,7 @@
             }
             let is_listed = |id: &str| members.iter().any(|member| &*member.record.id == id);
             leader.keep(is_listed);
-            state.words.lock().keep(is_listed);
+            state.lead_reports.lock().keep(is_listed);
         }
         let before = self.view.swap(Arc::new(view));
         self.changed.send_modify(|number| *number += 1);
@@ -319,7 +319,7 @@
 
     /// Brings the targets to what a version lists. The connections of a target that went are closed
     /// as they become idle.
-    fn align_targets(&self, view: &View) {
+    fn reconcile_targets(&self, view: &View) {
         let mut targets = self.targets.load().by_id().clone();
         let members = view.services.values().flatten();
         let listed: FastSet<&str> = members.map(|member| &*member.record.id).collect();
@@ -339,11 +339,11 @@
                 Arc::new(TargetState::new(&member.record, &self.vm, clock, counters))
             });
             let now_us = self.clock.now_us();
-            let rest_us = now_us + self.drain_us.saturating_sub(limits::LEAVING_MARGIN_US);
-            known.set_leaving(member.record.leaving.then_some(rest_us));
+            let no_work_from_us = now_us + self.drain_us.saturating_sub(limits::LEAVING_MARGIN_US);
+            known.set_leaving(member.record.leaving.then_some(no_work_from_us));
         }
         self.targets.store(Arc::new(TargetTable::new(targets)));
-        self.looked_us.store(0, Ordering::Relaxed);
+        self.paths_checked_us.store(0, Ordering::Relaxed);
     }
 }
 
--- a/crates/proxy/src/sessions/process/isolation.rs
+++ b/crates/proxy/src/sessions/process/isolation.rs
@@ -13,16 +13,16 @@
 use crate::sessions::process::limits;
 use crate::sessions::process::stop::StopPhase;
 use crate::sessions::process::target_calls;
-use crate::sessions::process::target_calls::Said;
+use crate::sessions::process::target_calls::CallReply;
 use crate::sessions::process::targets::TargetState;
 use crate::sessions::request::prove;
 
 /// How often a process that is cut off asks whether it still is. Each question is paid for like a
 /// health check, and callers that come back a little later lose nothing.
-const ASK_INTERVAL: Duration = Duration::from_millis(500);
+const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The time that a target of another zone has to answer.
-const ASK_LIMIT: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Whether this process is cut off.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
 {
     gateway: Arc<Gateway<C>>,
     since: Option<Instant>,
-    asked: Instant,
+    probed_at: Instant,
 }
 
 impl<C> Isolation<C>
@@ -41,13 +41,13 @@
 {
     /// A process that is not cut off.
     pub fn new(gateway: &Arc<Gateway<C>>) -> Isolation<C> {
-        Isolation { gateway: Arc::clone(gateway), since: None, asked: Instant::now() }
+        Isolation { gateway: Arc::clone(gateway), since: None, probed_at: Instant::now() }
     }
 
     /// Looks at the targets, and changes what the balancer and the callers are told.
-    pub fn look(&mut self) {
-        let outside: Vec<_> = self.other_zone_targets();
-        let seen: Vec<OtherZoneTarget> = outside
+    pub fn check(&mut self) {
+        let remote_targets: Vec<_> = self.other_zone_targets();
+        let seen: Vec<OtherZoneTarget> = remote_targets
             .iter()
             .map(|target| {
                 let health = target.health();
@@ -58,27 +58,27 @@
         let was_isolated = self.since.is_some();
         if !isolation::is_isolated(&seen, self.gateway.zone_is_cut(), self.gateway.clock.now_us()) {
             if was_isolated {
-                let last = outside.iter().max_by_key(|target| target.health().answered_us);
+                let last = remote_targets.iter().max_by_key(|target| target.health().answered_us);
                 slog::warn!(self.gateway.log, "other availability zones are reached again";
                     "target" => last.map(|target| target.record.id.to_string()),
                     "via" => last.and_then(|target| target.via()).as_deref());
                 self.since = None;
-                self.gateway.enter_unless_stopping(StopPhase::Serving);
+                self.gateway.set_phase_unless_stopping(StopPhase::Serving);
             }
             return;
         }
         if !was_isolated {
             slog::warn!(self.gateway.log, "cut off from other availability zones";
-                "targets" => outside.len(), "zone_is_cut" => self.gateway.zone_is_cut());
+                "targets" => remote_targets.len(), "zone_is_cut" => self.gateway.zone_is_cut());
         }
         let since = *self.since.get_or_insert_with(Instant::now);
         // The balancer would send callers that are let go at once back to this zone.
-        let phase = match since.elapsed() >= limits::BALANCER_NOTICES {
+        let phase = match since.elapsed() >= limits::BALANCER_REACTION_TIME {
             true => StopPhase::ClosingIdle,
             false => StopPhase::NotReady,
         };
-        self.gateway.enter_unless_stopping(phase);
-        self.ask(&outside);
+        self.gateway.set_phase_unless_stopping(phase);
+        self.probe(&remote_targets);
     }
 
     fn other_zone_targets(&self) -> Vec<Arc<TargetState<C>>> {
@@ -87,26 +87,30 @@
     }
 
     /// Asks one target of another zone: without callers there would be no other sign.
-    fn ask(&mut self, outside: &[Arc<TargetState<C>>]) {
-        if self.asked.elapsed() < ASK_INTERVAL || outside.is_empty() {
+    fn probe(&mut self, remote_targets: &[Arc<TargetState<C>>]) {
+        if self.probed_at.elapsed() < PROBE_INTERVAL || remote_targets.is_empty() {
             return;
         }
-        self.asked = Instant::now();
-        let turn = self.gateway.clock.now_us() / ASK_INTERVAL.as_micros() as u64;
-        let target = Arc::clone(&outside[turn as usize % outside.len()]);
+        self.probed_at = Instant::now();
+        let turn = self.gateway.clock.now_us() / PROBE_INTERVAL.as_micros() as u64;
+        let target = Arc::clone(&remote_targets[turn as usize % remote_targets.len()]);
         let gateway = Arc::clone(&self.gateway);
         tokio::spawn(async move {
-            if !target.is_own() {
+            if !target.is_direct() {
                 // Reaching the target by itself would not serve callers, whose statements go another way.
-                let until_us = gateway.clock.now_us() + ASK_LIMIT.as_micros() as u64;
+                let until_us = gateway.clock.now_us() + PROBE_TIMEOUT.as_micros() as u64;
                 let _ = prove::status_of(&gateway, &target, until_us).await;
                 return;
             }
             let (record, query) = (&target.record, Query::Status);
-            let said = target_calls::ask_within::<C>(record, &gateway.vm, &query, ASK_LIMIT).await;
-            match said {
-                Said::Nothing => target.failed(gateway.clock.now_us()),
-                Said::Status(_) | Said::Refused => target.answered(gateway.clock.now_us(), None),
+            let reply =
+                target_calls::ask_with_timeout::<C>(record, &gateway.vm, &query, PROBE_TIMEOUT)
+                    .await;
+            match reply {
+                CallReply::Nothing => target.failed(gateway.clock.now_us()),
+                CallReply::Status(_) | CallReply::Refused => {
+                    target.answered(gateway.clock.now_us(), None)
+                }
             }
         });
     }
--- a/crates/proxy/src/sessions/process/lead.rs
+++ b/crates/proxy/src/sessions/process/lead.rs
@@ -28,7 +28,7 @@
         let state = self.service(&target.record.service);
         let is_news = state.leader.lock().answered(&target.record.id);
         if is_news {
-            self.leads_now(target);
+            self.announce_leader(target);
         }
     }
 
@@ -45,10 +45,10 @@
         // Without a position nothing is known of what reads have to see: they go to the primary.
         if let Some(position) = position {
             state.positions.lock().saw(moment_us, position);
-            state.sampling.notify();
+            state.sampling_flight.notify();
         }
         if is_news {
-            self.leads_now(target);
+            self.announce_leader(target);
         }
     }
 
@@ -62,12 +62,12 @@
     ) {
         let service = &target.record.service;
         if self.sync_replicas(service) > 0 {
-            self.service(service).words.lock().acknowledged(&target.record.id, sent_us);
+            self.service(service).lead_reports.lock().acknowledged(&target.record.id, sent_us);
             self.proved_lead(target, sent_us, position);
         }
     }
 
-    fn leads_now(&self, target: &TargetState<C>) {
+    fn announce_leader(&self, target: &TargetState<C>) {
         slog::info!(self.log, "another target leads";
             "service" => &*target.record.service, "target" => &*target.record.id);
         self.changed.send_modify(|number| *number += 1);
@@ -93,7 +93,7 @@
             is_complete: self.list_is_complete.load(Ordering::Relaxed) && past_is_known,
             floor: state.positions.lock().oldest().unwrap_or_default(),
         };
-        state.words.lock().verdict(&record.id, moment_us, &group)
+        state.lead_reports.lock().verdict(&record.id, moment_us, &group)
     }
 
     /// How many replicas of a service receive a commit before it is acknowledged.
@@ -107,13 +107,13 @@
         let record = &target.record;
         let state = self.service(&record.service);
         state.leader.lock().superseded(&record.id, self.clock.now_us());
-        let Some(telling) = target.telling.begin() else { return };
+        let Some(step_down_flight) = target.step_down_flight.begin() else { return };
         slog::warn!(self.log, "a target goes on that no longer leads";
             "service" => &*record.service, "target" => &*record.id, "later_term" => term);
         let (log, vm, record) = (self.log.clone(), Arc::clone(&self.vm), Arc::clone(record));
         tokio::spawn(async move {
-            step_down::tell::<C>(&log, &record, &vm, term).await;
-            drop(telling);
+            step_down::notify::<C>(&log, &record, &vm, term).await;
+            drop(step_down_flight);
         });
     }
 
@@ -124,7 +124,7 @@
     /// Those of [`PrimaryPositions::told`].
     ///
     /// [`PrimaryPositions::told`]: skylark_core::request::primary_positions::PrimaryPositions::told
-    pub fn position_told(
+    pub fn record_position(
         &self,
         service: &Arc<str>,
         asked_us: u64,
@@ -133,7 +133,7 @@
     ) -> Result<(), PositionError> {
         let state = self.service(service);
         state.positions.lock().told(asked_us, age_us, position)?;
-        state.sampling.notify();
+        state.sampling_flight.notify();
         Ok(())
     }
 
--- a/crates/proxy/src/sessions/process/leader.rs
+++ b/crates/proxy/src/sessions/process/leader.rs
@@ -13,7 +13,7 @@
 
 /// How long after its refusal a target is asked again where no other is known, in microseconds. A
 /// promote takes 300 to 600 ms to take effect.
-const ASKED_AGAIN_US: u64 = 150_000;
+const REFUSAL_RETRY_US: u64 = 150_000;
 
 /// What is believed of the lead of one service.
 #[derive(Clone, Debug, Default)]
@@ -77,7 +77,12 @@
     /// The target to ask, out of the listed ones: the one that is believed to lead, otherwise the
     /// one whose refusal is the oldest and not fresh. One that is leaving is asked only if it is
     /// believed to lead.
-    pub fn ask<F>(&self, listed: &[&Arc<str>], is_leaving: F, now_us: u64) -> Option<Arc<str>>
+    pub fn pick_target<F>(
+        &self,
+        listed: &[&Arc<str>],
+        is_leaving: F,
+        now_us: u64,
+    ) -> Option<Arc<str>>
     where
         F: Fn(&str) -> bool,
     {
@@ -90,7 +95,7 @@
         let staying = listed.iter().copied().filter(|target| !is_leaving(target));
         let oldest = staying.min_by_key(refused_us)?;
         let asked_us = refused_us(&oldest);
-        let may_ask = asked_us == 0 || now_us >= asked_us + ASKED_AGAIN_US;
+        let may_ask = asked_us == 0 || now_us >= asked_us + REFUSAL_RETRY_US;
         may_ask.then(|| Arc::clone(oldest))
     }
 
--- a/crates/proxy/src/sessions/process/limits.rs
+++ b/crates/proxy/src/sessions/process/limits.rs
@@ -38,7 +38,7 @@
 pub const PEER_CONNECTIONS: u32 = 8;
 
 /// Largest number of VMs that each watch the store themselves. No VM then depends on another one for versions.
-pub const WATCH_ALONE: usize = 16;
+pub const MAX_DIRECT_WATCHERS: usize = 16;
 
 /// For how long an unreachable home is ejected even if no other one can be reached, in microseconds.
 pub const LEAST_HOME_EJECTION_US: u64 = 2_000_000;
@@ -128,4 +128,4 @@
     BudgetPolicy { need_window_us: 30_000_000, burst: 4, ..CONNECTION_POLICY };
 
 /// How long the balancer may go on sending new callers after the process stopped being ready: two of its probes.
-pub const BALANCER_NOTICES: Duration = Duration::from_millis(2_300);
+pub const BALANCER_REACTION_TIME: Duration = Duration::from_millis(2_300);
--- a/crates/proxy/src/sessions/process/log_budget.rs
+++ b/crates/proxy/src/sessions/process/log_budget.rs
@@ -17,7 +17,7 @@
 struct Window {
     since_us: u64,
     written: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 /// The lines written by reason.
@@ -36,10 +36,10 @@
             window.written = 0;
         }
         if window.written >= LINES_PER_SECOND {
-            window.left_out += 1;
+            window.suppressed += 1;
             return None;
         }
         window.written += 1;
-        Some(std::mem::take(&mut window.left_out))
+        Some(std::mem::take(&mut window.suppressed))
     }
 }
--- a/crates/proxy/src/sessions/process/metrics_text.rs
+++ b/crates/proxy/src/sessions/process/metrics_text.rs
@@ -35,7 +35,7 @@
         /// Operations of an organisation's limit that this VM granted.
         OrganisationGranted = "skylark_organisation_granted",
         /// Operations of an organisation that this VM did not grant.
-        OrganisationTurnedAway = "skylark_organisation_turned_away",
+        OrganisationDenied = "skylark_organisation_turned_away",
     }
 }
 
@@ -102,7 +102,7 @@
         let labels = format!("{{organisation=\"{organisation}\"}}");
         line(out, Metric::OrganisationLimit.name(), &labels, usage.limit_milli_per_s);
         line(out, Metric::OrganisationGranted.name(), &labels, usage.granted);
-        line(out, Metric::OrganisationTurnedAway.name(), &labels, usage.turned_away);
+        line(out, Metric::OrganisationDenied.name(), &labels, usage.denied);
     }
 }
 
--- a/crates/proxy/src/sessions/process/peer_routes.rs
+++ b/crates/proxy/src/sessions/process/peer_routes.rs
@@ -39,7 +39,7 @@
     /// When VMs last could not be reached.
     failed_us: Mutex<FastMap<Arc<str>, u64>>,
     /// Whether a VM turned out not to be reached, so that paths through it are to change.
-    has_news: AtomicBool,
+    has_new_failures: AtomicBool,
     /// Until when this VM connects to targets though it is no home of theirs.
     fallback_until_us: Mutex<FastMap<Arc<str>, u64>>,
 }
@@ -50,7 +50,7 @@
     /// Its homes first, then their fallbacks.
     vms: Vec<VmAddress>,
     /// How many of them are homes.
-    homes: usize,
+    home_count: usize,
     /// How many others were asked for.
     fallbacks: usize,
     /// What this VM is of these.
@@ -73,13 +73,13 @@
 impl PeerRoutes {
     /// The paths of VM `own` of an availability zone among these.
     pub fn new(own: &Arc<str>, zone: &str, vms: Vec<VmAddress>) -> PeerRoutes {
-        let has_many = vms.len() > limits::WATCH_ALONE;
+        let has_many = vms.len() > limits::MAX_DIRECT_WATCHERS;
         let zones: BTreeSet<&Arc<str>> = vms.iter().map(|vm| &vm.zone).collect();
         let other_zones =
             zones.iter().map(|it| Arc::clone(it)).filter(|it| **it != *zone).collect();
         let watchers_of = |zone: &str| {
             let near = vms.iter().filter(|vm| has_many && &*vm.zone == zone).collect();
-            best(zone, near, homes::WATCHERS_PER_ZONE)
+            top_ranked(zone, near, homes::WATCHERS_PER_ZONE)
         };
         let all_watchers: Vec<VmAddress> =
             zones.into_iter().flat_map(|zone| watchers_of(zone)).collect();
@@ -116,7 +116,7 @@
 
     /// Whether this VM asks the store for itself and others.
     pub fn has_direct_access(&self) -> bool {
-        self.is_watcher() || self.vms.len() <= limits::WATCH_ALONE
+        self.is_watcher() || self.vms.len() <= limits::MAX_DIRECT_WATCHERS
     }
 
     /// The VMs that can tell this one when the store turns it away.
@@ -144,8 +144,8 @@
     }
 
     /// Whether a VM turned out not to be reached since this was asked last.
-    pub fn take_news(&self) -> bool {
-        self.has_news.swap(false, Ordering::Relaxed)
+    pub fn take_new_failures(&self) -> bool {
+        self.has_new_failures.swap(false, Ordering::Relaxed)
     }
 
     /// How many VMs are known.
@@ -159,7 +159,7 @@
     }
 
     /// Sets the path to a target, and how many connections it has.
-    pub fn lead<C>(&self, target: &TargetState<C>, inputs: PathInputs, now_us: u64)
+    pub fn update_path<C>(&self, target: &TargetState<C>, inputs: PathInputs, now_us: u64)
     where
         C: Codec,
     {
@@ -167,7 +167,7 @@
         target.set_has_organisations(demand.organisations > 0);
         match connection_plan::plan(demand) {
             ConnectionPlan::Direct { primary, replica } => {
-                target.go_via(None);
+                target.set_via(None);
                 target.divide_users(&[]);
                 let share = if is_primary { primary } else { replica };
                 target.configure(share);
@@ -181,14 +181,15 @@
                     HomeRole::Fallback => home.is_none() || self.is_fallback(target, now_us),
                     HomeRole::Neither => {
                         self.is_fallback(target, now_us)
-                            || (home.is_none() && self.is_left_alone(target, &homes, now_us))
+                            || (home.is_none()
+                                && self.connects_as_last_resort(target, &homes, now_us))
                     }
                 };
                 // Without any home that may be reached, the path that fails is as good as another.
                 if connects {
-                    target.go_via(None);
-                } else if home.is_some() || target.is_own() {
-                    target.go_via(home.or(homes.vms.first()));
+                    target.set_via(None);
+                } else if home.is_some() || target.is_direct() {
+                    target.set_via(home.or(homes.vms.first()));
                 }
                 self.divide_users(target, &homes, demand, now_us);
                 target.configure(match homes.role {
@@ -206,34 +207,39 @@
     where
         C: Codec,
     {
-        let is_fallback = homes.role != HomeRole::Home && target.is_own();
+        let is_fallback = homes.role != HomeRole::Home && target.is_direct();
         if demand.organisations == 0 || is_fallback {
             target.divide_users(&[]);
             return;
         }
         let failed_us = self.failed_us.lock();
-        let reached_for = |span_us: u64| -> Vec<Option<&VmAddress>> {
-            let reached = homes.vms[..homes.homes]
+        let reachable_for = |span_us: u64| -> Vec<Option<&VmAddress>> {
+            let reachable = homes.vms[..homes.home_count]
                 .iter()
-                .filter(|vm| did_not_fail_for(span_us, &failed_us, vm, now_us));
-            reached.map(|vm| (vm.name != self.own).then_some(vm)).collect()
+                .filter(|vm| not_failed_within(span_us, &failed_us, vm, now_us));
+            reachable.map(|vm| (vm.name != self.own).then_some(vm)).collect()
         };
-        let mut reached = reached_for(limits::HOME_EJECTION_US);
-        if reached.is_empty() {
-            reached = reached_for(limits::LEAST_HOME_EJECTION_US);
+        let mut reachable = reachable_for(limits::HOME_EJECTION_US);
+        if reachable.is_empty() {
+            reachable = reachable_for(limits::LEAST_HOME_EJECTION_US);
         }
-        target.divide_users(&reached);
+        target.divide_users(&reachable);
     }
 
     /// Whether this VM has had no path to a target for so long that it connects by itself. It goes on doing so
     /// for a while.
-    fn is_left_alone<C>(&self, target: &TargetState<C>, homes: &Homes, now_us: u64) -> bool
+    fn connects_as_last_resort<C>(
+        &self,
+        target: &TargetState<C>,
+        homes: &Homes,
+        now_us: u64,
+    ) -> bool
     where
         C: Codec,
     {
         let Some(since_us) = target.health().path_failed_since_us else { return false };
-        let without_way_us = now_us.saturating_sub(since_us);
-        let may_connect = connection_plan::may_connect(homes.fallbacks, without_way_us);
+        let without_path_us = now_us.saturating_sub(since_us);
+        let may_connect = connection_plan::may_connect(homes.fallbacks, without_path_us);
         if homes.rank >= may_connect {
             return false;
         }
@@ -290,18 +296,18 @@
 
     fn rank_homes(&self, target_id: &str, zone: &str, fallbacks: usize) -> Homes {
         let (near, far): (Vec<_>, Vec<_>) = self.vms.iter().partition(|vm| &*vm.zone == zone);
-        let (fit, others) = if near.is_empty() { (far, Vec::new()) } else { (near, far) };
-        let mut vms = best(target_id, fit, connection_plan::HOMES);
-        let homes = vms.len();
-        vms.extend(best(target_id, others, fallbacks));
+        let (candidates, others) = if near.is_empty() { (far, Vec::new()) } else { (near, far) };
+        let mut vms = top_ranked(target_id, candidates, connection_plan::HOMES);
+        let home_count = vms.len();
+        vms.extend(top_ranked(target_id, others, fallbacks));
         let role = match vms.iter().position(|vm| vm.name == self.own) {
             None => HomeRole::Neither,
-            Some(place) if place < homes => HomeRole::Home,
+            Some(index) if index < home_count => HomeRole::Home,
             Some(_) => HomeRole::Fallback,
         };
         let names: Vec<&str> = self.vms.iter().map(|vm| &*vm.name).collect();
         let rank = homes::rank_of(target_id, &names, &self.own);
-        Homes { vms, homes, fallbacks, role, rank }
+        Homes { vms, home_count, fallbacks, role, rank }
     }
 
     fn eject_failing<C>(&self, target: &TargetState<C>, now_us: u64)
@@ -314,7 +320,7 @@
                 && path.pool.is_failing()
                 && failed_us.insert(Arc::clone(via), now_us).is_none()
             {
-                self.has_news.store(true, Ordering::Relaxed);
+                self.has_new_failures.store(true, Ordering::Relaxed);
             }
         });
         failed_us.retain(|_, failed_us| now_us < *failed_us + limits::HOME_EJECTION_US);
@@ -324,23 +330,23 @@
     /// where that could not be reached lately, and a fallback where no home can.
     fn home_for<'a>(&self, homes: &'a Homes, now_us: u64) -> Option<&'a VmAddress> {
         let failed_us = self.failed_us.lock();
-        let (first, fallbacks) = homes.vms.split_at(homes.homes);
-        let turn = jitter::seed_of(&self.own) as usize % first.len().max(1);
-        let in_turn = || first.iter().cycle().skip(turn).take(first.len());
+        let (first, fallbacks) = homes.vms.split_at(homes.home_count);
+        let offset = jitter::seed_of(&self.own) as usize % first.len().max(1);
+        let rotated = || first.iter().cycle().skip(offset).take(first.len());
         let may_be_reached = |home: &&VmAddress| {
             home.name != self.own
-                && did_not_fail_for(limits::LEAST_HOME_EJECTION_US, &failed_us, home, now_us)
+                && not_failed_within(limits::LEAST_HOME_EJECTION_US, &failed_us, home, now_us)
         };
-        let is_unfailing = |home: &&VmAddress| {
-            did_not_fail_for(limits::HOME_EJECTION_US, &failed_us, home, now_us)
+        let is_stable = |home: &&VmAddress| {
+            not_failed_within(limits::HOME_EJECTION_US, &failed_us, home, now_us)
         };
-        let best = in_turn().filter(may_be_reached).find(is_unfailing);
-        best.or_else(|| in_turn().chain(fallbacks).find(may_be_reached))
+        let top_ranked = rotated().filter(may_be_reached).find(is_stable);
+        top_ranked.or_else(|| rotated().chain(fallbacks).find(may_be_reached))
     }
 }
 
 /// Whether a VM could be reached for so long.
-fn did_not_fail_for(
+fn not_failed_within(
     span_us: u64,
     failed_us: &FastMap<Arc<str>, u64>,
     vm: &VmAddress,
@@ -350,8 +356,8 @@
 }
 
 /// The VMs that rank highest for a name.
-fn best(name: &str, vms: Vec<&VmAddress>, count: usize) -> Vec<VmAddress> {
+fn top_ranked(name: &str, vms: Vec<&VmAddress>, count: usize) -> Vec<VmAddress> {
     let names: Vec<&str> = vms.iter().map(|vm| &*vm.name).collect();
-    let places = homes::rank_names(name, &names, count);
-    places.into_iter().map(|place| vms[place].clone()).collect()
+    let indexes = homes::rank_names(name, &names, count);
+    indexes.into_iter().map(|index| vms[index].clone()).collect()
 }
--- a/crates/proxy/src/sessions/process/quota/allocators.rs
+++ b/crates/proxy/src/sessions/process/quota/allocators.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Allocators {
     /// In the order in which this VM asks them: itself, its zone's, then the others.
-    pub in_turn: Vec<VmAddress>,
+    pub ask_order: Vec<VmAddress>,
     /// Whether this VM is one of them.
     pub includes_own: bool,
     /// Among how many the limit is divided.
@@ -21,7 +21,7 @@
 }
 
 /// How many availability zones have VMs.
-pub fn zones_of(vms: &[VmAddress]) -> usize {
+pub fn zone_count(vms: &[VmAddress]) -> usize {
     by_zone(vms).len()
 }
 
@@ -46,17 +46,17 @@
         let by_zone = by_zone(vms);
         let zones: Vec<&str> = by_zone.keys().copied().collect();
         let chosen = homes::rank_names(organisation, &zones, division.zones);
-        let mut in_turn: Vec<VmAddress> = Vec::new();
-        for vms in chosen.into_iter().filter_map(|place| by_zone.get(zones[place])) {
+        let mut ask_order: Vec<VmAddress> = Vec::new();
+        for vms in chosen.into_iter().filter_map(|index| by_zone.get(zones[index])) {
             let names: Vec<&str> = vms.iter().map(|vm| &*vm.name).collect();
-            let places = homes::rank_names(organisation, &names, division.per_zone);
-            in_turn.extend(places.into_iter().map(|place| vms[place].clone()));
+            let indexes = homes::rank_names(organisation, &names, division.per_zone);
+            ask_order.extend(indexes.into_iter().map(|index| vms[index].clone()));
         }
-        let includes_own = in_turn.iter().any(|vm| vm.name == *own);
+        let includes_own = ask_order.iter().any(|vm| vm.name == *own);
         let seed = jitter::seed_of(own);
         // Half of a zone's VMs ask each of its allocators first.
         let order = |vm: &VmAddress| jitter::seed_of(&vm.name) ^ seed;
-        in_turn.sort_by_key(|vm| (vm.name != *own, &*vm.zone != zone, order(vm)));
-        Allocators { in_turn, includes_own, division }
+        ask_order.sort_by_key(|vm| (vm.name != *own, &*vm.zone != zone, order(vm)));
+        Allocators { ask_order, includes_own, division }
     }
 }
--- a/crates/proxy/src/sessions/process/quota/answer.rs
+++ b/crates/proxy/src/sessions/process/quota/answer.rs
@@ -24,21 +24,21 @@
 const NOT_HERE: &str = "-";
 
 /// How long one who asks may stay silent before its connection is closed.
-const SILENCE: Duration = Duration::from_secs(10);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long an answer may wait to be taken.
-const SEND_LIMIT: Duration = Duration::from_millis(500);
+const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The longest message, in bytes.
 const MAX_LINE_BYTES: usize = 64 << 10;
 
 /// Whether another VM asks for grants.
-pub fn is_question(message: &[u8]) -> bool {
+pub fn is_request(message: &[u8]) -> bool {
     message.strip_prefix(GRANT.as_bytes()).is_some_and(|rest| rest.starts_with(b" "))
 }
 
 /// The question for one operation of each of these organisations.
-pub fn question<'a, N>(names: N) -> String
+pub fn encode_request<'a, N>(names: N) -> String
 where
     N: Iterator<Item = &'a str>,
 {
@@ -52,7 +52,7 @@
 }
 
 /// What an answer says, in the order of the question.
-pub fn answers(line: &[u8]) -> impl Iterator<Item = Answer> {
+pub fn decode_answers(line: &[u8]) -> impl Iterator<Item = Answer> {
     let text = std::str::from_utf8(line).unwrap_or_default();
     text.split_whitespace().map(|word| match word {
         NOT_HERE => Answer::NotHere,
@@ -95,10 +95,10 @@
     let mut line = first;
     loop {
         let Some(answer) = answer_to(gateway, &line) else { return };
-        if socket::write_all(stream, answer.as_bytes(), SEND_LIMIT).await.is_err() {
+        if socket::write_all(stream, answer.as_bytes(), SEND_TIMEOUT).await.is_err() {
             return;
         }
-        match time::timeout(SILENCE, next_line(stream, &mut input)).await {
+        match time::timeout(SILENCE_TIMEOUT, next_line(stream, &mut input)).await {
             Ok(Ok(next)) => line = next,
             _ => return,
         }
--- a/crates/proxy/src/sessions/process/quota/ask.rs
+++ b/crates/proxy/src/sessions/process/quota/ask.rs
@@ -21,20 +21,20 @@
 use crate::sessions::store::VmAddress;
 
 /// The time that another VM has to answer, a new connection included.
-const ANSWER_LIMIT: Duration = Duration::from_millis(100);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// After which time without a question a connection is closed. The other VM waits for longer.
-const IDLE_LIMIT: Duration = Duration::from_secs(3);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How many questions wait for one VM at most.
-const MOST_WAITING: usize = 1_024;
+const MAX_QUEUED: usize = 1_024;
 
 /// How many organisations one message asks about at most.
-const MOST_IN_MESSAGE: usize = 64;
+const MAX_BATCH: usize = 64;
 
 /// One operation of an organisation that is to be granted.
 #[derive(Debug)]
-struct Question {
+struct GrantRequest {
     organisation: Arc<str>,
     answer: oneshot::Sender<Answer>,
 }
@@ -52,25 +52,25 @@
 
 /// The questions to other VMs.
 #[derive(Debug)]
-pub struct Questions {
+pub struct GrantClient {
     counters: Arc<Counters>,
-    by_vm: Mutex<FastMap<Arc<str>, mpsc::Sender<Question>>>,
+    by_vm: Mutex<FastMap<Arc<str>, mpsc::Sender<GrantRequest>>>,
 }
 
-impl Questions {
+impl GrantClient {
     /// Nothing was asked yet.
-    pub fn new(counters: &Arc<Counters>) -> Questions {
-        Questions { counters: Arc::clone(counters), by_vm: Mutex::default() }
+    pub fn new(counters: &Arc<Counters>) -> GrantClient {
+        GrantClient { counters: Arc::clone(counters), by_vm: Mutex::default() }
     }
 
     /// Asks a VM to grant one operation.
     pub async fn ask(&self, vm: &VmAddress, organisation: &Arc<str>) -> Answer {
         self.counters.event(Event::LimitsAsked);
         let (answer, answered) = oneshot::channel();
-        let question = Question { organisation: Arc::clone(organisation), answer };
+        let request = GrantRequest { organisation: Arc::clone(organisation), answer };
         // A full queue is as good as no answer: the question is dropped, and the answer with it.
-        let _ = self.sender_to(vm).try_send(question);
-        match time::timeout(ANSWER_LIMIT, answered).await {
+        let _ = self.sender_to(vm).try_send(request);
+        match time::timeout(ANSWER_TIMEOUT, answered).await {
             Ok(Ok(answer)) => answer,
             _ => {
                 self.counters.event(Event::LimitsUnanswered);
@@ -79,21 +79,21 @@
         }
     }
 
-    fn sender_to(&self, vm: &VmAddress) -> mpsc::Sender<Question> {
+    fn sender_to(&self, vm: &VmAddress) -> mpsc::Sender<GrantRequest> {
         let mut by_vm = self.by_vm.lock();
         if let Some(sender) = by_vm.get(&vm.name).filter(|sender| !sender.is_closed()) {
             return sender.clone();
         }
-        let (sender, receiver) = mpsc::channel(MOST_WAITING);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED);
         by_vm.insert(Arc::clone(&vm.name), sender.clone());
-        tokio::spawn(talk(vm.clone(), receiver));
+        tokio::spawn(run_connection(vm.clone(), receiver));
         sender
     }
 }
 
 /// Asks a VM what there is to ask until nothing was for a while, or it does not answer.
-async fn talk(vm: VmAddress, mut questions: mpsc::Receiver<Question>) {
-    let connected = time::timeout(ANSWER_LIMIT, TcpStream::connect(vm.peer_address)).await;
+async fn run_connection(vm: VmAddress, mut requests: mpsc::Receiver<GrantRequest>) {
+    let connected = time::timeout(ANSWER_TIMEOUT, TcpStream::connect(vm.peer_address)).await;
     let Ok(Ok(stream)) = connected else { return };
     // Without it small messages wait for each other, which is slow but works.
     let _ = stream.set_nodelay(true);
@@ -101,22 +101,22 @@
     let mut batch = Vec::new();
     loop {
         batch.clear();
-        let received = questions.recv_many(&mut batch, MOST_IN_MESSAGE);
-        if time::timeout(IDLE_LIMIT, received).await.is_err() || batch.is_empty() {
+        let received = requests.recv_many(&mut batch, MAX_BATCH);
+        if time::timeout(IDLE_TIMEOUT, received).await.is_err() || batch.is_empty() {
             return;
         }
-        let names = batch.iter().map(|question| &*question.organisation);
-        let message = answer::question(names);
-        let answered = time::timeout(ANSWER_LIMIT, exchange(&stream, &mut input, &message)).await;
+        let names = batch.iter().map(|request| &*request.organisation);
+        let message = answer::encode_request(names);
+        let answered = time::timeout(ANSWER_TIMEOUT, exchange(&stream, &mut input, &message)).await;
         let Ok(Ok(line)) = answered else { return };
-        for (question, answer) in batch.drain(..).zip(answer::answers(&line)) {
+        for (request, answer) in batch.drain(..).zip(answer::decode_answers(&line)) {
             // One who waits no longer has given its operation up.
-            let _ = question.answer.send(answer);
+            let _ = request.answer.send(answer);
         }
     }
 }
 
 async fn exchange(stream: &TcpStream, input: &mut BytesMut, message: &str) -> io::Result<BytesMut> {
-    socket::write_all(stream, message.as_bytes(), ANSWER_LIMIT).await?;
+    socket::write_all(stream, message.as_bytes(), ANSWER_TIMEOUT).await?;
     answer::next_line(stream, input).await
 }
--- a/crates/proxy/src/sessions/process/quota/mod.rs
+++ b/crates/proxy/src/sessions/process/quota/mod.rs
@@ -30,7 +30,7 @@
 use crate::request::refusal::Refusal;
 use crate::sessions::process::quota::allocators::Allocators;
 use crate::sessions::process::quota::ask::Answer;
-use crate::sessions::process::quota::ask::Questions;
+use crate::sessions::process::quota::ask::GrantClient;
 use crate::sessions::store::VmAddress;
 
 /// For how long an allocator that did not answer is ejected, in microseconds.
@@ -41,19 +41,19 @@
 const NOT_HERE_US: u64 = 50_000;
 
 /// How many notes of empty allocators are kept before those that are over are dropped.
-const MOST_EMPTY: usize = 4_096;
+const MAX_EMPTY_ENTRIES: usize = 4_096;
 
 /// How long after a change of the list of VMs a VM that became an allocator begins to earn tokens, in
 /// microseconds. Others may ask its predecessor until they have the list as well.
-const TAKE_OVER_US: u64 = 1_500_000;
+const HANDOVER_DELAY_US: u64 = 1_500_000;
 
 /// How long an operation waits for room in its organisation's limit at most, in microseconds. One that waited for
 /// longer would be late as often as not, and holds up those of its organisation that come after it.
-const LONGEST_WAIT_US: u64 = 50_000;
+const MAX_WAIT_US: u64 = 50_000;
 
 /// For how long after its start a process waits for longer, in microseconds: all may have started together, with
 /// little to grant at first and all their callers back.
-const STARTING_US: u64 = 5_000_000;
+const STARTUP_PERIOD_US: u64 = 5_000_000;
 
 /// Microseconds in a millisecond.
 const MS_US: u64 = 1_000;
@@ -66,7 +66,7 @@
     tolerance: QuotaTolerance,
     clock: MonotonicClock,
     counters: Arc<Counters>,
-    questions: Questions,
+    client: GrantClient,
     state: Mutex<State>,
 }
 
@@ -76,7 +76,7 @@
     /// How many availability zones these are in.
     zones: usize,
     /// From when buckets that are new earn tokens.
-    earns_from_us: u64,
+    refill_from_us: u64,
     allocators: FastMap<Arc<str>, Arc<Allocators>>,
     /// What this VM grants, by organisation.
     granting: FastMap<Arc<str>, Granting>,
@@ -99,7 +99,7 @@
     /// Operations that were granted.
     pub granted: u64,
     /// Operations that were asked for and not granted. One that is refused by several allocators counts at each.
-    pub turned_away: u64,
+    pub denied: u64,
     /// The limit of the organisation over all VMs, in thousandths of an operation a second.
     pub limit_milli_per_s: u64,
 }
@@ -107,7 +107,7 @@
 impl State {
     /// Notes that an allocator has nothing for an organisation until then.
     fn set_empty(&mut self, name: &Arc<str>, vm: &VmAddress, until_us: u64, now_us: u64) {
-        if self.empty_until_us.len() >= MOST_EMPTY {
+        if self.empty_until_us.len() >= MAX_EMPTY_ENTRIES {
             self.empty_until_us.retain(|_, until_us| now_us < *until_us);
         }
         let key = (Arc::clone(name), Arc::clone(&vm.name));
@@ -116,7 +116,7 @@
 }
 
 /// What came of asking one allocator.
-enum Asked {
+enum AskOutcome {
     Granted,
     Empty { retry_after_us: u64 },
     Silent,
@@ -137,7 +137,7 @@
             tolerance,
             clock,
             counters: Arc::clone(counters),
-            questions: Questions::new(counters),
+            client: GrantClient::new(counters),
             state: Mutex::default(),
         }
     }
@@ -150,10 +150,10 @@
         }
         let is_first = state.vms.is_empty();
         state.vms = vms.to_vec();
-        state.zones = allocators::zones_of(vms);
+        state.zones = allocators::zone_count(vms);
         let now_us = self.clock.now_us();
         // What a process allocates by the first list it allocates from its start.
-        state.earns_from_us = if is_first { 0 } else { now_us + TAKE_OVER_US };
+        state.refill_from_us = if is_first { 0 } else { now_us + HANDOVER_DELAY_US };
         let known = std::mem::take(&mut state.allocators);
         for (name, before) in known {
             let now = Allocators::rank(&name, &state.vms, &self.own, &self.zone, before.division);
@@ -174,16 +174,16 @@
     pub async fn admit(&self, organisation: &Organisation, until_us: u64) -> Result<(), Refusal> {
         let Some(limit) = organisation.limit else { return Ok(()) };
         let now_us = self.clock.now_us();
-        let until_us = match now_us < STARTING_US {
+        let until_us = match now_us < STARTUP_PERIOD_US {
             true => until_us,
-            false => until_us.min(now_us + LONGEST_WAIT_US),
+            false => until_us.min(now_us + MAX_WAIT_US),
         };
         loop {
             let asked = self.ask_in_turn(&organisation.name, limit).await;
             let retry_after_us = match asked {
-                Asked::Granted => return Ok(()),
-                Asked::Silent => return Err(ErrorKind::LimitUnknown.into()),
-                Asked::Empty { retry_after_us } => retry_after_us,
+                AskOutcome::Granted => return Ok(()),
+                AskOutcome::Silent => return Err(ErrorKind::LimitUnknown.into()),
+                AskOutcome::Empty { retry_after_us } => retry_after_us,
             };
             if self.clock.now_us() + retry_after_us > until_us {
                 let retry_after_ms = retry_after_us.div_ceil(MS_US);
@@ -194,19 +194,19 @@
     }
 
     /// Asks one allocator after the other. The one that has room soonest counts if none has.
-    async fn ask_in_turn(&self, name: &Arc<str>, limit: RateLimit) -> Asked {
+    async fn ask_in_turn(&self, name: &Arc<str>, limit: RateLimit) -> AskOutcome {
         let allocators = self.allocators_of(name, limit);
         let mut soonest_us = None;
-        for vm in &allocators.in_turn {
+        for vm in &allocators.ask_order {
             match self.ask(name, limit, vm).await {
-                Asked::Granted => return Asked::Granted,
-                Asked::Empty { retry_after_us } => {
+                AskOutcome::Granted => return AskOutcome::Granted,
+                AskOutcome::Empty { retry_after_us } => {
                     soonest_us = soonest_us.into_iter().chain([retry_after_us]).min();
                 }
-                Asked::Silent => (),
+                AskOutcome::Silent => (),
             }
         }
-        soonest_us.map_or(Asked::Silent, |retry_after_us| Asked::Empty { retry_after_us })
+        soonest_us.map_or(AskOutcome::Silent, |retry_after_us| AskOutcome::Empty { retry_after_us })
     }
 
     /// Grants operations of an organisation out of this VM's part; none if it allocates nothing of it.
@@ -215,17 +215,17 @@
         if !allocators.includes_own {
             return None;
         }
-        let part = LimitPart::of(limit, self.tolerance, allocators.in_turn.len());
+        let part = LimitPart::of(limit, self.tolerance, allocators.ask_order.len());
         let now_us = self.clock.now_us();
         let mut state = self.state.lock();
-        let since_us = state.earns_from_us;
+        let since_us = state.refill_from_us;
         let new =
             || Granting { bucket: TokenBucket::starting(part, since_us), usage: Usage::default() };
         let Granting { bucket, usage } = state.granting.entry(Arc::clone(name)).or_insert_with(new);
         bucket.set_part(part, now_us);
         let grant = bucket.take(wanted, now_us);
         usage.granted += u64::from(grant.granted);
-        usage.turned_away += u64::from(wanted - grant.granted);
+        usage.denied += u64::from(wanted - grant.granted);
         usage.limit_milli_per_s = limit.rate_milli_per_s;
         Some(grant)
     }
@@ -240,50 +240,50 @@
         all
     }
 
-    async fn ask(&self, name: &Arc<str>, limit: RateLimit, vm: &VmAddress) -> Asked {
+    async fn ask(&self, name: &Arc<str>, limit: RateLimit, vm: &VmAddress) -> AskOutcome {
         if vm.name == self.own {
-            let Some(grant) = self.grant(name, limit, 1) else { return Asked::Silent };
+            let Some(grant) = self.grant(name, limit, 1) else { return AskOutcome::Silent };
             if grant.granted == 0 {
-                return Asked::Empty { retry_after_us: grant.retry_after_us };
+                return AskOutcome::Empty { retry_after_us: grant.retry_after_us };
             }
             self.counters.event(Event::LimitsGrantedHere);
-            return Asked::Granted;
+            return AskOutcome::Granted;
         }
         if let Some(known) = self.known_answer(name, vm) {
             return known;
         }
-        let answer = self.questions.ask(vm, name).await;
+        let answer = self.client.ask(vm, name).await;
         let now_us = self.clock.now_us();
         let mut state = self.state.lock();
         match answer {
-            Answer::Grant(grant) if grant.granted > 0 => Asked::Granted,
+            Answer::Grant(grant) if grant.granted > 0 => AskOutcome::Granted,
             Answer::Grant(Grant { retry_after_us, .. }) => {
                 state.set_empty(name, vm, now_us + retry_after_us, now_us);
-                Asked::Empty { retry_after_us }
+                AskOutcome::Empty { retry_after_us }
             }
             Answer::NotHere => {
                 state.set_empty(name, vm, now_us + NOT_HERE_US, now_us);
-                Asked::Empty { retry_after_us: NOT_HERE_US }
+                AskOutcome::Empty { retry_after_us: NOT_HERE_US }
             }
             Answer::Nothing => {
                 let until_us = now_us + SILENT_EJECTION_US;
                 state.silent_until_us.insert(Arc::clone(&vm.name), until_us);
-                Asked::Silent
+                AskOutcome::Silent
             }
         }
     }
 
     /// What an allocator would say, as far as it said so before.
-    fn known_answer(&self, name: &Arc<str>, vm: &VmAddress) -> Option<Asked> {
+    fn known_answer(&self, name: &Arc<str>, vm: &VmAddress) -> Option<AskOutcome> {
         let now_us = self.clock.now_us();
         let mut state = self.state.lock();
         if state.silent_until_us.get(&vm.name).is_some_and(|until_us| now_us < *until_us) {
-            return Some(Asked::Silent);
+            return Some(AskOutcome::Silent);
         }
         let key = (Arc::clone(name), Arc::clone(&vm.name));
         let until_us = *state.empty_until_us.get(&key)?;
         if now_us < until_us {
-            return Some(Asked::Empty { retry_after_us: until_us - now_us });
+            return Some(AskOutcome::Empty { retry_after_us: until_us - now_us });
         }
         state.empty_until_us.remove(&key);
         None
--- a/crates/proxy/src/sessions/process/replicas.rs
+++ b/crates/proxy/src/sessions/process/replicas.rs
@@ -10,21 +10,25 @@
 use crate::sessions::codec::Codec;
 use crate::sessions::codec::Query;
 use crate::sessions::process::target_calls;
-use crate::sessions::process::target_calls::Said;
+use crate::sessions::process::target_calls::CallReply;
 
 /// The time that a target which left the list has to say that it is back. One that lives answers in
 /// some 20 ms, and one that is gone must not hold a takeover up for long.
-const BACK_LIMIT: Duration = Duration::from_millis(150);
+const RETURN_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Those of these targets that answer.
-pub async fn that_answer<C>(vm: &Arc<str>, targets: &[Arc<TargetRecord>]) -> Vec<Arc<TargetRecord>>
+pub async fn filter_responding<C>(
+    vm: &Arc<str>,
+    targets: &[Arc<TargetRecord>],
+) -> Vec<Arc<TargetRecord>>
 where
     C: Codec,
 {
     let query = Query::Standing;
-    let ask = |target| target_calls::ask_within::<C>(target, vm, &query, BACK_LIMIT);
-    let said = future::join_all(targets.iter().map(|target| ask(target))).await;
-    let answered = targets.iter().zip(said).filter(|(_, said)| matches!(said, Said::Status(_)));
+    let ask = |target| target_calls::ask_with_timeout::<C>(target, vm, &query, RETURN_TIMEOUT);
+    let reply = future::join_all(targets.iter().map(|target| ask(target))).await;
+    let answered =
+        targets.iter().zip(reply).filter(|(_, reply)| matches!(reply, CallReply::Status(_)));
     answered.map(|(target, _)| Arc::clone(target)).collect()
 }
 
@@ -34,12 +38,12 @@
     C: Codec,
 {
     let ask = |replica| target_calls::ask::<C>(replica, vm, &Query::Status);
-    let said = future::join_all(replicas.iter().map(|replica| ask(replica))).await;
+    let reply = future::join_all(replicas.iter().map(|replica| ask(replica))).await;
     let mut views = Vec::new();
     let mut term = 0;
-    for (replica, said) in replicas.iter().zip(said) {
+    for (replica, reply) in replicas.iter().zip(reply) {
         let mut seen = ReplicaView { leaving: replica.leaving, ..ReplicaView::default() };
-        if let Said::Status(status) = said {
+        if let CallReply::Status(status) = reply {
             seen.reachable = true;
             seen.received = status.received;
             seen.paused = status.paused_term > 0;
@@ -58,8 +62,8 @@
     let (views, term) = ask_all::<C>(vm, replicas).await;
     for (replica, view) in replicas.iter().zip(&views) {
         if view.paused {
-            let said = target_calls::ask::<C>(replica, vm, &Query::Resume { term }).await;
-            slog::info!(log, "resumed a replica"; "target" => &*replica.id, "said" => ?said);
+            let reply = target_calls::ask::<C>(replica, vm, &Query::Resume { term }).await;
+            slog::info!(log, "resumed a replica"; "target" => &*replica.id, "said" => ?reply);
         }
     }
 }
--- a/crates/proxy/src/sessions/process/sampler.rs
+++ b/crates/proxy/src/sessions/process/sampler.rs
@@ -17,7 +17,7 @@
 use crate::sessions::request::sample;
 
 /// How often the services are looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How old a position may be that is brought ahead, in microseconds.
 const MAX_AGE_US: u64 = 250_000;
@@ -27,22 +27,22 @@
 where
     C: Codec,
 {
-    let mut looks = time::interval(LOOK_INTERVAL);
-    looks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
+    let mut ticks = time::interval(CHECK_INTERVAL);
+    ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
-        looks.tick().await;
+        ticks.tick().await;
         for service in gateway.services_to_sample() {
-            tokio::spawn(bring(Arc::clone(&gateway), service));
+            tokio::spawn(sample_service(Arc::clone(&gateway), service));
         }
     }
 }
 
-async fn bring<C>(gateway: Arc<Gateway<C>>, service: Arc<str>)
+async fn sample_service<C>(gateway: Arc<Gateway<C>>, service: Arc<str>)
 where
     C: Codec,
 {
     let state = gateway.service(&service);
-    let Some(_sampling) = state.sampling.begin() else { return };
+    let Some(_sampling) = state.sampling_flight.begin() else { return };
     // Without a position the next read brings one, or is served by the primary.
     let _ = sample::sample(&gateway, &service, MAX_AGE_US).await;
 }
--- a/crates/proxy/src/sessions/process/services.rs
+++ b/crates/proxy/src/sessions/process/services.rs
@@ -25,7 +25,7 @@
     /// Which target leads.
     pub leader: Mutex<LeaderBelief>,
     /// What the members said of themselves.
-    pub words: Mutex<LeadWords>,
+    pub lead_reports: Mutex<LeadWords>,
     /// How many members left without whom nothing can be promoted yet.
     departed: AtomicUsize,
     /// Whether members may have left before this process heard of the service.
@@ -33,28 +33,28 @@
     /// Asking members for a proof.
     pub proof_flight: SingleFlight,
     /// When questions ended last that nobody answered; zero if they never did.
-    asked_in_vain_us: AtomicU64,
+    unanswered_round_us: AtomicU64,
     /// Who needs positions.
     pub demand: Mutex<PositionDemand>,
     /// Bringing a position of the primary.
-    pub sampling: SingleFlight,
+    pub sampling_flight: SingleFlight,
 }
 
 impl ServiceState {
     /// A member said how it stands.
-    pub fn heard(&self, member: &Arc<str>, word: Word) {
-        self.words.lock().heard(member, word);
-        self.asked_in_vain_us.store(0, Ordering::Relaxed);
+    pub fn record_report(&self, member: &Arc<str>, report: Word) {
+        self.lead_reports.lock().heard(member, report);
+        self.unanswered_round_us.store(0, Ordering::Relaxed);
     }
 
     /// Questions ended at this time that nobody answered.
-    pub fn set_asked_in_vain(&self, ended_us: u64) {
-        self.asked_in_vain_us.store(ended_us, Ordering::Relaxed);
+    pub fn record_unanswered_round(&self, ended_us: u64) {
+        self.unanswered_round_us.store(ended_us, Ordering::Relaxed);
     }
 
     /// Whether questions had ended just before `came_us` that nobody answered.
-    pub fn was_asked_in_vain(&self, came_us: u64) -> bool {
-        let ended_us = self.asked_in_vain_us.load(Ordering::Relaxed);
+    pub fn has_recent_unanswered_round(&self, came_us: u64) -> bool {
+        let ended_us = self.unanswered_round_us.load(Ordering::Relaxed);
         (1..=came_us).contains(&ended_us) && came_us < ended_us + limits::UNPROVED_BACKOFF_US
     }
 
--- a/crates/proxy/src/sessions/process/single_flight.rs
+++ b/crates/proxy/src/sessions/process/single_flight.rs
@@ -13,7 +13,7 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    under_way: AtomicBool,
+    in_flight: AtomicBool,
     ended: Notify,
 }
 
@@ -23,7 +23,7 @@
 
 impl Drop for Flight {
     fn drop(&mut self) {
-        self.0.under_way.store(false, Ordering::Relaxed);
+        self.0.in_flight.store(false, Ordering::Relaxed);
         self.0.ended.notify_waiters();
     }
 }
@@ -31,8 +31,8 @@
 impl SingleFlight {
     /// Takes the work on, unless somebody does it already.
     pub fn begin(&self) -> Option<Flight> {
-        let was_under_way = self.0.under_way.swap(true, Ordering::Relaxed);
-        (!was_under_way).then(|| Flight(Arc::clone(&self.0)))
+        let was_in_flight = self.0.in_flight.swap(true, Ordering::Relaxed);
+        (!was_in_flight).then(|| Flight(Arc::clone(&self.0)))
     }
 
     /// Waits until the work ends, or [`SingleFlight::notify`] tells that looking again may help. Counts from
--- a/crates/proxy/src/sessions/process/step_down.rs
+++ b/crates/proxy/src/sessions/process/step_down.rs
@@ -13,27 +13,27 @@
 use crate::sessions::codec::Codec;
 use crate::sessions::codec::Query;
 use crate::sessions::process::target_calls;
-use crate::sessions::process::target_calls::Said;
+use crate::sessions::process::target_calls::CallReply;
 
 /// How often it is told without an answer before the next request that meets it has to see to it.
-const TRIES: u32 = 5;
+const MAX_TRIES: u32 = 5;
 
 /// The pause between two tries.
-const PAUSE: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 /// Tells a target that another leads under `term`.
-pub async fn tell<C>(log: &slog::Logger, record: &TargetRecord, vm: &Arc<str>, term: u64)
+pub async fn notify<C>(log: &slog::Logger, record: &TargetRecord, vm: &Arc<str>, term: u64)
 where
     C: Codec,
 {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_TRIES {
         match target_calls::ask::<C>(record, vm, &Query::StepDown { term }).await {
-            Said::Status(status) => {
+            CallReply::Status(status) => {
                 slog::warn!(log, "told a target that it no longer leads";
                     "target" => &*record.id, "term" => term, "leads" => status.is_primary);
                 return;
             }
-            Said::Refused | Said::Nothing => time::sleep(PAUSE).await,
+            CallReply::Refused | CallReply::Nothing => time::sleep(RETRY_PAUSE).await,
         }
     }
     slog::info!(log, "a target that no longer leads does not answer";
--- a/crates/proxy/src/sessions/process/takeover/drive.rs
+++ b/crates/proxy/src/sessions/process/takeover/drive.rs
@@ -29,25 +29,25 @@
 /// One takeover under way.
 pub(super) struct Drive {
     pub(super) service: Arc<str>,
-    pub(super) need: TakeoverTrigger,
+    pub(super) trigger: TakeoverTrigger,
     pub(super) began_us: u64,
     /// The target that is replaced.
     pub(super) old: Option<Arc<TargetRecord>>,
     /// The end of the log of a primary that leaves and answered.
-    pub(super) handed_over: LogPosition,
+    pub(super) leaving_log_end: LogPosition,
     pub(super) claim: HeldClaim,
     /// Whether the old primary was told to step down.
     pub(super) stepped_down: bool,
     /// Whether members that left have to be asked whether they are back.
-    pub(super) asks_departed: bool,
+    pub(super) checks_departed: bool,
     /// Members that left and are back, but not listed yet.
-    pub(super) back: Vec<Arc<TargetRecord>>,
+    pub(super) returned: Vec<Arc<TargetRecord>>,
 }
 
 impl Drive {
     /// Whether ending now would leave the group worse than it was: nobody leads once the old primary was
     /// stepped down, and a promotion that may come late must find the replicas paused.
-    pub(super) fn must_go_on(&self, now_us: u64) -> bool {
+    pub(super) fn must_continue(&self, now_us: u64) -> bool {
         let limit_us = self.began_us + DRIVE_LIMIT_US + LATE_EFFECT_US;
         now_us < limit_us && (self.stepped_down || self.claim.may_come_late(now_us))
     }
@@ -55,7 +55,7 @@
     /// Whether the old primary has to step down before another is promoted. Where commits are stuck nothing
     /// is acknowledged anyway. A replica that comes back before the promotion takes effect would have them
     /// acknowledged after all, and they were lost with the promotion: 21 to 60 commits of a soak seed.
-    pub(super) fn has_to_step_down(&self) -> bool {
-        self.need == TakeoverTrigger::CommitsStuck && !self.stepped_down
+    pub(super) fn needs_step_down(&self) -> bool {
+        self.trigger == TakeoverTrigger::CommitsStuck && !self.stepped_down
     }
 }
--- a/crates/proxy/src/sessions/process/takeover/mod.rs
+++ b/crates/proxy/src/sessions/process/takeover/mod.rs
@@ -29,13 +29,13 @@
 use crate::sessions::process::takeover_trigger::TakeoverTrigger;
 use crate::sessions::process::takeover_trigger::TakeoverTriggers;
 use crate::sessions::process::target_calls;
-use crate::sessions::process::target_calls::Said;
+use crate::sessions::process::target_calls::CallReply;
 use crate::sessions::process::watch::Watcher;
 use crate::sessions::store::Promoter;
 use crate::sessions::store::StateStore;
 
 /// How often the primaries are looked at.
-pub const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The pause between two looks at what a driver waits for.
 const STEP_PAUSE: Duration = Duration::from_millis(15);
@@ -55,7 +55,7 @@
     promoter: P,
     /// The services that this process works at.
     driven: Mutex<FastSet<Arc<str>>>,
-    needs: TakeoverTriggers<C, S>,
+    triggers: TakeoverTriggers<C, S>,
 }
 
 impl<C, S, P> Takeovers<C, S, P>
@@ -77,76 +77,77 @@
             claims: Claims::new(gateway, store),
             promoter,
             driven: Mutex::default(),
-            needs: TakeoverTriggers::new(gateway, watcher),
+            triggers: TakeoverTriggers::new(gateway, watcher),
         }
     }
 
     /// Looks at all services, and starts to drive what needs it.
-    pub fn look(self: &Arc<Self>) {
+    pub fn check(self: &Arc<Self>) {
         self.watcher.settle_departures();
         for service in self.gateway.targets().connected_services() {
-            let Some(need) = self.needs.of(&service) else { continue };
+            let Some(trigger) = self.triggers.detect(&service) else { continue };
             if !self.driven.lock().insert(Arc::clone(&service)) {
                 continue;
             }
             let takeovers = Arc::clone(self);
             tokio::spawn(async move {
-                takeovers.drive(&service, need).await;
+                takeovers.drive(&service, trigger).await;
                 takeovers.driven.lock().remove(&service);
             });
         }
     }
 
-    async fn drive(&self, service: &Arc<str>, need: TakeoverTrigger) {
+    async fn drive(&self, service: &Arc<str>, trigger: TakeoverTrigger) {
         let began_us = self.gateway.clock.now_us();
-        if need == TakeoverTrigger::Silent && self.needs.primary_answers(service).await {
+        if trigger == TakeoverTrigger::Silent && self.triggers.primary_answers(service).await {
             return;
         }
         slog::warn!(self.gateway.log, "the primary has to be replaced";
             "service" => &**service,
-            "primary" => self.needs.present_primary(service).map(|p| p.record.id.to_string()),
-            "need" => ?need);
-        let handed_over = match need {
-            TakeoverTrigger::Leaving => self.primarys_log(service).await,
+            "primary" => self.triggers.current_primary(service).map(|p| p.record.id.to_string()),
+            "need" => ?trigger);
+        let leaving_log_end = match trigger {
+            TakeoverTrigger::Leaving => self.leaving_primary_log_end(service).await,
             TakeoverTrigger::Silent | TakeoverTrigger::CommitsStuck | TakeoverTrigger::Unled => {
                 None
             }
         };
-        if handed_over.is_none() && !self.watcher.may_promote(service) {
+        if leaving_log_end.is_none() && !self.watcher.may_promote(service) {
             slog::info!(self.gateway.log, "too new to judge who may lead"; "service" => &**service);
             time::sleep(RETRY_PAUSE).await;
             return;
         }
-        if need == TakeoverTrigger::CommitsStuck && self.resume_left_behind(service).await {
+        if trigger == TakeoverTrigger::CommitsStuck && self.resume_orphaned_replicas(service).await
+        {
             return;
         }
-        let is_needed = || self.needs.of(service).is_some();
-        let Some(claim) = self.claims.take(service, began_us, is_needed).await else { return };
-        let old = self.needs.present_primary(service).map(|member| member.record);
+        let is_needed = || self.triggers.detect(service).is_some();
+        let Some(claim) = self.claims.acquire(service, began_us, is_needed).await else { return };
+        let old = self.triggers.current_primary(service).map(|member| member.record);
         let (service, token) = (Arc::clone(service), claim.claim.token);
         let mut drive = Drive {
             service,
-            need,
+            trigger,
             began_us,
             old,
-            handed_over: handed_over.unwrap_or_default(),
+            leaving_log_end: leaving_log_end.unwrap_or_default(),
             claim,
             stepped_down: false,
-            asks_departed: true,
-            back: Vec::new(),
+            checks_departed: true,
+            returned: Vec::new(),
         };
-        let outcome = self.carry_out(&mut drive).await;
-        let Drive { service, claim, old, back, .. } = drive;
+        let outcome = self.run_steps(&mut drive).await;
+        let Drive { service, claim, old, returned, .. } = drive;
         if outcome == Outcome::Promoted {
-            self.tell_old_primary(&service, old).await;
+            self.notify_old_primary(&service, old).await;
         }
         // A replica that received again could acknowledge with the old primary what a promotion that
         // comes late would lose.
         let may_come_late = claim.claim.unsettled && outcome != Outcome::Promoted;
         if outcome != Outcome::ClaimLost && !may_come_late {
-            self.resume_all(&service, &back).await;
+            self.resume_all(&service, &returned).await;
         }
-        let settled = outcome != Outcome::ClaimLost && self.claims.settle(&service, claim).await;
+        let settled = outcome != Outcome::ClaimLost && self.claims.release(&service, claim).await;
         slog::warn!(self.gateway.log, "the takeover ended";
             "service" => &*service,
             "outcome" => ?outcome,
@@ -157,40 +158,40 @@
 
     /// Tells a primary that was replaced to step down. Where it can't be reached, whoever meets it goes on
     /// telling it.
-    async fn tell_old_primary(&self, service: &Arc<str>, old: Option<Arc<TargetRecord>>) {
-        let leader = self.last_led(service);
+    async fn notify_old_primary(&self, service: &Arc<str>, old: Option<Arc<TargetRecord>>) {
+        let leader = self.last_leader(service);
         let Some(old) = old.filter(|old| Some(&old.id) != leader.as_ref()) else { return };
         let Some(leader) = leader.and_then(|leader| self.gateway.target(&leader)) else { return };
         let vm = &self.gateway.vm;
-        let Said::Status(status) =
+        let CallReply::Status(status) =
             target_calls::ask::<C>(&leader.record, vm, &Query::Standing).await
         else {
             return;
         };
         if status.is_primary {
             let (log, vm, term) = (self.gateway.log.clone(), Arc::clone(vm), status.term);
-            tokio::spawn(async move { step_down::tell::<C>(&log, &old, &vm, term).await });
+            tokio::spawn(async move { step_down::notify::<C>(&log, &old, &vm, term).await });
         }
     }
 
     /// The target that is believed to lead, or led last.
-    fn last_led(&self, service: &Arc<str>) -> Option<Arc<str>> {
+    fn last_leader(&self, service: &Arc<str>) -> Option<Arc<str>> {
         self.gateway.service(service).leader.lock().preferred().cloned()
     }
 
     /// Whether a target is believed to lead.
     fn leads(&self, service: &Arc<str>, id: &str) -> bool {
-        self.last_led(service).is_some_and(|leader| *leader == *id)
+        self.last_leader(service).is_some_and(|leader| *leader == *id)
     }
 
     /// The end of the log of a primary that leaves and still answers. Its successor has to have all of it:
     /// this process may not know of a replica that acknowledged with it and is gone.
-    async fn primarys_log(&self, service: &Arc<str>) -> Option<LogPosition> {
-        let primary = self.needs.present_primary(service)?;
+    async fn leaving_primary_log_end(&self, service: &Arc<str>) -> Option<LogPosition> {
+        let primary = self.triggers.current_primary(service)?;
         let (record, vm) = (&primary.record, &self.gateway.vm);
         match target_calls::ask::<C>(record, vm, &Query::Status).await {
-            Said::Status(status) if status.is_primary => Some(status.received),
-            Said::Status(_) | Said::Refused | Said::Nothing => None,
+            CallReply::Status(status) if status.is_primary => Some(status.received),
+            CallReply::Status(_) | CallReply::Refused | CallReply::Nothing => None,
         }
     }
 
@@ -208,8 +209,8 @@
     /// Lets replicas receive again that a driver paused which died, unless it is still at work. Returns
     /// whether there were any. Without this the primary that it promoted acknowledged nothing until
     /// somebody saw a need to replace it as well.
-    async fn resume_left_behind(&self, service: &Arc<str>) -> bool {
-        let replicas = self.listed_replicas(service, self.last_led(service).as_ref());
+    async fn resume_orphaned_replicas(&self, service: &Arc<str>) -> bool {
+        let replicas = self.listed_replicas(service, self.last_leader(service).as_ref());
         let (views, _) = replicas::ask_all::<C>(&self.gateway.vm, &replicas).await;
         if !views.iter().any(|view| view.paused) {
             return false;
@@ -217,16 +218,18 @@
         let began_us = self.gateway.clock.now_us();
         // The commit that showed it may have timed out before the dead driver's claim can be taken.
         let is_needed = || self.gateway.clock.now_us() < began_us + DRIVE_LIMIT_US;
-        let Some(claim) = self.claims.take(service, began_us, is_needed).await else { return true };
+        let Some(claim) = self.claims.acquire(service, began_us, is_needed).await else {
+            return true;
+        };
         self.resume_all(service, &[]).await;
-        self.claims.settle(service, claim).await;
+        self.claims.release(service, claim).await;
         true
     }
 
     /// Lets all paused replicas receive again.
-    async fn resume_all(&self, service: &Arc<str>, back: &[Arc<TargetRecord>]) {
+    async fn resume_all(&self, service: &Arc<str>, returned: &[Arc<TargetRecord>]) {
         let mut paused = self.listed_replicas(service, None);
-        paused.extend(replicas::unlisted(back, &paused));
+        paused.extend(replicas::unlisted(returned, &paused));
         replicas::resume::<C>(&self.gateway.log, &self.gateway.vm, &paused).await;
     }
 }
--- a/crates/proxy/src/sessions/process/takeover/promote.rs
+++ b/crates/proxy/src/sessions/process/takeover/promote.rs
@@ -17,7 +17,7 @@
 use crate::sessions::store::StateStore;
 
 /// How long a promoted target may take until it leads, in microseconds: 300 to 600 ms are usual.
-const EFFECT_LIMIT_US: u64 = 2_000_000;
+const PROMOTION_TIMEOUT_US: u64 = 2_000_000;
 
 impl<C, S, P> Takeovers<C, S, P>
 where
@@ -77,11 +77,11 @@
             }
             Err(PromoteError::NoAnswer(_)) => {
                 drive.claim.unsettled_since_us = self.gateway.clock.now_us();
-                self.settle_call(drive, checks_tokens).await
+                self.resolve_call(drive, checks_tokens).await
             }
             Err(PromoteError::Refused) => {
                 drive.claim.claim.unsettled = may_come_late;
-                self.settle_call(drive, checks_tokens).await
+                self.resolve_call(drive, checks_tokens).await
             }
             Err(PromoteError::Overloaded | PromoteError::NotSent) => {
                 drive.claim.claim.unsettled = may_come_late;
@@ -93,7 +93,7 @@
 
     /// After a call that was refused, or that may still be carried out: a call with a higher token settles
     /// it where tokens are checked. The replicas stay paused until then.
-    async fn settle_call(&self, drive: &mut Drive, checks_tokens: bool) -> Option<Outcome> {
+    async fn resolve_call(&self, drive: &mut Drive, checks_tokens: bool) -> Option<Outcome> {
         if checks_tokens && !self.change_claim(drive, |claim| claim.token += 1).await {
             return Some(Outcome::ClaimLost);
         }
@@ -103,7 +103,7 @@
 
     /// Waits until the promoted target leads.
     async fn await_effect(&self, service: &Arc<str>, target: &str) {
-        let until_us = self.gateway.clock.now_us() + EFFECT_LIMIT_US;
+        let until_us = self.gateway.clock.now_us() + PROMOTION_TIMEOUT_US;
         while !self.leads(service, target) && self.gateway.clock.now_us() < until_us {
             time::sleep(STEP_PAUSE).await;
         }
--- a/crates/proxy/src/sessions/process/takeover/steps.rs
+++ b/crates/proxy/src/sessions/process/takeover/steps.rs
@@ -21,7 +21,7 @@
 use crate::sessions::process::takeover::drive::Drive;
 use crate::sessions::process::takeover::drive::Outcome;
 use crate::sessions::process::target_calls;
-use crate::sessions::process::target_calls::Said;
+use crate::sessions::process::target_calls::CallReply;
 use crate::sessions::store::Promoter;
 use crate::sessions::store::StateStore;
 
@@ -44,11 +44,11 @@
     P: Promoter,
 {
     /// Carries the steps out. Returns how it ended.
-    pub(super) async fn carry_out(&self, drive: &mut Drive) -> Outcome {
+    pub(super) async fn run_steps(&self, drive: &mut Drive) -> Outcome {
         let mut waiting_since_us = None;
         loop {
             let now_us = self.gateway.clock.now_us();
-            if let Some(outcome) = self.ended(drive, now_us).await {
+            if let Some(outcome) = self.check_end(drive, now_us).await {
                 return outcome;
             }
             let members = self.ask_members(drive).await;
@@ -65,12 +65,12 @@
     }
 
     /// Whether it is over, and how; renews the claim otherwise.
-    async fn ended(&self, drive: &mut Drive, now_us: u64) -> Option<Outcome> {
-        let must_go_on = drive.must_go_on(now_us);
-        if now_us >= drive.began_us + DRIVE_LIMIT_US && !must_go_on {
+    async fn check_end(&self, drive: &mut Drive, now_us: u64) -> Option<Outcome> {
+        let must_continue = drive.must_continue(now_us);
+        if now_us >= drive.began_us + DRIVE_LIMIT_US && !must_continue {
             return Some(Outcome::GaveUp);
         }
-        if self.needs.of(&drive.service).is_none() && !must_go_on {
+        if self.triggers.detect(&drive.service).is_none() && !must_continue {
             return Some(Outcome::NotNeeded);
         }
         let chosen = &drive.claim.claim.chosen;
@@ -88,21 +88,21 @@
         let service = &drive.service;
         let primary_id = drive.old.as_ref().map(|primary| Arc::clone(&primary.id));
         // One that died is listed no more, but is still believed to have led last.
-        let last_led = primary_id.clone().or_else(|| self.last_led(service));
-        let departed = self.watcher.departed(service, last_led.as_ref());
+        let last_leader = primary_id.clone().or_else(|| self.last_leader(service));
+        let departed = self.watcher.departed(service, last_leader.as_ref());
         let mut replicas = self.listed_replicas(service, primary_id.as_ref());
         replicas.extend(departed.away);
-        if std::mem::take(&mut drive.asks_departed) {
-            let gone = self.watcher.dispensable(service, last_led.as_ref());
-            drive.back.extend(replicas::that_answer::<C>(&self.gateway.vm, &gone).await);
+        if std::mem::take(&mut drive.checks_departed) {
+            let gone = self.watcher.dispensable(service, last_leader.as_ref());
+            drive.returned.extend(replicas::filter_responding::<C>(&self.gateway.vm, &gone).await);
         }
-        replicas.extend(replicas::unlisted(&drive.back, &replicas));
+        replicas.extend(replicas::unlisted(&drive.returned, &replicas));
         let (mut views, term) = replicas::ask_all::<C>(&self.gateway.vm, &replicas).await;
         // They stand for members that never answer again: only a position of the primary from after they
         // left shows that nothing was lost with them. Without this a replica was promoted that lacked a
         // commit, on the word of a member that had started again with an empty log.
         views.extend(iter::repeat_n(ReplicaView::default(), departed.lost));
-        Members { replicas, views, term, floor: departed.floor.max(drive.handed_over) }
+        Members { replicas, views, term, floor: departed.floor.max(drive.leaving_log_end) }
     }
 
     fn old_primary_answers(&self, drive: &Drive) -> bool {
@@ -123,14 +123,14 @@
             TakeoverStep::Pause(index) => {
                 let query = Query::Pause { term: members.term + 1 };
                 let record = &members.replicas[index];
-                let said = target_calls::ask::<C>(record, &self.gateway.vm, &query).await;
-                if !matches!(said, Said::Status(_)) {
+                let reply = target_calls::ask::<C>(record, &self.gateway.vm, &query).await;
+                if !matches!(reply, CallReply::Status(_)) {
                     time::sleep(STEP_PAUSE).await;
                 }
             }
             TakeoverStep::AskAgain(_) => time::sleep(STEP_PAUSE).await,
             TakeoverStep::Wait(_) => time::sleep(RETRY_PAUSE).await,
-            TakeoverStep::Promote(_) if drive.has_to_step_down() => {
+            TakeoverStep::Promote(_) if drive.needs_step_down() => {
                 self.step_old_primary_down(drive, members.term + 1).await;
             }
             TakeoverStep::Promote(index) => {
@@ -143,11 +143,11 @@
     async fn step_old_primary_down(&self, drive: &mut Drive, term: u64) {
         drive.stepped_down = true;
         // One may have come back just before, and have acknowledged with the old primary.
-        drive.asks_departed = true;
+        drive.checks_departed = true;
         let Some(primary) = &drive.old else { return };
         let query = Query::StepDown { term };
-        let said = target_calls::ask::<C>(primary, &self.gateway.vm, &query).await;
+        let reply = target_calls::ask::<C>(primary, &self.gateway.vm, &query).await;
         slog::info!(self.gateway.log, "stepped down before its successor leads";
-            "target" => &*primary.id, "said" => ?said);
+            "target" => &*primary.id, "said" => ?reply);
     }
 }
--- a/crates/proxy/src/sessions/process/takeover_trigger.rs
+++ b/crates/proxy/src/sessions/process/takeover_trigger.rs
@@ -13,7 +13,7 @@
 use crate::sessions::codec::Query;
 use crate::sessions::process::gateway::Gateway;
 use crate::sessions::process::target_calls;
-use crate::sessions::process::target_calls::Said;
+use crate::sessions::process::target_calls::CallReply;
 use crate::sessions::process::watch::Watcher;
 use crate::sessions::store::StateStore;
 use crate::sessions::version::view::Member;
@@ -25,7 +25,7 @@
 /// The time that a primary has to say that it lives. Its slots are busy for some 10 ms at a time, and
 /// what waits is bounded by 16 statements; each 100 ms more are 100 ms of writes refused when it is
 /// gone.
-const PRIMARY_LIMIT: Duration = Duration::from_millis(250);
+const PRIMARY_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How long statements may wait without any being answered before the primary is asked itself, in
 /// microseconds. The slowest run takes 110 ms. Few connections may all hang on a primary that went
@@ -80,13 +80,13 @@
     }
 
     /// Whether the primary of a service has to be replaced.
-    pub fn of(&self, service: &Arc<str>) -> Option<TakeoverTrigger> {
-        if !self.gateway.drives(service) {
+    pub fn detect(&self, service: &Arc<str>) -> Option<TakeoverTrigger> {
+        if !self.gateway.monitors_primary(service) {
             return None;
         }
         let now_us = self.gateway.clock.now_us();
         let view = self.gateway.view();
-        let Some(primary) = self.present_primary(service) else {
+        let Some(primary) = self.current_primary(service) else {
             let mut unled = self.unled_since_us.lock();
             let since_us = *unled.entry(Arc::clone(service)).or_insert(now_us);
             let is_unled = now_us >= since_us + UNLED_US && self.watcher.list_is_settled();
@@ -115,7 +115,7 @@
     }
 
     /// The target that leads as far as is known, if it is listed.
-    pub fn present_primary(&self, service: &Arc<str>) -> Option<Member> {
+    pub fn current_primary(&self, service: &Arc<str>) -> Option<Member> {
         let view = self.gateway.view();
         let state = self.gateway.service(service);
         let preferred = state.leader.lock().preferred().cloned();
@@ -126,18 +126,19 @@
 
     /// Asks the primary whether it lives and leads.
     pub async fn primary_answers(&self, service: &Arc<str>) -> bool {
-        let Some(primary) = self.present_primary(service) else { return false };
+        let Some(primary) = self.current_primary(service) else { return false };
         let (record, vm) = (&primary.record, &self.gateway.vm);
-        let said = target_calls::ask_within::<C>(record, vm, &Query::Status, PRIMARY_LIMIT).await;
-        let denies_lead = match said {
-            Said::Status(status) => !status.is_primary,
-            Said::Refused => false,
-            Said::Nothing => return false,
+        let reply =
+            target_calls::ask_with_timeout::<C>(record, vm, &Query::Status, PRIMARY_TIMEOUT).await;
+        let denies_lead = match reply {
+            CallReply::Status(status) => !status.is_primary,
+            CallReply::Refused => false,
+            CallReply::Nothing => return false,
         };
         if let Some(target) = self.gateway.target(&primary.record.id) {
             target.answered(self.gateway.clock.now_us(), None);
             if denies_lead {
-                self.gateway.refused_lead(&target);
+                self.gateway.record_not_primary(&target);
             }
         }
         true
--- a/crates/proxy/src/sessions/process/target_calls.rs
+++ b/crates/proxy/src/sessions/process/target_calls.rs
@@ -19,14 +19,14 @@
 
 /// The time for one question, the connection included. A new connection takes up to 30 ms and waits
 /// for slots that run statements of up to 110 ms; a target that needs longer is as good as gone.
-pub const CALL_LIMIT: Duration = Duration::from_millis(700);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// How often a target that is busy is asked again within the limit, and after which pause.
 const BUSY_PAUSE: Duration = Duration::from_millis(15);
 
 /// What a target said.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Said {
+pub enum CallReply {
     /// Its state.
     Status(TargetStatus),
     /// It lives and refused the question.
@@ -36,20 +36,20 @@
 }
 
 /// Asks one target.
-pub async fn ask<C>(record: &TargetRecord, vm: &Arc<str>, query: &Query<'_>) -> Said
+pub async fn ask<C>(record: &TargetRecord, vm: &Arc<str>, query: &Query<'_>) -> CallReply
 where
     C: Codec,
 {
-    ask_within::<C>(record, vm, query, CALL_LIMIT).await
+    ask_with_timeout::<C>(record, vm, query, CALL_TIMEOUT).await
 }
 
 /// Asks one target that has this long to answer.
-pub async fn ask_within<C>(
+pub async fn ask_with_timeout<C>(
     record: &TargetRecord,
     vm: &Arc<str>,
     query: &Query<'_>,
     limit: Duration,
-) -> Said
+) -> CallReply
 where
     C: Codec,
 {
@@ -64,19 +64,19 @@
     let mut link: StatementLink<C> = match StatementLink::open(&address, &login, None, limit).await
     {
         Ok(link) => link,
-        Err(OpenError::Refused(_)) => return Said::Refused,
-        Err(_) => return Said::Nothing,
+        Err(OpenError::Refused(_)) => return CallReply::Refused,
+        Err(_) => return CallReply::Nothing,
     };
     loop {
-        let Ok(reply) = link.ask(query, until).await else { return Said::Nothing };
+        let Ok(reply) = link.ask(query, until).await else { return CallReply::Nothing };
         if let End::Complete { .. } = reply.end {
             return match C::decode_status(&reply.first_row) {
-                Ok(status) => Said::Status(status),
-                Err(_) => Said::Refused,
+                Ok(status) => CallReply::Status(status),
+                Err(_) => CallReply::Refused,
             };
         }
         if Instant::now() + BUSY_PAUSE >= until {
-            return Said::Refused;
+            return CallReply::Refused;
         }
         tokio::time::sleep(BUSY_PAUSE).await;
     }
--- a/crates/proxy/src/sessions/process/target_table.rs
+++ b/crates/proxy/src/sessions/process/target_table.rs
@@ -63,7 +63,7 @@
 
     /// The services that this process has connections of its own to a member of.
     pub fn connected_services(&self) -> Vec<Arc<str>> {
-        let connected = self.by_id.values().filter(|target| target.is_own());
+        let connected = self.by_id.values().filter(|target| target.is_direct());
         let mut services: Vec<Arc<str>> =
             connected.map(|target| Arc::clone(&target.record.service)).collect();
         services.sort_unstable();
--- a/crates/proxy/src/sessions/process/targets.rs
+++ b/crates/proxy/src/sessions/process/targets.rs
@@ -81,7 +81,7 @@
     /// What it registered first. Its id, service and address never change.
     pub record: Arc<TargetRecord>,
     /// When it may be given no more work because it leaves; zero while it stays.
-    rest_from_us: AtomicU64,
+    no_work_from_us: AtomicU64,
     /// The path to it.
     path: ArcSwap<TargetPath<C>>,
     /// The paths that users are divided among, this one's included; empty if all take the same one.
@@ -89,13 +89,13 @@
     /// Whether connections serve one organisation each.
     has_organisations: AtomicBool,
     /// What the paths were set by last.
-    set_by: Mutex<Option<PathInputs>>,
+    applied_inputs: Mutex<Option<PathInputs>>,
     parts: PoolParts,
     /// The queue in front of the connections.
     pub queue: Arc<AdmissionQueue>,
     health: Mutex<Health>,
     /// Telling it that it no longer leads.
-    pub telling: SingleFlight,
+    pub step_down_flight: SingleFlight,
 }
 
 impl<C> TargetState<C>
@@ -133,15 +133,15 @@
         };
         let state = TargetState {
             record: Arc::clone(record),
-            rest_from_us: AtomicU64::new(0),
+            no_work_from_us: AtomicU64::new(0),
             path: ArcSwap::from_pointee(path),
             user_paths: ArcSwap::default(),
             has_organisations: AtomicBool::new(false),
-            set_by: Mutex::default(),
+            applied_inputs: Mutex::default(),
             parts,
             queue: Arc::new(queue),
             health: Mutex::new(health),
-            telling: SingleFlight::default(),
+            step_down_flight: SingleFlight::default(),
         };
         state.configure(1);
         state
@@ -234,13 +234,13 @@
     }
 
     /// Whether this process has connections of its own to it.
-    pub fn is_own(&self) -> bool {
+    pub fn is_direct(&self) -> bool {
         self.path.load().via.is_none()
     }
 
     /// Whether nothing is to be done about the path to it until somebody needs it: it leads through another VM,
     /// has no connections, and nothing came of it that did not work.
-    pub fn rests(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let is_at_rest = |path: &Arc<TargetPath<C>>| path.via.is_some() && path.pool.rests();
         is_at_rest(&self.path.load())
             && self.user_paths.load().iter().all(is_at_rest)
@@ -250,7 +250,7 @@
     /// Notes what the paths are set by. Returns whether that is as it was, and no path fails: then they stay as they
     /// are.
     pub fn is_settled(&self, inputs: PathInputs) -> bool {
-        let before = self.set_by.lock().replace(inputs);
+        let before = self.applied_inputs.lock().replace(inputs);
         if before != Some(inputs) || self.health.lock().path_failed_since_us.is_some() {
             return false;
         }
@@ -261,7 +261,7 @@
 
     /// Goes through another VM from now on, or straight. The connections of the old path are closed
     /// as they become idle.
-    pub fn go_via(&self, vm: Option<&VmAddress>) {
+    pub fn set_via(&self, vm: Option<&VmAddress>) {
         let via = vm.map(|vm| Arc::clone(&vm.name));
         if self.path.load().via == via {
             return;
@@ -313,27 +313,27 @@
 
     /// It announced that it will stop and may be given no work from this time on, or took that back.
     /// The first announcement counts.
-    pub fn set_leaving(&self, rest_from_us: Option<u64>) {
-        match rest_from_us {
-            None => self.rest_from_us.store(0, Ordering::Relaxed),
-            Some(rest_from_us) => {
-                let known_us = self.rest_from_us.load(Ordering::Relaxed);
+    pub fn set_leaving(&self, no_work_from_us: Option<u64>) {
+        match no_work_from_us {
+            None => self.no_work_from_us.store(0, Ordering::Relaxed),
+            Some(no_work_from_us) => {
+                let known_us = self.no_work_from_us.load(Ordering::Relaxed);
                 let first_us =
-                    if known_us == 0 { rest_from_us } else { known_us.min(rest_from_us) };
-                self.rest_from_us.store(first_us, Ordering::Relaxed);
+                    if known_us == 0 { no_work_from_us } else { known_us.min(no_work_from_us) };
+                self.no_work_from_us.store(first_us, Ordering::Relaxed);
             }
         }
     }
 
     /// Whether it announced that it will stop: new work goes elsewhere where that is possible.
     pub fn is_leaving(&self) -> bool {
-        self.rest_from_us.load(Ordering::Relaxed) > 0
+        self.no_work_from_us.load(Ordering::Relaxed) > 0
     }
 
     /// Whether it may not be given any work, even if nobody else can do it.
-    pub fn must_rest(&self, now_us: u64) -> bool {
-        let rest_from_us = self.rest_from_us.load(Ordering::Relaxed);
-        rest_from_us > 0 && now_us >= rest_from_us
+    pub fn refuses_work(&self, now_us: u64) -> bool {
+        let no_work_from_us = self.no_work_from_us.load(Ordering::Relaxed);
+        no_work_from_us > 0 && now_us >= no_work_from_us
     }
 
     /// What requests showed.
@@ -387,7 +387,7 @@
             Some(TargetError::Unreachable) => self.failed(now_us),
             // The proxy may say so by itself: a VM of a zone that was cut off took that for a sign of the other
             // zones.
-            Some(TargetError::Busy) if !self.is_own() => {
+            Some(TargetError::Busy) if !self.is_direct() => {
                 self.health.lock().path_failed_since_us = None;
             }
             _ => self.answered(now_us, took_us),
@@ -409,7 +409,7 @@
     }
 
     /// It could not be reached: itself, or the VM that leads to it.
-    pub fn unreached(&self, path: &TargetPath<C>, failure: Failure, now_us: u64) {
+    pub fn record_unreachable(&self, path: &TargetPath<C>, failure: Failure, now_us: u64) {
         match &path.via {
             None => self.failed(now_us),
             // The VM answered, and knows no path to the target.
--- a/crates/proxy/src/sessions/process/vms.rs
+++ b/crates/proxy/src/sessions/process/vms.rs
@@ -65,7 +65,7 @@
         let mut found = self.list(Freshness::MayBeLate).await;
         if !found.value.contains(&self.own) {
             self.register().await;
-            if found.value.len() <= limits::WATCH_ALONE {
+            if found.value.len() <= limits::MAX_DIRECT_WATCHERS {
                 time::sleep(RELIST_DELAY).await;
                 // A late one would have each VM of a large fleet that starts take itself for one of few.
                 found = self.list(Freshness::Newest).await;
--- a/crates/proxy/src/sessions/process/zone_reach.rs
+++ b/crates/proxy/src/sessions/process/zone_reach.rs
@@ -21,44 +21,44 @@
 use crate::sessions::codec::Query;
 use crate::sessions::process::gateway::Gateway;
 use crate::sessions::process::target_calls;
-use crate::sessions::process::target_calls::Said;
+use crate::sessions::process::target_calls::CallReply;
 use crate::sessions::store::VmAddress;
 
 /// The question, which is its own answer.
-const QUESTION: &[u8] = b"REACH\n";
+const PROBE: &[u8] = b"REACH\n";
 
 /// How often each other zone is asked.
-const ASK_INTERVAL: Duration = Duration::from_millis(200);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How many questions one VM is asked before the next one is.
-const QUESTIONS_EACH: usize = 25;
+const PROBES_PER_VM: usize = 25;
 
 /// The time that a VM of another zone has to answer.
-const ANSWER_LIMIT: Duration = Duration::from_millis(300);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// How often it is looked at what was heard.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How often targets are asked while no VM of another zone answers.
-const TARGETS_INTERVAL: Duration = Duration::from_millis(500);
+const TARGET_PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long one who asks may stay silent before its connection is closed.
-const SILENCE: Duration = Duration::from_secs(5);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Whether another VM asks whether this one is reached.
-pub fn is_question(message: &[u8]) -> bool {
-    message == QUESTION
+pub fn is_probe(message: &[u8]) -> bool {
+    message == PROBE
 }
 
 /// Answers one who asks until it goes.
-pub async fn answer(stream: &TcpStream, mut input: BytesMut) {
+pub async fn echo(stream: &TcpStream, mut input: BytesMut) {
     // What came with the first question counts as asked already.
     input.clear();
     loop {
-        if socket::write_all(stream, QUESTION, ANSWER_LIMIT).await.is_err() {
+        if socket::write_all(stream, PROBE, PROBE_TIMEOUT).await.is_err() {
             return;
         }
-        match time::timeout(SILENCE, socket::read_some(stream, &mut input)).await {
+        match time::timeout(SILENCE_TIMEOUT, socket::read_some(stream, &mut input)).await {
             Ok(Ok(1..)) => input.clear(),
             _ => return,
         }
@@ -66,61 +66,61 @@
 }
 
 /// Asks other zones for as long as this process watches for its own.
-pub async fn follow<C>(gateway: Arc<Gateway<C>>)
+pub async fn run<C>(gateway: Arc<Gateway<C>>)
 where
     C: Codec,
 {
-    let mut follower = Follower {
+    let mut prober = ReachProber {
         gateway,
         probes: FastMap::default(),
-        targets_asked_us: 0,
-        turn: 0,
-        watches: false,
+        targets_probed_us: 0,
+        next_index: 0,
+        is_probing: false,
     };
-    let mut looks = time::interval(LOOK_INTERVAL);
-    looks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
+    let mut ticks = time::interval(CHECK_INTERVAL);
+    ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
-        looks.tick().await;
-        follower.look();
+        ticks.tick().await;
+        prober.check();
     }
 }
 
 /// The questions to the other zones.
-struct Follower<C>
+struct ReachProber<C>
 where
     C: Codec,
 {
     gateway: Arc<Gateway<C>>,
     probes: FastMap<Arc<str>, JoinHandle<()>>,
-    targets_asked_us: u64,
+    targets_probed_us: u64,
     /// How often targets were asked.
-    turn: usize,
+    next_index: usize,
     /// Whether this process watches for its zone. One that does not is told.
-    watches: bool,
+    is_probing: bool,
 }
 
-impl<C> Follower<C>
+impl<C> ReachProber<C>
 where
     C: Codec,
 {
-    fn look(&mut self) {
+    fn check(&mut self) {
         let gateway = &self.gateway;
-        let watched = std::mem::replace(&mut self.watches, gateway.is_watcher());
-        if !self.watches && !watched {
+        let watched = std::mem::replace(&mut self.is_probing, gateway.is_watcher());
+        if !self.is_probing && !watched {
             return;
         }
-        let zones = if self.watches { gateway.other_zones() } else { Vec::new() };
+        let zones = if self.is_probing { gateway.other_zones() } else { Vec::new() };
         self.probes.retain(|zone, task| {
-            let is_asked = zones.contains(zone);
-            if !is_asked {
+            let is_probed = zones.contains(zone);
+            if !is_probed {
                 task.abort();
             }
-            is_asked
+            is_probed
         });
         for zone in &zones {
             self.probes
                 .entry(Arc::clone(zone))
-                .or_insert_with(|| tokio::spawn(ask_zone(Arc::clone(gateway), Arc::clone(zone))));
+                .or_insert_with(|| tokio::spawn(probe_zone(Arc::clone(gateway), Arc::clone(zone))));
         }
         let now_us = gateway.clock.now_us();
         let (is_suspect, is_cut_off) = {
@@ -128,11 +128,11 @@
             reach.set_zones(&zones);
             (reach.is_suspect(now_us), reach.is_cut_off(now_us))
         };
-        let interval_us = TARGETS_INTERVAL.as_micros() as u64;
-        if is_suspect && now_us >= self.targets_asked_us + interval_us {
-            self.targets_asked_us = now_us;
-            self.turn = self.turn.wrapping_add(1);
-            ask_targets(gateway, self.turn);
+        let interval_us = TARGET_PROBE_INTERVAL.as_micros() as u64;
+        if is_suspect && now_us >= self.targets_probed_us + interval_us {
+            self.targets_probed_us = now_us;
+            self.next_index = self.next_index.wrapping_add(1);
+            probe_targets(gateway, self.next_index);
         }
         if gateway.set_zone_is_cut(is_cut_off) {
             slog::warn!(gateway.log, "no other availability zone is reached by this one's watcher";
@@ -142,46 +142,46 @@
 }
 
 /// Asks one VM of a zone after the other, each as long as it answers.
-async fn ask_zone<C>(gateway: Arc<Gateway<C>>, zone: Arc<str>)
+async fn probe_zone<C>(gateway: Arc<Gateway<C>>, zone: Arc<str>)
 where
     C: Codec,
 {
-    let mut turn = jitter::seed_of(&gateway.vm) as usize;
+    let mut next_index = jitter::seed_of(&gateway.vm) as usize;
     loop {
         let vms = gateway.vms_of(&zone);
-        if let Some(vm) = vms.get(turn % vms.len().max(1)) {
-            ask_vm(&gateway, &zone, vm).await;
+        if let Some(vm) = vms.get(next_index % vms.len().max(1)) {
+            probe_vm(&gateway, &zone, vm).await;
         }
-        turn = turn.wrapping_add(1);
-        time::sleep(ASK_INTERVAL).await;
+        next_index = next_index.wrapping_add(1);
+        time::sleep(PROBE_INTERVAL).await;
     }
 }
 
 /// Asks one VM until it does not answer, or for long enough.
-async fn ask_vm<C>(gateway: &Gateway<C>, zone: &str, vm: &VmAddress)
+async fn probe_vm<C>(gateway: &Gateway<C>, zone: &str, vm: &VmAddress)
 where
     C: Codec,
 {
     gateway.zone_reach.lock().asked(zone, gateway.clock.now_us());
-    let connected = time::timeout(ANSWER_LIMIT, TcpStream::connect(vm.peer_address)).await;
+    let connected = time::timeout(PROBE_TIMEOUT, TcpStream::connect(vm.peer_address)).await;
     let Ok(Ok(stream)) = connected else { return };
     let mut input = BytesMut::new();
-    for _ in 0..QUESTIONS_EACH {
+    for _ in 0..PROBES_PER_VM {
         gateway.zone_reach.lock().asked(zone, gateway.clock.now_us());
-        if socket::write_all(&stream, QUESTION, ANSWER_LIMIT).await.is_err() {
+        if socket::write_all(&stream, PROBE, PROBE_TIMEOUT).await.is_err() {
             return;
         }
-        match time::timeout(ANSWER_LIMIT, socket::read_some(&stream, &mut input)).await {
+        match time::timeout(PROBE_TIMEOUT, socket::read_some(&stream, &mut input)).await {
             Ok(Ok(1..)) => gateway.zone_reach.lock().answered(zone),
             _ => return,
         }
         input.clear();
-        time::sleep(ASK_INTERVAL).await;
+        time::sleep(PROBE_INTERVAL).await;
     }
 }
 
 /// Asks one target of each other zone, the next one each time: one that is dead says nothing of its zone.
-fn ask_targets<C>(gateway: &Arc<Gateway<C>>, turn: usize)
+fn probe_targets<C>(gateway: &Arc<Gateway<C>>, next_index: usize)
 where
     C: Codec,
 {
@@ -191,13 +191,14 @@
         by_zone.entry(Arc::clone(&record.zone)).or_default().push(record);
     }
     for (zone, records) in by_zone {
-        let record = Arc::clone(&records[turn % records.len()]);
+        let record = Arc::clone(&records[next_index % records.len()]);
         gateway.counters.event(Event::OtherZonesAsked);
         let gateway = Arc::clone(gateway);
         tokio::spawn(async move {
             let vm = &gateway.vm;
-            let said = target_calls::ask_within::<C>(&record, vm, &Query::Standing, ANSWER_LIMIT);
-            if said.await != Said::Nothing {
+            let reply =
+                target_calls::ask_with_timeout::<C>(&record, vm, &Query::Standing, PROBE_TIMEOUT);
+            if reply.await != CallReply::Nothing {
                 gateway.zone_reach.lock().answered(&zone);
             }
         });
--- a/crates/proxy/src/sessions/request/acquire.rs
+++ b/crates/proxy/src/sessions/request/acquire.rs
@@ -62,7 +62,7 @@
             other => Some(*other),
         };
         if let Some(failure) = seen.filter(|failure| !is_full(*failure)) {
-            target.unreached(path, failure, call.now_us());
+            target.record_unreachable(path, failure, call.now_us());
         }
     }
     taken
--- a/crates/proxy/src/sessions/request/at_primary.rs
+++ b/crates/proxy/src/sessions/request/at_primary.rs
@@ -166,7 +166,7 @@
                 acknowledged(call, session, &target, sent_us, &reply).await?;
                 return Ok(reply);
             }
-            Some(TargetError::ReadOnly) => call.gateway.refused_lead(&target),
+            Some(TargetError::ReadOnly) => call.gateway.record_not_primary(&target),
             Some(TargetError::Busy | TargetError::Unreachable) => (),
             Some(TargetError::UnknownPrepared) => lease.connection().forget_session(),
             Some(_) => {
@@ -242,7 +242,7 @@
             Ok(Some(reply)) => {
                 target.replied(reply.error(), call.now_us(), None);
                 if lacks_lead(&reply, at_least) {
-                    call.gateway.refused_lead(&target);
+                    call.gateway.record_not_primary(&target);
                 }
                 call.gateway.counters.retry(reason_of(&reply));
                 lease.give_back();
--- a/crates/proxy/src/sessions/request/prove.rs
+++ b/crates/proxy/src/sessions/request/prove.rs
@@ -86,7 +86,7 @@
         let now_us = gateway.clock.now_us();
         // Nobody answered just before it came, or whoever is left can't be reached: it is told so at once.
         let is_hopeless = was_asked && is_hopeless(gateway, target, verdict, moment_us);
-        if now_us >= until_us || is_hopeless || state.was_asked_in_vain(came_us) {
+        if now_us >= until_us || is_hopeless || state.has_recent_unanswered_round(came_us) {
             log_unproved(gateway, target, moment_us, verdict);
             return Err(Unproved::NoReply);
         }
@@ -96,7 +96,7 @@
                 let is_answered = ask(gateway, target, verdict, moment_us, until_us).await?;
                 if !is_answered {
                     if nobody_is_reached(gateway, target) {
-                        state.set_asked_in_vain(gateway.clock.now_us());
+                        state.record_unanswered_round(gateway.clock.now_us());
                     }
                     time::sleep(ASK_AGAIN).await;
                 }
@@ -135,7 +135,7 @@
             // Nothing can be counted before it is known which term the words are about.
             let Some(word) = word_of(gateway, target, until_us).await else { return Ok(false) };
             if !word.leads {
-                gateway.refused_lead(target);
+                gateway.record_not_primary(target);
                 return Err(Unproved::Superseded);
             }
             return Ok(true);
@@ -144,7 +144,7 @@
     };
     let state = gateway.service(&target.record.service);
     let has_said = |member: &Arc<TargetState<C>>| {
-        let asked_us = state.words.lock().asked_us(&member.record.id);
+        let asked_us = state.lead_reports.lock().asked_us(&member.record.id);
         asked_us.is_some_and(|asked_us| asked_us >= moment_us)
     };
     let mut others = witnesses(gateway, target).into_iter().filter(|member| !has_said(member));
@@ -179,7 +179,7 @@
     let state = gateway.service(&target.record.service);
     let now_us = gateway.clock.now_us();
     let may_say = |member: &Arc<TargetState<C>>| {
-        let asked_us = state.words.lock().asked_us(&member.record.id);
+        let asked_us = state.lead_reports.lock().asked_us(&member.record.id);
         asked_us.is_none_or(|asked_us| asked_us < moment_us) && !member.is_ejected(now_us)
     };
     witnesses(gateway, target).into_iter().filter(may_say).count() < missing
@@ -231,7 +231,7 @@
     let status = C::decode_status(&reply.first_row).ok()?;
     let word =
         Word { asked_us, leads: status.is_primary, term: status.term, received: status.received };
-    gateway.service(&member.record.service).heard(&member.record.id, word);
+    gateway.service(&member.record.service).record_report(&member.record.id, word);
     Some(word)
 }
 
@@ -279,7 +279,7 @@
             Ok(reply)
         }
         Err(lost) => {
-            member.unreached(&path, lost.failure, gateway.clock.now_us());
+            member.record_unreachable(&path, lost.failure, gateway.clock.now_us());
             Err(lost.failure)
         }
     }
--- a/crates/proxy/src/sessions/request/read.rs
+++ b/crates/proxy/src/sessions/request/read.rs
@@ -92,14 +92,14 @@
     let state = call.gateway.service(&call.route.service);
     state.demand.lock().needed(call.now_us());
     loop {
-        let sampled = state.sampling.ended();
+        let sampled = state.sampling_flight.ended();
         if let Some(position) = known() {
             return Some(position);
         }
         if call.route.reads == ReadRule::Primary {
             return None;
         }
-        let Some(_sampling) = state.sampling.begin() else {
+        let Some(_sampling) = state.sampling_flight.begin() else {
             let left_us = call.offer_until_us().saturating_sub(call.now_us());
             if time::timeout(Duration::from_micros(left_us), sampled).await.is_err() {
                 return None;
--- a/crates/proxy/src/sessions/request/sample.rs
+++ b/crates/proxy/src/sessions/request/sample.rs
@@ -41,7 +41,7 @@
             return None;
         }
     };
-    match target.is_own() {
+    match target.is_direct() {
         true => by_transaction(gateway, &target, lease).await,
         false => from_home(gateway, &target, lease, max_age_us).await,
     }
@@ -80,7 +80,7 @@
             Some(())
         }
         Some(TargetError::ReadOnly) => {
-            gateway.refused_lead(target);
+            gateway.record_not_primary(target);
             None
         }
         Some(_) => None,
@@ -106,7 +106,7 @@
     }
     let (position, age_us) = C::decode_position(&reply.first_row).ok()?;
     let service = &target.record.service;
-    let Err(error) = gateway.position_told(service, sent_us, age_us, position) else {
+    let Err(error) = gateway.record_position(service, sent_us, age_us, position) else {
         return Some(());
     };
     if let Some(left_out) = gateway.log_budget.take("not taken", gateway.clock.now_us()) {
--- a/crates/proxy/tests/session_leader.rs
+++ b/crates/proxy/tests/session_leader.rs
@@ -11,7 +11,7 @@
 fn ask(belief: &LeaderBelief, now_us: u64) -> Option<String> {
     let ids = ids();
     let listed: Vec<&Arc<str>> = ids.iter().collect();
-    belief.ask(&listed, |_| false, now_us).map(|id| id.to_string())
+    belief.pick_target(&listed, |_| false, now_us).map(|id| id.to_string())
 }
 
 #[test]
@@ -58,7 +58,7 @@
     let ids = ids();
     let listed: Vec<&Arc<str>> = ids.iter().collect();
     let leaves = |id: &str| id == "i-1";
-    assert_eq!(belief.ask(&listed, leaves, 0).as_deref(), Some("i-2"));
+    assert_eq!(belief.pick_target(&listed, leaves, 0).as_deref(), Some("i-2"));
     belief.announced(&ids[0], 10);
-    assert_eq!(belief.ask(&listed, leaves, 0).as_deref(), Some("i-1"));
+    assert_eq!(belief.pick_target(&listed, leaves, 0).as_deref(), Some("i-1"));
 }
