--- a/crates/proxy/src/sessions/process/claims.rs
+++ b/crates/proxy/src/sessions/process/claims.rs
@@ -1,4 +1,6 @@
-//! Getting hold of a service's claim, keeping it, and letting it go.
+//! Acquiring, renewing and releasing the claim on a service's takeover.
+//!
+//! A claim is a lease in the store, with a fencing token: only its holder may promote a primary.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,24 +18,25 @@
 use crate::sessions::process::gateway::Gateway;
 use crate::sessions::store::StateStore;
 
-/// The pause after a claim that was not written.
+/// Delay before another attempt after the store rejected the write of a claim.
 const CONFLICT_PAUSE: Duration = Duration::from_millis(15);
 
-/// The first pause after a claim that could not be read, in microseconds. It doubles with each failure: all
-/// homes of all services in trouble ask at the same time, and a store that is slow under that must not be
-/// asked as often.
+/// Base delay before a claim that could not be read is read again, in microseconds. It doubles with each
+/// failure: all homes of all affected services read claims at the same time, and a store that is slow under
+/// that load must not be asked as often.
 const BASE_RETRY_PAUSE_US: u64 = 120_000;
 
-/// How often a pause is doubled at most.
+/// Maximum number of times that the retry delay is doubled.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// How long a store that is known not to answer is left alone. Its return is noticed by others.
+/// How long to wait for a store that is known to be unavailable before it is called anyway. Other tasks probe
+/// the store and end the wait when it answers.
 const STORE_AWAY_LIMIT: Duration = Duration::from_millis(2_500);
 
-/// The longest pause before another VM's claim is looked at again.
+/// Maximum delay before a claim that another VM holds is read again.
 const MAX_POLL_PAUSE: Duration = Duration::from_millis(300);
 
-/// The claims of one process.
+/// Access to the claims of all services for one process.
 #[derive(Debug)]
 pub struct Claims<C, S>
 where
@@ -48,13 +51,13 @@
     C: Codec,
     S: StateStore,
 {
-    /// Claims that lie in this store.
+    /// Creates access to the claims in `store`.
     pub fn new(gateway: &Arc<Gateway<C>>, store: S) -> Claims<C, S> {
         Claims { gateway: Arc::clone(gateway), store }
     }
 
-    /// Gets hold of a service's claim, which was wanted since `wanted_us`. `None` if it is needed no
-    /// longer before that.
+    /// Acquires the claim of a service. `wanted_us` is the time since when the takeover has been needed.
+    /// Returns `None` if `is_needed` becomes false first.
     pub async fn acquire<F>(
         &self,
         service: &Arc<str>,
@@ -97,8 +100,8 @@
                     let before = seen.as_ref();
                     let claim = Claim::next(before.map(|seen| &seen.claim), vm, token);
                     let over = before.map(|seen| seen.revision);
-                    // A call that its holder made reached the platform before the claim was silent for
-                    // long enough to be taken.
+                    // Calls of the previous holder had reached the platform before its claim was silent for
+                    // long enough to be taken over.
                     let unsettled_since_us = now_us;
                     if let Some(held) = self.write(service, claim, over, unsettled_since_us).await {
                         return Some(held);
@@ -115,14 +118,15 @@
         }
     }
 
-    /// The pause after a claim that could not be read, and this many before it.
+    /// Returns the delay before a claim is read again after `failures` earlier failures.
     fn retry_pause(&self, failures: u32) -> Duration {
         let seed = jitter::seed_of(&self.gateway.vm);
         let pause_us = BASE_RETRY_PAUSE_US << failures.min(MAX_DOUBLINGS);
         Duration::from_micros(jitter::upper_half_us(seed, u64::from(failures), pause_us))
     }
 
-    /// Writes a held claim again, changed. `None` if it is held no longer, or may not be.
+    /// Replaces a held claim by a changed one. Returns `None` if the write failed, since the claim may then
+    /// be lost.
     pub async fn change(
         &self,
         service: &Arc<str>,
@@ -132,7 +136,8 @@
         self.write(service, claim, Some(held.revision), held.unsettled_since_us).await
     }
 
-    /// Lets a claim go. Whoever comes next takes it as it is if this fails.
+    /// Releases a claim. Returns whether the store accepted it; otherwise the next driver takes the claim
+    /// over as it stands.
     pub async fn release(&self, service: &Arc<str>, held: HeldClaim) -> bool {
         let claim = Claim { state: ClaimState::Settled, ..held.claim };
         self.store.write_claim(service, &claim, Some(held.revision)).await.is_ok()
@@ -145,7 +150,7 @@
         over: Option<u64>,
         unsettled_since_us: u64,
     ) -> Option<HeldClaim> {
-        // The lease counts from before the write: a successor counts from after it.
+        // The lease is counted from before the write, and a successor counts it from after the write.
         let written_us = self.gateway.clock.now_us();
         match self.store.write_claim(service, &claim, over).await {
             Ok(revision) => {
--- a/crates/proxy/src/sessions/process/cluster_state.rs
+++ b/crates/proxy/src/sessions/process/cluster_state.rs
@@ -1,7 +1,7 @@
-//! What the watches, or another process, brought, put together and published.
+//! Merges what the store's watches and the feed deliver into one view and publishes it.
 //!
-//! Versions of the configuration only rise, and a list of targets that is older than what is known
-//! changes nothing.
+//! Invariant: versions of the configuration only increase, and a list of targets that is older than the known
+//! one has no effect.
 
 use std::sync::Arc;
 
@@ -23,13 +23,13 @@
 use crate::sessions::version::view::View;
 
 impl ClusterState {
-    /// The listed target of this name.
+    /// Returns the id of the listed target with this name.
     fn id_by_name(&self, name: &str) -> Option<Arc<str>> {
         let id_by_name = self.targets.values().find(|member| &*member.record.name == name);
         id_by_name.map(|member| Arc::clone(&member.record.id))
     }
 
-    /// A target is listed.
+    /// Adds a listed target.
     fn insert_member(&mut self, member: Member, now_us: u64) {
         let id = Arc::clone(&member.record.id);
         self.expired.remove(&id);
@@ -37,7 +37,7 @@
         self.targets.insert(id, member);
     }
 
-    /// Who left a service.
+    /// Returns the record of the members that left a service.
     fn departures_of(
         &mut self,
         service: &Arc<str>,
@@ -53,18 +53,18 @@
     C: Codec,
     S: StateStore,
 {
-    /// The version of the configuration that is known; zero for none.
+    /// The version of the known configuration; zero if there is none.
     pub fn version(&self) -> u64 {
         self.known.lock().routes.as_ref().map_or(0, |routes| routes.version)
     }
 
-    /// Takes in a configuration.
+    /// Applies a configuration, unless it is older than the known one.
     pub fn apply_routes(&self, routes: Arc<RouteTable>) {
         self.install_routes(&mut self.known.lock(), routes);
     }
 
-    /// Takes in what changed of the configuration. Returns whether it follows from the version that is
-    /// known, or is known already.
+    /// Applies changes to the configuration. Returns false if their base version is not the known one, in
+    /// which case the caller needs the whole configuration. Changes that are already known count as applied.
     pub fn apply_route_changes(&self, changes: &RouteChanges) -> bool {
         let mut known = self.known.lock();
         let Some(present) = &known.routes else { return false };
@@ -77,7 +77,7 @@
     }
 
     fn install_routes(&self, known: &mut ClusterState, routes: Arc<RouteTable>) {
-        // A stale answer must not bring back what was changed.
+        // A stale answer must not undo a newer configuration.
         if known.routes.as_ref().is_some_and(|present| present.version >= routes.version) {
             return;
         }
@@ -97,7 +97,7 @@
         self.replace_targets(&mut known, revision, members);
     }
 
-    /// Takes in all targets as another process knows them, unless they are older than what is known.
+    /// Applies a complete list of targets from another process, unless it is older than the known one.
     pub fn apply_target_snapshot(&self, list: &TargetList) {
         let mut known = self.known.lock();
         if list.revision >= known.targets_revision {
@@ -136,7 +136,8 @@
                     if let Some(id) = earlier.filter(|earlier| *earlier != target.record.id)
                         && let Some(member) = known.targets.remove(&id)
                     {
-                        // It started again under its name, and what it held is gone.
+                        // The target restarted under its name, and the log of its earlier incarnation is
+                        // lost.
                         self.record_departure(&mut known, &member);
                     }
                     let before = known.targets.remove(&target.record.id);
@@ -158,7 +159,8 @@
         self.publish(&mut known);
     }
 
-    /// Gives up the targets that lapsed while the store was away and did not come back.
+    /// Removes the targets whose entries expired while the store was unavailable and that did not register
+    /// again.
     pub fn drop_expired(&self) {
         if !self.list_is_settled() {
             return;
@@ -175,9 +177,9 @@
         self.publish(&mut known);
     }
 
-    /// A target is no longer listed. One that may have lapsed only because the store was away is kept
-    /// until the list is settled: the targets that live are back within 2 s, and without them all
-    /// requests of their services would be refused until then.
+    /// Handles a target that is no longer listed. If its entry may have expired only because the store was
+    /// unavailable, the target is kept until the list is settled: live targets register again within 2 s, and
+    /// without them all requests of their services would be refused until then.
     fn handle_unlisted(&self, known: &mut ClusterState, member: Member) {
         let may_return = !member.record.leaving && !self.is_settled(known);
         if may_return {
@@ -225,8 +227,8 @@
         self.update_feed(known);
     }
 
-    /// Puts what is known where those that this process tells find it. That costs processor time, so it is
-    /// left out where nobody would be told.
+    /// Copies the known state to the feed's outbox. This costs processor time, so it is skipped while nobody
+    /// subscribes.
     fn update_feed(&self, known: &ClusterState) {
         let outbox = &self.gateway.outbox;
         if !self.gateway.is_watcher() && outbox.feed_state.receiver_count() == 0 {
@@ -237,8 +239,8 @@
         outbox.update(known.number, known.routes.as_ref(), targets);
     }
 
-    /// Brings what others are told up to date: those that began to ask find what was not put there
-    /// while there was nobody to tell.
+    /// Brings the feed up to date: subscribers that connect after a period without any must find the state
+    /// whose publication was skipped meanwhile.
     pub fn refresh_feed(&self) {
         let known = self.known.lock();
         let is_current = self.gateway.outbox.feed_state.borrow().number == known.number;
@@ -258,8 +260,7 @@
         });
     }
 
-    /// Takes in a list of VMs, from the store or from another process, unless it is older than what is
-    /// known.
+    /// Applies a list of VMs from the store or from another process, unless it is older than the known one.
     pub fn apply_vms(&self, list: Arc<VmList>) {
         let mut known = self.known.lock();
         if list.revision < known.vms_revision {
@@ -280,7 +281,8 @@
     }
 }
 
-/// A member as listed now, given how it was listed before.
+/// Builds the member for a listed target. It keeps the time since when it has its role if the role did not
+/// change.
 fn member_of(target: ListedTarget, before: Option<&Member>) -> Member {
     let kept = before.filter(|before| before.record.role == target.record.role);
     let role_since = kept.map_or(target.revision, |before| before.role_since);
--- a/crates/proxy/src/sessions/process/control.rs
+++ b/crates/proxy/src/sessions/process/control.rs
@@ -1,5 +1,5 @@
-//! The control thread: it alone holds what the process believes about the platform and drives
-//! takeovers. Traffic sees its results in the published versions.
+//! The control thread, the only one that keeps the platform's state and drives takeovers. Request handling
+//! reads the views that it publishes.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -23,13 +23,17 @@
 use crate::sessions::store::StateStore;
 use crate::sessions::store::VmAddress;
 
-/// The control thread, which ends when this is dropped.
+/// Handle of the control thread, which ends when the handle is dropped.
 #[derive(Debug)]
 pub struct ControlThread {
     _shutdown: oneshot::Sender<()>,
 }
 
 /// Starts the control thread.
+///
+/// # Errors
+///
+/// The runtime or the thread could not be created.
 pub fn start<C, S, P>(
     gateway: &Arc<Gateway<C>>,
     own: VmAddress,
@@ -48,7 +52,7 @@
         runtime.block_on(async {
             tokio::select! {
                 () = run(gateway, own, store, promoter) => (),
-                // The sender says nothing; it is dropped.
+                // Nothing is sent on the channel: dropping the sender ends the thread.
                 _ = shut_down => (),
             }
         });
--- a/crates/proxy/src/sessions/process/counted_store.rs
+++ b/crates/proxy/src/sessions/process/counted_store.rs
@@ -1,5 +1,4 @@
-//! The platform's store with each call counted by what it asks for, and each that has to be made again by
-//! the reason.
+//! A wrapper of the platform's store that counts calls by operation and failures by reason.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -19,7 +18,7 @@
 use crate::sessions::store::TargetChange;
 use crate::sessions::store::VmAddress;
 
-/// A store whose calls are counted.
+/// A store that counts calls and failures.
 #[derive(Clone, Debug)]
 pub struct CountedStore<S> {
     store: S,
@@ -30,7 +29,7 @@
 where
     S: StateStore,
 {
-    /// Counts the calls to `store`.
+    /// Wraps `store`, counting its calls in `counters`.
     pub fn new(store: S, counters: &Arc<Counters>) -> CountedStore<S> {
         CountedStore { store, counters: Arc::clone(counters) }
     }
--- a/crates/proxy/src/sessions/process/daemon.rs
+++ b/crates/proxy/src/sessions/process/daemon.rs
@@ -1,4 +1,4 @@
-//! The process from its start to its end.
+//! Startup, serving and graceful shutdown of the process.
 
 use std::fmt;
 use std::future::Future;
@@ -31,28 +31,28 @@
 use crate::sessions::store::StateStore;
 use crate::sessions::store::VmAddress;
 
-/// The pause after a connection that could not be accepted, for instance for lack of file
-/// descriptors: trying again at once would only burn the processor.
+/// Delay after a connection could not be accepted, for instance for lack of file descriptors. An immediate
+/// retry would only use processor time.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Nobody is accepted any more this long before the process would be killed: a statement that is
-/// taken later may not be answered in time.
+/// How long before the process would be killed the listener is closed. A statement that arrives later may not
+/// be answered in time.
 const LAST_PHASE_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// The process is gone this long before it would be killed.
+/// How long before it would be killed the process exits.
 const EXIT_MARGIN: Duration = Duration::from_millis(250);
 
-/// How often a stopping process looks whether its callers are gone.
+/// How often a stopping process checks whether all sessions have ended.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why the process can't run.
+/// Why the process could not start.
 #[derive(Debug)]
 pub enum StartError {
-    /// The address for callers can't be listened on.
+    /// The listening socket for callers or peers could not be bound.
     Listen(SocketAddr, io::Error),
-    /// The signals can't be listened for.
+    /// The signal handlers could not be installed.
     Signals(io::Error),
-    /// The control thread can't be started.
+    /// The control thread could not be started.
     Control(io::Error),
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// A process that serves.
+/// A serving process. Its tasks end when this is dropped.
 #[derive(Debug)]
 pub struct Running<C>
 where
@@ -80,7 +80,7 @@
     _control: ControlThread,
 }
 
-/// The signals that a process is told by.
+/// The signals that the process handles.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -88,7 +88,11 @@
 }
 
 impl Signals {
-    /// Listens for them. Without that they would end the process.
+    /// Installs the signal handlers. Without them the signals would end the process.
+    ///
+    /// # Errors
+    ///
+    /// [`StartError::Signals`] if the system refuses a handler.
     pub fn listen() -> Result<Signals, StartError> {
         let terminate = unix::signal(SignalKind::terminate()).map_err(StartError::Signals)?;
         let hangup = unix::signal(SignalKind::hangup()).map_err(StartError::Signals)?;
@@ -96,7 +100,11 @@
     }
 }
 
-/// Runs until the process is told to stop and its callers are served.
+/// Serves until the process receives SIGTERM and has drained its sessions.
+///
+/// # Errors
+///
+/// Why the process could not start.
 pub async fn run<C, S, P>(
     gateway: Arc<Gateway<C>>,
     settings: &SessionSettings,
@@ -114,8 +122,7 @@
     loop {
         tokio::select! {
             _ = signals.terminate.recv() => break,
-            // Nothing that the settings hold changes while a process runs but what the next start
-            // reads.
+            // All settings are read at startup only.
             _ = signals.hangup.recv() => slog::info!(log, "asked to reload; settings are read at start"),
         }
     }
@@ -123,7 +130,11 @@
     Ok(())
 }
 
-/// Listens for callers and starts the control thread.
+/// Binds the listening sockets and starts the control thread.
+///
+/// # Errors
+///
+/// Why the process could not start.
 pub async fn start<C, S, P>(
     gateway: Arc<Gateway<C>>,
     settings: &SessionSettings,
@@ -159,8 +170,8 @@
 where
     C: Codec,
 {
-    /// Stops without cutting a request: new callers are served until the balancer has noticed,
-    /// resting ones are closed one after the other, open transactions have half of the grace.
+    /// Stops gracefully: new callers are accepted until the balancer has noticed, idle sessions are then
+    /// closed one after the other, and open transactions may last for half of the grace period.
     pub async fn stop(self, grace: Duration) {
         let gateway = &self.gateway;
         let began = Instant::now();
@@ -197,7 +208,7 @@
     }
 }
 
-/// How far a process is that began to stop this long ago.
+/// Returns the phase of a shutdown that began this long ago.
 fn phase_after(passed: Duration, grace: Duration) -> StopPhase {
     match () {
         _ if passed >= grace.saturating_sub(LAST_PHASE_MARGIN) => StopPhase::Last,
@@ -207,7 +218,7 @@
     }
 }
 
-/// Serves each connection by a task of its own.
+/// Accepts connections and serves each in its own task.
 async fn accept<C, S, F>(gateway: Arc<Gateway<C>>, listener: TcpListener, serve: S)
 where
     C: Codec,
@@ -228,7 +239,7 @@
     }
 }
 
-/// Opens and closes pooled connections as the need changes.
+/// Maintains the connection pools at a fixed interval.
 async fn maintain<C>(gateway: Arc<Gateway<C>>)
 where
     C: Codec,
--- a/crates/proxy/src/sessions/process/departed.rs
+++ b/crates/proxy/src/sessions/process/departed.rs
@@ -1,4 +1,4 @@
-//! Members that left the list: what a takeover has to know of them.
+//! Members that left the list of targets, as far as a takeover depends on them.
 
 use std::sync::Arc;
 
@@ -11,21 +11,21 @@
 use crate::sessions::store::StateStore;
 
 impl ClusterState {
-    /// Whether a target of this name is listed. The name of one that started again stands for its new
-    /// start, which holds nothing of what the earlier one held and must not answer for it.
+    /// Whether a target with this name is listed. A target that restarted has the same name but has lost its
+    /// log, so it can't answer for its earlier incarnation.
     fn lists_name(&self, name: &str) -> bool {
         self.targets.values().any(|listed| &*listed.record.name == name)
     }
 }
 
-/// The departed members of a service that a promotion can't do without.
+/// The departed members of a service that a promotion depends on.
 #[derive(Clone, Debug, Default)]
 pub struct DepartedMembers {
-    /// Those that may be back and answer for themselves.
+    /// Members that may return and report their log positions.
     pub away: Vec<Arc<TargetRecord>>,
-    /// How many started again under their names, so that nobody can tell what they held.
+    /// Number of members that restarted under the same name, so that the positions of their logs are unknown.
     pub lost: usize,
-    /// What a successor has to have received to do without the others.
+    /// The position that a successor must have received, so that no other departed member is needed.
     pub floor: LogPosition,
 }
 
@@ -34,12 +34,13 @@
     C: Codec,
     S: StateStore,
 {
-    /// Takes in what the traffic showed of the primaries since replicas left.
+    /// Updates the record of departures with the positions of primaries that were observed since replicas
+    /// left.
     pub fn settle_departures(&self) {
         let now_us = self.gateway.clock.now_us();
         let mut known = self.known.lock();
         for (service, departures) in &mut known.departures {
-            // Each service has an entry, and most have nothing to settle once the start is over.
+            // Each service has an entry, and after startup most have nothing to update.
             if departures.is_at_rest() {
                 continue;
             }
@@ -50,16 +51,16 @@
         }
     }
 
-    /// Puts what is known of departures where requests find it.
+    /// Copies the numbers of departed members to the services, where requests read them.
     pub(super) fn publish_departures(&self, known: &ClusterState) {
         for (service, departures) in &known.departures {
             self.gateway.service(service).set_departed(departures);
         }
     }
 
-    /// The departed members of a service that a promotion can't do without, and what it has to cover
-    /// for the others. The primary that is to be replaced is none of them; one that led before it is:
-    /// what the two acknowledged together may be on no other replica.
+    /// Returns the departed members of a service that a promotion depends on, and the position that makes up
+    /// for the others. `primary`, which is to be replaced, is excluded. A primary before it is included: what
+    /// the two acknowledged together may be on no other replica.
     pub fn departed(&self, service: &str, primary: Option<&Arc<str>>) -> DepartedMembers {
         let known = self.known.lock();
         let Some(departures) = known.departures.get(service) else {
@@ -71,7 +72,7 @@
         DepartedMembers { away, lost: lost.len(), floor: departures.floor() }
     }
 
-    /// The departed members of a service that a promotion can do without unless they are back.
+    /// Returns the departed members of a service that a promotion does not depend on unless they are back.
     pub fn dispensable(&self, service: &str, primary: Option<&Arc<str>>) -> Vec<Arc<TargetRecord>> {
         let known = self.known.lock();
         let Some(departures) = known.departures.get(service) else { return Vec::new() };
@@ -81,7 +82,7 @@
         gone.map(|(_, record)| Arc::clone(record)).collect()
     }
 
-    /// Whether enough is known of a service's past to promote anything.
+    /// Whether the history of a service's members is known well enough to promote one.
     pub fn may_promote(&self, service: &str) -> bool {
         let now_us = self.gateway.clock.now_us();
         let known = self.known.lock();
--- a/crates/proxy/src/sessions/process/feed/frame.rs
+++ b/crates/proxy/src/sessions/process/feed/frame.rs
@@ -1,5 +1,5 @@
-//! How the messages of a watcher look on the wire: a length, and that many bytes of JSON, compressed
-//! where that saves more than it costs.
+//! Wire format of the feed: a length prefix followed by JSON, which is compressed where that reduces the
+//! cost.
 
 use std::fmt;
 use std::io;
@@ -19,28 +19,27 @@
 use crate::connection::socket;
 use crate::sessions::process::feed::Message;
 
-/// An encoded message, its length included.
+/// An encoded message with its length prefix.
 pub type Frame = Arc<[u8]>;
 
-/// The bytes that hold the length of what follows.
+/// Size of the length prefix, in bytes.
 const HEADER_BYTES: usize = 4;
 
-/// From which size on a message is compressed, in bytes: smaller ones fit into one packet.
+/// Minimum size of a message to be compressed, in bytes. Smaller ones fit into one packet.
 const COMPRESS_FROM_BYTES: usize = 1_400;
 
-/// The largest message, in bytes, before and after it is compressed. A configuration has 1 MB at most.
+/// Maximum size of a message, in bytes, both compressed and uncompressed. A configuration has at most 1 MB.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// The first byte of a message that is not compressed: JSON objects begin so, compressed data never
-/// does.
+/// First byte of an uncompressed message: a JSON object starts with it, compressed data never does.
 const JSON_BEGIN: u8 = b'{';
 
-/// Why a frame is no message.
+/// Why a frame could not be decoded.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum FrameError {
-    /// It is larger than any message.
+    /// The message exceeds the maximum size.
     TooLarge,
-    /// It can't be read.
+    /// The message is not valid JSON, or its compressed data is corrupt.
     Malformed(String),
 }
 
@@ -59,9 +58,9 @@
     }
 }
 
-/// Encodes a message.
+/// Encodes a message, compressing it if it is large.
 pub fn encode(message: &Message) -> Frame {
-    // The messages hold nothing that JSON can't, and memory takes all that is written to it.
+    // Every message can be represented in JSON, and writing to memory does not fail.
     let text = serde_json::to_vec(message).unwrap_or_default();
     let body = if text.len() < COMPRESS_FROM_BYTES { text } else { compressed(&text) };
     let length = u32::try_from(body.len()).unwrap_or(u32::MAX);
@@ -70,7 +69,7 @@
 
 fn compressed(text: &[u8]) -> Vec<u8> {
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
-    // Memory takes all that is written to it.
+    // Writing to memory does not fail.
     let _ = encoder.write_all(text);
     encoder.finish().unwrap_or_default()
 }
@@ -79,7 +78,7 @@
 ///
 /// # Errors
 ///
-/// [`FrameError`] if it is no message.
+/// [`FrameError`] if the body is too large or malformed.
 pub fn decode(body: &[u8]) -> Result<Message, FrameError> {
     if body.first() == Some(&JSON_BEGIN) {
         return serde_json::from_slice(body).map_err(malformed);
@@ -100,7 +99,7 @@
     FrameError::Malformed(error.to_string())
 }
 
-/// Takes the first frame off the input; none if it is incomplete.
+/// Splits the first frame's body off the input. Returns `None` while the frame is incomplete.
 fn split_first(input: &mut BytesMut) -> Result<Option<BytesMut>, FrameError> {
     let Some(header) = input.first_chunk::<HEADER_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*header) as usize;
@@ -114,14 +113,14 @@
     Ok(Some(input.split_to(length)))
 }
 
-/// Reads the body of the next frame. Between two arrivals `silence` may pass at most: a large message
-/// over a slow link is no silence for as long as some of it comes. What came is kept in `input` when
-/// this is given up.
+/// Reads the body of the next frame. `silence` bounds the time between two reads, not that for the whole
+/// frame, so a large message on a slow link does not time out while data arrives. Cancel safe: partial data
+/// stays in `input`.
 ///
 /// # Errors
 ///
-/// An error of the stream, of kind `TimedOut` after a silence, or of kind `InvalidData` if what comes
-/// is no frame.
+/// An I/O error of the stream, of kind `TimedOut` after the silence, `UnexpectedEof` at its end, or
+/// `InvalidData` for a malformed frame.
 pub async fn next(
     stream: &TcpStream,
     input: &mut BytesMut,
--- a/crates/proxy/src/sessions/process/feed/listing.rs
+++ b/crates/proxy/src/sessions/process/feed/listing.rs
@@ -1,7 +1,7 @@
-//! Lists that watchers tell, and what changes between two of them.
+//! Lists that the feed carries, and the differences between two of them.
 //!
-//! A list of hundreds is told as what changed since the last one: when VMs or targets come back one after the
-//! other, the whole would be sent to each VM again with each of them.
+//! A list with hundreds of entries is sent as a difference: when VMs or targets return one after the other,
+//! the whole list would otherwise be sent to each VM with each of them.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
@@ -13,9 +13,9 @@
 use crate::sessions::store::VmAddress;
 use crate::sessions::version::view::Member;
 
-/// What is listed.
+/// An entry of a list.
 pub trait Entry: Clone + PartialEq {
-    /// What tells it from the others.
+    /// The key that identifies the entry within its list.
     fn key(&self) -> &Arc<str>;
 }
 
@@ -34,16 +34,16 @@
 /// All entries at one revision of the store.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Listing<T> {
-    /// The store's revision.
+    /// Revision of the store that the list was read at; zero for the initial empty list.
     pub revision: u64,
-    /// The entries by key.
+    /// The entries, sorted by key.
     pub entries: Vec<T>,
 }
 
-/// All VMs.
+/// The list of all VMs.
 pub type VmList = Listing<VmAddress>;
 
-/// All targets.
+/// The list of all targets.
 pub type TargetList = Listing<Member>;
 
 impl<T> Default for Listing<T> {
@@ -52,14 +52,14 @@
     }
 }
 
-/// What changed between two lists.
+/// The difference between two lists.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct ListChanges<T> {
     /// The store's revision of the newer list.
     pub revision: u64,
-    /// The entries that are new or differ.
+    /// Entries that were added or modified.
     pub listed: Vec<T>,
-    /// The keys of those that are listed no longer.
+    /// Keys of the removed entries.
     pub gone: Vec<Arc<str>>,
 }
 
@@ -67,13 +67,13 @@
 where
     T: Entry,
 {
-    /// A list of these entries in any order.
+    /// Creates a list of entries in any order.
     pub fn new(revision: u64, mut entries: Vec<T>) -> Listing<T> {
         entries.sort_by(|a, b| a.key().cmp(b.key()));
         Listing { revision, entries }
     }
 
-    /// What turns this list into `next`.
+    /// Returns the difference between this list and `next`.
     pub fn changes_to(&self, next: &Listing<T>) -> ListChanges<T> {
         let (mut listed, mut gone) = (Vec::new(), Vec::new());
         let (mut old, mut new) = (self.entries.iter().peekable(), next.entries.iter().peekable());
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The list that follows from these changes.
+    /// Returns this list with `changes` applied.
     pub fn with(&self, changes: ListChanges<T>) -> Listing<T> {
         let ListChanges { revision, listed, gone } = changes;
         let replaced: FastSet<&str> = listed
--- a/crates/proxy/src/sessions/process/feed/mod.rs
+++ b/crates/proxy/src/sessions/process/feed/mod.rs
@@ -1,15 +1,15 @@
-//! Configuration and targets from another proxy instead of the platform's store.
+//! Distribution of the configuration, the targets and the VMs between proxies.
 //!
-//! Each change wakes every watch at the store, and each answer is paid for. So with many VMs only a few
-//! in each availability zone watch the store, and tell the others there as soon as they know ([`publisher`]).
-//! They also tell that the store does not answer, and that it does again, so that the others need not try.
-//! One that is not told for a while turns to the next watcher, then to those of other zones, and watches
-//! the store by itself while it finds none ([`subscriber`]).
+//! Each change wakes every watch at the store, and each answer is billed. In a large fleet only a few VMs of
+//! each availability zone, the watchers, therefore watch the store, and publish what they receive to the
+//! other VMs of their zone ([`publisher`]). They also report whether the store is available, so that the
+//! others need not probe it. A subscriber that hears nothing for a while turns to the next watcher, then to
+//! those of other zones, and watches the store itself while it finds none ([`subscriber`]).
 //!
-//! A watcher has no better link than those that it tells, and its own link also carries its callers and
-//! its own watch. So it is told what the others know and sends what changed since, and no more than a
-//! few at a time are sent large messages. [`frame`] is how messages look on the wire, and [`outbox`]
-//! what there is to tell.
+//! A watcher has the same bandwidth as its subscribers, and its link also carries its own callers and
+//! watches. A subscriber therefore states what it knows and receives only the differences, and only a few
+//! subscribers at a time receive large messages. [`frame`] defines the wire format, and [`outbox`] holds what
+//! is to be published.
 
 pub mod frame;
 pub mod listing;
@@ -29,47 +29,49 @@
 use crate::sessions::store::VmAddress;
 use crate::sessions::version::view::Member;
 
-/// How often a sign of life is sent.
+/// Interval between heartbeats while nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// The word by which a proxy asks to be told. The version of the configuration that it knows follows.
+/// The command that subscribes to a watcher's feed. The known version of the configuration follows it.
 const SUBSCRIBE: &str = "SUBSCRIBE";
 
-/// What a watcher tells.
+/// A message of the feed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// The watcher lives. Comes before what else there is to tell.
+    /// A heartbeat. It precedes the other messages.
     Alive {
-        /// The version of the configuration that is told; zero for none.
+        /// Version of the publisher's configuration; zero if it has none.
         version: u64,
-        /// Whether the store answers the watcher, or one that tells it.
+        /// Whether the store answers the publisher, or the process that the publisher subscribes to.
         store_answers: bool,
-        /// Whether it is only one that tells it that the store answers.
+        /// Whether the publisher knows only from another process that the store answers.
         #[serde(default)]
         relayed: bool,
-        /// Whether a target that is not listed is gone.
+        /// Whether every target that is missing from the list is gone.
         is_settled: bool,
-        /// Whether the watcher's availability zone is cut off from the others.
+        /// Whether the publisher's availability zone is partitioned from the others.
         #[serde(default)]
         zone_is_cut: bool,
     },
-    /// What changed of the configuration since the version that was told before.
+    /// Changes of the configuration since the version that was sent before.
     Changes(RouteChanges),
-    /// A whole configuration.
+    /// A complete configuration.
     Routes(Arc<RouteTable>),
-    /// What changed of the list of targets since it was told before; all targets at first.
+    /// Changes of the list of targets since it was sent before; all targets in the first message.
     TargetChanges(ListChanges<Member>),
-    /// What changed of the list of VMs since it was told before; all VMs at first.
+    /// Changes of the list of VMs since it was sent before; all VMs in the first message.
     Vms(ListChanges<VmAddress>),
 }
 
-/// The line by which a proxy that knows a version of the configuration, or zero for none, asks to be told.
+/// Returns the line that subscribes to a feed. `known_version` is the subscriber's configuration; zero if it
+/// has none.
 fn subscription(known_version: u64) -> String {
     format!("{SUBSCRIBE} {known_version}\n")
 }
 
-/// The version that one who asks to be told knows; none if the message asks for something else.
+/// Parses a subscription and returns the configuration version that the subscriber knows. Returns `None` for
+/// any other message.
 pub fn parse_subscription(message: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(message).ok()?;
     let (command, version) = text.trim_end().split_once(' ')?;
--- a/crates/proxy/src/sessions/process/feed/outbox.rs
+++ b/crates/proxy/src/sessions/process/feed/outbox.rs
@@ -1,4 +1,4 @@
-//! What a watcher has to tell, encoded once for all who are told.
+//! The state that a watcher publishes, with messages encoded once for all subscribers.
 
 use std::sync::Arc;
 
@@ -25,30 +25,31 @@
 use crate::sessions::store::VmAddress;
 use crate::sessions::version::view::Member;
 
-/// How many are sent a configuration or a large message at the same time. Each has a send buffer of
-/// 64 KB, so what callers wait behind on a link of 10 Mbit/s is 0.2 s long (reckoned). With 14 at once up
-/// to 2.7 MB were sent in one second, and the watcher's own calls to the store got no answer in 3.3 s.
+/// Maximum number of subscribers that are sent a configuration or another large message at the same time.
+/// Each has a send buffer of 64 KB, so that on a link of 10 Mbit/s traffic of callers waits for at most 0.2 s
+/// (calculated). With 14 at a time up to 2.7 MB were sent in one second, and the watcher's own calls to the
+/// store got no answer for 3.3 s.
 const MAX_LARGE_SENDS: usize = 4;
 
-/// From how many earlier lists the changes are kept encoded.
+/// Maximum number of earlier lists for which encoded differences are kept.
 const MAX_CACHED_LISTS: usize = 8;
 
-/// What a watcher has to tell now.
+/// The state that subscribers receive.
 #[derive(Clone, Debug)]
 pub struct FeedState {
-    /// The publication of this process that it tells of; zero before the first.
+    /// Number of the view that this was taken from; zero before the first.
     pub number: u64,
-    /// The version of the configuration; zero while there is none.
+    /// Version of the configuration; zero if there is none.
     pub version: u64,
-    /// The targets; empty while there are none.
+    /// The targets; empty before the first list.
     pub targets: Arc<TargetList>,
-    /// What there is to say of the store.
+    /// Whether the store answers this process, or the process that it subscribes to.
     pub news: StoreNews,
-    /// Whether a target that is not listed is gone.
+    /// Whether every target that is missing from the list is gone.
     pub is_settled: bool,
-    /// Whether this zone is cut off from the others.
+    /// Whether this process's availability zone is partitioned from the others.
     pub zone_is_cut: bool,
-    /// The VMs; empty while they are not known.
+    /// The VMs; empty before the first list.
     pub vms: Arc<VmList>,
 }
 
@@ -67,7 +68,7 @@
 }
 
 impl FeedState {
-    /// The sign of life that goes with it.
+    /// Returns the heartbeat for this state.
     pub(super) fn heartbeat(&self) -> Message {
         let FeedState { version, news, is_settled, zone_is_cut, .. } = *self;
         let (store_answers, relayed) = match news {
@@ -79,11 +80,11 @@
     }
 }
 
-/// What turns lists that were told before into the newest one, encoded once for all who are told.
+/// Encoded differences between earlier lists and the newest one, shared by all subscribers.
 #[derive(Debug)]
 pub(super) struct ChangeFrames<T> {
     newest: Arc<Listing<T>>,
-    /// By the list that was told before.
+    /// Encoded differences by the list that the subscriber has.
     frames: Vec<(Arc<Listing<T>>, Frame)>,
 }
 
@@ -97,7 +98,7 @@
 where
     T: Entry,
 {
-    /// What one who was told `before` is sent so that it knows `newest`.
+    /// Returns the frame that updates a subscriber from list `before` to list `newest`.
     pub(super) fn between<F>(
         &mut self,
         before: &Arc<Listing<T>>,
@@ -111,7 +112,7 @@
             self.newest = Arc::clone(newest);
             self.frames.clear();
         }
-        // Those who were told nothing yet each have an empty list of their own.
+        // Subscribers that received no list yet each have their own empty one.
         let is_same = |known: &Arc<Listing<T>>| {
             Arc::ptr_eq(known, before) || (known.entries.is_empty() && before.entries.is_empty())
         };
@@ -127,26 +128,26 @@
     }
 }
 
-/// A frame that is encoded when it is needed first.
+/// A frame that is encoded on first use.
 type LazyFrame = Arc<OnceCell<Option<Frame>>>;
 
-/// The configurations that there are to tell.
+/// The recent configurations and the messages that update subscribers to the newest one.
 #[derive(Debug, Default)]
 struct Configurations {
     recent: RecentVersions,
-    /// What those are sent that know one of the last versions, by that version, and the whole by zero:
-    /// no more than that, whatever versions those that ask say they know.
+    /// Encoded messages by the version that the subscriber has, with zero for the complete configuration.
+    /// Only recent versions have an entry, so the size does not depend on what subscribers claim to know.
     frames: FastMap<u64, LazyFrame>,
 }
 
-/// What a watcher has to tell.
+/// What a process publishes to its subscribers.
 #[derive(Debug)]
 pub struct Outbox {
-    /// What there is to tell now.
+    /// The current state. Subscribers wait for its changes.
     pub feed_state: watch::Sender<FeedState>,
-    /// Held while a configuration or a large message is sent.
+    /// Bounds the number of concurrent sends of configurations and other large messages.
     pub(super) send_permits: Semaphore,
-    /// What changed of the lists.
+    /// Encoded differences between the lists.
     pub(super) target_changes: Mutex<ChangeFrames<Member>>,
     pub(super) vm_changes: Mutex<ChangeFrames<VmAddress>>,
     configurations: Mutex<Configurations>,
@@ -165,7 +166,7 @@
 }
 
 impl Outbox {
-    /// Has configuration and targets of a publication told from now on.
+    /// Publishes the configuration and the targets of view `number`.
     pub fn update(&self, number: u64, routes: Option<&Arc<RouteTable>>, targets: TargetList) {
         let version = self.push_configuration(routes);
         self.feed_state.send_modify(|feed_state| {
@@ -177,7 +178,7 @@
         });
     }
 
-    /// Takes in a configuration. Returns the newest version.
+    /// Adds a configuration. Returns the newest version.
     fn push_configuration(&self, routes: Option<&Arc<RouteTable>>) -> u64 {
         let mut configurations = self.configurations.lock();
         if routes.is_some_and(|routes| configurations.recent.push(routes)) {
@@ -186,13 +187,13 @@
         configurations.recent.newest_version()
     }
 
-    /// What one who knows a version has to be sent, and the version that it knows then; none if it knows
-    /// the newest one. Encoded away from the callers' thread: thousands of routes take some
-    /// milliseconds of a whole processor.
+    /// Returns the message that updates a subscriber from `known_version`, and the version that it then has.
+    /// Returns `None` if the subscriber has the newest version. Encoding runs outside the thread that serves
+    /// callers, since it takes milliseconds of processor time for thousands of routes.
     ///
     /// # Errors
     ///
-    /// The encoding panicked.
+    /// The encoding task panicked.
     pub(super) async fn configuration_since(
         &self,
         known_version: u64,
--- a/crates/proxy/src/sessions/process/feed/publisher.rs
+++ b/crates/proxy/src/sessions/process/feed/publisher.rs
@@ -1,4 +1,4 @@
-//! The side of a watcher: what changes is sent to each that asks to be told.
+//! The publishing side of the feed: sends each change to each subscriber.
 
 use std::io;
 use std::sync::Arc;
@@ -20,34 +20,34 @@
 use crate::sessions::process::feed::listing::VmList;
 use crate::sessions::process::gateway::Gateway;
 
-/// How long one who is told may take no byte. It may hold one of the few turns meanwhile, so one that
-/// stands still must not keep the others from a new version for long.
+/// How long a subscriber may read nothing before its connection is closed. It may hold one of the few send
+/// permits, and a stalled subscriber must not delay a new version for the others.
 const STALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How much of a message the system holds that was not sent yet, in bytes; it takes twice as much. With
-/// more, a message would count as sent while all of it waits on the link.
+/// Size of the socket's send buffer, in bytes; the kernel reserves twice as much. With a larger buffer a
+/// message would count as sent while all of it still waits for the link.
 const SEND_BUFFER_BYTES: usize = 32 << 10;
 
-/// Up to which size a message is sent without a turn, in bytes: it fits into the send buffer.
+/// Maximum size of a message that is sent without a permit, in bytes. It fits into the send buffer.
 const MAX_UNLIMITED_BYTES: usize = 16 << 10;
 
-/// One that is told.
+/// A subscriber to the feed.
 struct Subscriber<'a, C>
 where
     C: Codec,
 {
     gateway: &'a Gateway<C>,
     stream: TcpStream,
-    /// The version of the configuration that it knows; zero for none.
+    /// Version of the configuration that the subscriber has; zero if it has none.
     version: u64,
-    /// The targets as it was told.
+    /// The targets that the subscriber was sent.
     targets: Arc<TargetList>,
-    /// The VMs as it was told.
+    /// The VMs that the subscriber was sent.
     vms: Arc<VmList>,
 }
 
-/// Tells one other proxy what changes, until it goes or this process is one that is told itself: those that
-/// it told need one that asks the store.
+/// Publishes changes to one subscriber until it disconnects, or until this process itself becomes a
+/// subscriber: its subscribers need a publisher that watches the store.
 pub async fn serve<C>(gateway: Arc<Gateway<C>>, stream: TcpStream, known_version: u64)
 where
     C: Codec,
@@ -72,15 +72,16 @@
     async fn run(&mut self) -> io::Result<()> {
         SockRef::from(&self.stream).set_send_buffer_size(SEND_BUFFER_BYTES)?;
         let mut feed_states = self.gateway.outbox.feed_state.subscribe();
-        // A process that nobody asked so far has not put there what it knows: it seemed to be behind.
+        // A process without subscribers does not update its outbox. The outdated state would make it look
+        // behind.
         let known = self.gateway.view().number;
         let is_current = feed_states.wait_for(|feed_state| feed_state.number >= known);
-        // Without it, the sign of life tells how it stands.
+        // After a timeout the heartbeat reports the state as it is.
         let _ = time::timeout(HEARTBEAT_INTERVAL, is_current).await;
         loop {
             let now = feed_states.borrow_and_update().clone();
             self.send(&frame::encode(&now.heartbeat())).await?;
-            // First of all: it says who tells whom.
+            // The list of VMs comes first, since it determines who publishes to whom.
             self.send_vms(&now.vms).await?;
             if !self.gateway.serves_feed() {
                 return Ok(());
@@ -91,7 +92,7 @@
             if now.version > self.version {
                 self.send_configuration().await?;
             }
-            // Either something changed, or it is time for a sign of life.
+            // Wakes up for a change or for the next heartbeat.
             let _ = time::timeout(HEARTBEAT_INTERVAL, feed_states.changed()).await;
         }
     }
@@ -115,7 +116,7 @@
         Ok(())
     }
 
-    /// Sends a message at once if it is small, and otherwise when it is this one's turn.
+    /// Sends a small message immediately, and a large one when a permit is available.
     async fn send_frame(&self, frame: &Frame) -> io::Result<()> {
         let _permit = match frame.len() > MAX_UNLIMITED_BYTES {
             true => Some(self.acquire_send_permit().await?),
@@ -127,7 +128,8 @@
     async fn send_configuration(&mut self) -> io::Result<()> {
         let gateway = self.gateway;
         let _permit = self.acquire_send_permit().await?;
-        // The newest one when it is this one's turn: versions that came meanwhile are sent together.
+        // Read after the wait for the permit, so that versions which arrived meanwhile are sent as one
+        // change.
         let since = gateway.outbox.configuration_since(self.version).await?;
         if let Some((version, frame)) = since {
             let began_us = gateway.clock.now_us();
@@ -140,7 +142,7 @@
         Ok(())
     }
 
-    /// Waits for a turn to send a large message, with signs of life meanwhile.
+    /// Waits for the permit to send a large message, and sends heartbeats meanwhile.
     async fn acquire_send_permit(&self) -> io::Result<SemaphorePermit<'a>> {
         let outbox = &self.gateway.outbox;
         loop {
--- a/crates/proxy/src/sessions/process/feed/subscriber.rs
+++ b/crates/proxy/src/sessions/process/feed/subscriber.rs
@@ -1,4 +1,4 @@
-//! The side of a proxy that is told by watchers.
+//! The subscribing side of the feed: follows watchers, and detects those that are silent, late or outdated.
 
 use std::fmt;
 use std::io;
@@ -29,51 +29,55 @@
 use crate::sessions::store::StateStore;
 use crate::sessions::store::VmAddress;
 
-/// After which silence the next watcher is asked: some signs of life are missing.
+/// How long a publisher may be silent before the subscriber turns to the next one. Several heartbeats are
+/// missing by then.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// After which time without a version that a watcher tells of this process looks at the store by
-/// itself, and goes on listening. A version has to be in force within 3 s of its confirmation, and a
-/// link may be so slow, or a watcher have so many to tell, that it takes longer that way.
+/// How long after its announcement a version may be missing before this process reads it from the store,
+/// while it keeps the subscription. A version has to be in force within 3 s of its confirmation, and a slow
+/// link or a publisher with many subscribers may take longer.
 const VERSION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The time for a connection to a watcher.
+/// Timeout for connecting to a publisher and for sending the subscription.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// After which time without an answer of the store a VM that asks it has others help, in microseconds.
-/// Single calls that go wrong are over by then, and what changes still comes into force within 3 s.
+/// How long the store may not answer a VM that watches it before that VM subscribes to other VMs, in
+/// microseconds. Failures of single calls are over by then, and changes still come into force within 3 s.
 const HELP_AFTER_US: u64 = 1_000_000;
 
-/// How many VMs are asked for help in a row: while the store is down for all, none can tell.
+/// Maximum number of VMs that are asked for help in one round. While the store is unavailable to all of them,
+/// none can help.
 const MAX_HELPERS: usize = 2;
 
-/// How long a watcher that says that the store is away is listened to before the next one is asked: the
-/// store may turn only some VMs away. Each of them goes on trying, so meanwhile nothing is missed.
+/// How long a watcher that reports the store as unavailable is followed before the next one is tried, since
+/// the store may refuse only some VMs. Each watcher keeps trying the store, so nothing is missed meanwhile.
 const STORE_AWAY_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// How long a watcher of another availability zone is listened to before those of this zone are asked
-/// again, which are nearer.
+/// How long a watcher of another availability zone is followed before the nearer ones of this zone are tried
+/// again.
 const FAR_WATCHER_LIMIT: Duration = Duration::from_millis(10_000);
 
-/// How many watchers of other zones are asked in a row where those of this one can't be reached.
+/// Maximum number of watchers of other zones that are tried in one round if those of this zone are
+/// unreachable.
 const MAX_FAR_WATCHERS: usize = 3;
 
-/// The first and the longest pause before the watchers are asked again after none of them could tell
-/// anything. After a start the watchers are there a moment later.
+/// Minimum and maximum delay before the watchers are tried again after none of them had a usable state. After
+/// a startup the watchers are available shortly afterwards.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(1_000);
 
-/// Why a watcher tells no longer.
+/// Why a subscription ended.
 #[derive(Debug)]
 enum CloseReason {
-    /// The store does not answer it, and has not for a while.
+    /// The store has not answered the publisher for a while.
     StoreUnavailable,
-    /// It knows an older configuration than this process. It may be cut off without noticing, and
-    /// whoever went on being told by it would have no version that follows.
+    /// The publisher has an older configuration than this process. It may be partitioned without having
+    /// noticed, and its changes would not apply to the known version.
     Outdated,
-    /// It tells of changes to a configuration that is not known here.
+    /// The publisher sent changes to a configuration that is unknown here.
     UnknownBase,
-    /// It watches for this process no longer, the store answers this one again, or a nearer one may tell.
+    /// The publisher is no longer a watcher for this process, the store answers this process again, or a
+    /// nearer watcher is to be tried.
     NotNeeded,
     /// The connection failed.
     Failed(io::Error),
@@ -97,20 +101,20 @@
     }
 }
 
-/// What another VM is to this one.
+/// The role of a publisher for this process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum FeedSource {
-    /// It watches the store in this one's place.
+    /// It watches the store for the VMs of this zone.
     Watcher,
-    /// The same in another availability zone.
+    /// It watches the store for the VMs of another availability zone.
     FarWatcher,
-    /// It tells while the store turns this one away, which goes on trying the store.
+    /// It supplies the state while the store refuses this process, which keeps trying the store.
     Helper,
 }
 
-/// Has this process told by watchers, whenever there are enough VMs for that. One that watches the store
-/// itself is told by others while the store does not answer it: it served by an old version for as long as
-/// that took, though every other VM could tell it.
+/// Keeps this process subscribed to watchers where the fleet is large enough to have them. A process that
+/// watches the store itself subscribes to others while the store does not answer it. Otherwise it would serve
+/// with an old version for that time although every other VM has the new one.
 pub async fn run<C, S>(watcher: Arc<Watcher<C, S>>, gateway: Arc<Gateway<C>>)
 where
     C: Codec,
@@ -129,8 +133,8 @@
     }
 }
 
-/// Listens to those that watch the store in this VM's place, one after the other. Returns whether any of
-/// them had something to tell.
+/// Follows the watchers that are responsible for this process, one after the other. Returns whether any of
+/// them had a usable state.
 async fn follow_watchers<C, S>(watcher: &Watcher<C, S>) -> bool
 where
     C: Codec,
@@ -146,7 +150,7 @@
     if had_feed {
         return true;
     }
-    // Those of this zone tell what others have heard, so one other is enough beside them.
+    // The watchers of this zone relay what they receive from other zones, so one further watcher is enough.
     let count = if is_reached { 1 } else { MAX_FAR_WATCHERS };
     for vm in rotated(gateway, gateway.far_watchers(), count) {
         let best_standing = follow_publisher(watcher, &vm, FeedSource::FarWatcher).await;
@@ -159,7 +163,7 @@
     had_feed
 }
 
-/// Listens to others while the store turns this VM away. Returns whether any had something to tell.
+/// Follows other VMs while the store refuses this one. Returns whether any of them had a usable state.
 async fn follow_helpers<C, S>(watcher: &Watcher<C, S>) -> bool
 where
     C: Codec,
@@ -177,8 +181,8 @@
     had_feed
 }
 
-/// Some of these VMs in an order that differs between processes, and for the same one between times if
-/// not all are asked.
+/// Selects up to `count` of these VMs. The order differs between processes, and over time within a process if
+/// not all are selected.
 fn rotated<C>(gateway: &Gateway<C>, mut vms: Vec<VmAddress>, count: usize) -> Vec<VmAddress>
 where
     C: Codec,
@@ -194,7 +198,8 @@
     vms
 }
 
-/// Listens to one VM. Returns what it made of this one; none if it can't be reached.
+/// Follows one publisher until the subscription ends. Returns the best standing with the store that it
+/// provided; `None` if it was unreachable.
 async fn follow_publisher<C, S>(
     watcher: &Watcher<C, S>,
     vm: &VmAddress,
@@ -206,7 +211,7 @@
 {
     let mut feed = Feed::new(watcher, source);
     let reason = feed.receive(vm).await.err().unwrap_or(CloseReason::NotNeeded);
-    // The next one may say the same of the store, and nothing is asked of it until then.
+    // The next watcher may report the same, and the store is not probed until then.
     if !matches!(reason, CloseReason::StoreUnavailable) {
         watcher.set_feed_status(None);
     }
@@ -231,7 +236,7 @@
     Ok(stream)
 }
 
-/// What one watcher tells.
+/// A subscription to one publisher.
 struct Feed<'a, C, S>
 where
     C: Codec,
@@ -239,21 +244,22 @@
     watcher: &'a Watcher<C, S>,
     source: FeedSource,
     began: Instant,
-    /// What came and is no whole message yet.
+    /// Received bytes that are not a complete message yet.
     input: BytesMut,
-    /// Whether it told anything, and whether it ever could.
+    /// The best standing that the publisher provided: whether it ever had an answering store; `None` before
+    /// its first report.
     best_standing: Option<Standing>,
-    /// The list of VMs as it tells it.
+    /// The publisher's list of VMs.
     vms: Arc<VmList>,
-    /// The list of targets as it tells it.
+    /// The publisher's list of targets.
     targets: TargetList,
-    /// What it says of the list of targets.
+    /// Whether the publisher's list of targets is settled.
     is_settled: bool,
-    /// The version that its last sign of life told of.
+    /// The version of the last heartbeat.
     announced: Option<u64>,
-    /// When that version is late, if it is not known yet.
+    /// The deadline for the announced version, while that is not known here.
     late_at: Option<Instant>,
-    /// Since when it says that the store is away.
+    /// Since when the publisher has reported the store as unavailable.
     away_since: Option<Instant>,
 }
 
@@ -278,7 +284,7 @@
         }
     }
 
-    /// Takes in what one VM tells, for as long as that is wanted.
+    /// Applies the messages of one publisher for as long as the subscription is needed.
     async fn receive(&mut self, vm: &VmAddress) -> Result<(), CloseReason> {
         let stream = subscribe(self.watcher, vm).await?;
         while self.is_needed(vm) {
@@ -287,7 +293,7 @@
         Ok(())
     }
 
-    /// Whether this VM still needs to be told by that one.
+    /// Whether this process still needs the subscription.
     fn is_needed(&self, vm: &VmAddress) -> bool {
         let gateway = &self.watcher.gateway;
         let contains_vm = |vms: Vec<VmAddress>| vms.iter().any(|known| known.name == vm.name);
@@ -300,7 +306,7 @@
         }
     }
 
-    /// Waits for a message and takes it in. Returns without one when a version is late.
+    /// Waits for a message and applies it. Returns without one when the announced version is late.
     async fn receive_next(&mut self, stream: &TcpStream) -> Result<(), CloseReason> {
         let next = frame::next(stream, &mut self.input, SILENCE_TIMEOUT);
         let body = match self.late_at {
@@ -339,7 +345,7 @@
                 self.watcher.apply_vms(Arc::clone(&self.vms));
             }
             Message::Alive { store_answers: false, .. } => return self.handle_store_away(),
-            // What it has from others might come from this VM itself.
+            // Relayed state might originate from this process itself.
             Message::Alive { relayed: true, .. } if self.source == FeedSource::Helper => {
                 return self.handle_store_away();
             }
@@ -360,8 +366,8 @@
         Ok(())
     }
 
-    /// It has nothing from the store. One that watches in this VM's place goes on trying, and says when the
-    /// store is back.
+    /// Handles a report that the store is unavailable. A watcher keeps trying the store and will report its
+    /// recovery, so it is followed for a while.
     fn handle_store_away(&mut self) -> Result<(), CloseReason> {
         let away_since = *self.away_since.get_or_insert_with(Instant::now);
         (self.announced, self.late_at) = (None, None);
@@ -381,8 +387,8 @@
         }
     }
 
-    /// A version was told of. If it is a new one it has to be known soon, by whatever way. One that
-    /// follows while another is awaited gives no more time.
+    /// Records an announced version and sets the deadline for its arrival. A further version that is
+    /// announced meanwhile does not extend the deadline.
     fn announce(&mut self, version: u64) {
         let is_new = self.announced.is_none_or(|announced| announced < version);
         if is_new && self.late_at.is_none() {
--- a/crates/proxy/src/sessions/process/fleet.rs
+++ b/crates/proxy/src/sessions/process/fleet.rs
@@ -1,5 +1,5 @@
-//! What a process makes of the other VMs: who watches for whom, the paths to targets that follow, and whether
-//! the own availability zone is cut off.
+//! What the list of VMs determines for this process: which VMs watch the store, the paths to targets, and
+//! whether the own availability zone is partitioned.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -23,12 +23,12 @@
 where
     C: Codec,
 {
-    /// Brings the pools to what is believed of the primaries, and lets each open and close
+    /// Updates the path to each target for the current primaries, and lets each pool open and close
     /// connections.
     ///
-    /// With hundreds of services most paths are idle; those are left out, but for a pass over all of them now and then.
-    /// With organisations most are in use; they are set anew only when what they follow from changed, and in that
-    /// pass, since ejections end by themselves.
+    /// With hundreds of services most paths are idle and are skipped, apart from a pass over all of them at a
+    /// fixed interval. With organisations most paths are in use. They are recomputed only if their inputs
+    /// changed, and in the full pass, since ejections expire without an event.
     pub fn maintain_pools(&self) {
         let (view, peer_routes, now_us) =
             (self.view.load(), self.peer_routes.load(), self.clock.now_us());
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Whether this process has connections of its own to a target, if need be as a fallback for its homes,
-    /// which another VM can't reach.
+    /// Whether this process connects to a target directly. It may become a fallback for the target's homes,
+    /// if another VM can't reach those.
     pub fn connects_directly(&self, target: &TargetState<C>) -> bool {
         if target.is_direct() {
             return true;
@@ -72,7 +72,7 @@
         true
     }
 
-    /// Takes in the list of VMs.
+    /// Applies the list of VMs.
     pub fn set_vms(&self, vms: &[VmAddress]) {
         let peer_routes = PeerRoutes::new(&self.vm, &self.zone, vms.to_vec());
         self.quotas.set_vms(vms);
@@ -81,7 +81,7 @@
         self.paths_checked_us.store(0, Ordering::Relaxed);
     }
 
-    /// How many VMs are known.
+    /// The number of known VMs.
     pub fn vm_count(&self) -> usize {
         self.peer_routes.load().vm_count()
     }
@@ -91,7 +91,7 @@
         self.peer_routes.load().is_known()
     }
 
-    /// The VMs that tell this one; none if it watches the store by itself.
+    /// The VMs that this process subscribes to; empty if it watches the store itself.
     pub fn watchers(&self) -> Vec<VmAddress> {
         self.peer_routes.load().watchers().to_vec()
     }
@@ -101,28 +101,28 @@
         self.peer_routes.load().far_watchers().to_vec()
     }
 
-    /// Whether another VM tells this one what the store says.
+    /// Whether this process gets the store's state from another VM, which the store answers.
     pub fn has_feed(&self) -> bool {
         self.store_access.standing() == Standing::Told
     }
 
-    /// The VMs that can tell this one when the store turns it away.
+    /// The VMs that this one may subscribe to while the store refuses it.
     pub fn helpers(&self) -> Vec<VmAddress> {
         self.peer_routes.load().helpers().to_vec()
     }
 
-    /// Whether this process tells others that ask.
+    /// Whether this process publishes the feed to subscribers.
     pub fn serves_feed(&self) -> bool {
         self.peer_routes.load().has_direct_access()
     }
 
-    /// Whether this process watches the store for others.
+    /// Whether this process watches the store for other VMs.
     pub fn is_watcher(&self) -> bool {
         self.peer_routes.load().is_watcher()
     }
 
-    /// Whether this process looks after the primary of a service: where it has connections of its own
-    /// to a member, so that not all VMs ask a primary that is in trouble.
+    /// Whether this process monitors the primary of a service. Only processes with direct connections to a
+    /// member do, so that not all VMs probe a primary that is in trouble.
     pub fn monitors_primary(&self, service: &str) -> bool {
         self.targets.load().members(service).iter().any(|member| member.is_direct())
     }
@@ -137,13 +137,13 @@
         self.peer_routes.load().vms_of(zone)
     }
 
-    /// Whether this process's zone is cut off from the others.
+    /// Whether this process's availability zone is partitioned from the others.
     pub fn zone_is_cut(&self) -> bool {
         self.clock.now_us() < self.zone_cut_until_us.load(Ordering::Relaxed)
     }
 
-    /// It was heard whether this process's zone is cut off, which holds for a while. Returns whether that is
-    /// news.
+    /// Sets whether this process's availability zone is partitioned, which holds for
+    /// [`limits::ZONE_CUT_HOLDS_US`]. Returns whether that is a change.
     pub fn set_zone_is_cut(&self, is_cut: bool) -> bool {
         let was_cut = self.zone_is_cut();
         let until_us = if is_cut { self.clock.now_us() + limits::ZONE_CUT_HOLDS_US } else { 0 };
@@ -152,7 +152,7 @@
     }
 }
 
-/// What the connections of a service's targets are divided by.
+/// Returns what determines how the connections to a service's targets are divided.
 fn demand(view: &View, service: &str, peer_routes: &PeerRoutes) -> Demand {
     Demand {
         max_connections: service_limits(view.routes.as_deref(), service).max_connections,
--- a/crates/proxy/src/sessions/process/gateway.rs
+++ b/crates/proxy/src/sessions/process/gateway.rs
@@ -1,4 +1,4 @@
-//! What all sessions of the process share.
+//! State that all sessions of the process share.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -40,51 +40,50 @@
 use crate::sessions::version::holder::Holder;
 use crate::sessions::version::view::View;
 
-/// The limits of a service that no configuration names: its targets are listed, and nobody is sent
-/// to them.
+/// Limits of a service that no configuration names. Its targets are listed, but no route leads to them.
 const UNKNOWN_SERVICE: ServiceLimits = ServiceLimits { max_connections: 2, sync_replicas: 0 };
 
-/// What all sessions share.
+/// State that all sessions of the process share.
 #[derive(Debug)]
 pub struct Gateway<C>
 where
     C: Codec,
 {
-    /// The name of this process's VM.
+    /// Name of this process's VM.
     pub vm: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of this process's VM.
     pub zone: Arc<str>,
-    /// The process's clock.
+    /// Clock of all times in this process.
     pub clock: MonotonicClock,
-    /// The counters.
+    /// Counters of the process's events.
     pub counters: Arc<Counters>,
-    /// How long statements take.
+    /// Histograms of statement times.
     pub latencies: Latencies,
-    /// Where this is logged.
+    /// The process's log.
     pub log: slog::Logger,
-    /// The bound on log lines.
+    /// Rate limit for log lines.
     pub log_budget: LogBudget,
-    /// The limits of organisations.
+    /// Limits of organisations.
     pub quotas: Quotas,
-    /// Grows when keys are withdrawn or go to other organisations.
+    /// Increases when keys are revoked or assigned to other organisations.
     pub keys_withdrawn: watch::Sender<u64>,
-    /// How far the process has come with stopping.
+    /// Phase of the shutdown, and of a partition.
     pub stop: watch::Sender<StopState>,
-    /// The number of open sessions.
+    /// Number of open sessions.
     pub sessions: AtomicU32,
-    /// What this process tells those that do not watch the store.
+    /// State that this process publishes to subscribers of its feed.
     pub outbox: Outbox,
-    /// Whether this process asks the store by itself.
+    /// Whether this process calls the store itself.
     pub store_access: StoreAccess,
-    /// What this process hears of other availability zones, if it watches for its own.
+    /// Reachability of the other availability zones, if this process watches the store for its own.
     pub zone_reach: Mutex<ZoneReach>,
-    /// Until when this process's zone counts as cut off, in microseconds; zero if it does not.
+    /// Until when this process's zone counts as partitioned, in microseconds; zero if it does not.
     pub(super) zone_cut_until_us: AtomicU64,
-    /// Whether this process may be given new callers, as far as the control thread knows.
+    /// Whether this process knows enough to accept callers. Set by the control thread.
     pub can_serve: AtomicBool,
-    /// Whether no target can run that is not listed, as far as the control thread knows.
+    /// Whether the list of targets contains every target that may run. Set by the control thread.
     pub list_is_complete: AtomicBool,
-    /// Whether the process was told to stop.
+    /// Whether the process is shutting down.
     stopping: AtomicBool,
     /// The VMs, and the paths to targets that follow from them.
     pub(super) peer_routes: ArcSwap<PeerRoutes>,
@@ -103,7 +102,7 @@
 where
     C: Codec,
 {
-    /// A process that knows nothing yet.
+    /// Creates the state of a process that has no configuration, targets or VMs yet.
     pub fn new(settings: &SessionSettings, log: slog::Logger) -> Gateway<C> {
         let clock = MonotonicClock::start();
         let (vm, zone) = (settings.vm.as_str().into(), settings.zone.as_str().into());
@@ -139,23 +138,23 @@
         }
     }
 
-    /// The newest version.
+    /// The current view.
     pub fn view(&self) -> Arc<View> {
         self.view.load_full()
     }
 
-    /// The route of a database name in the configuration in force.
+    /// Returns the route of a database in the current configuration.
     pub fn route(&self, database: &str) -> Option<Arc<Route>> {
         let view = self.view.load();
         view.routes.as_ref()?.routes.get(database).cloned()
     }
 
-    /// The organisation that a caller with this key runs statements for in the configuration in force; none where
-    /// callers need no key.
+    /// Returns the organisation that a key belongs to in the current configuration, or that no key is needed.
     ///
     /// # Errors
     ///
-    /// `UnknownKey` if the key is nobody's, and the route asks for one.
+    /// `UnknownKey` if no organisation has the key and the route requires one, `NotReady` without a
+    /// configuration.
     pub fn holder(&self, key: KeyDigest, route: Option<&Route>) -> Result<Holder, ErrorKind> {
         let view = self.view.load();
         let routes = view.routes.as_ref().ok_or(ErrorKind::NotReady)?;
@@ -167,53 +166,53 @@
         }
     }
 
-    /// Whether a session's key may still be used.
+    /// Whether a session's key is still valid.
     pub fn knows_key(&self, session: &Session<C>) -> bool {
         self.holder(session.key, self.route(&session.database).as_deref()).is_ok()
     }
 
-    /// Whether callers are told apart by organisation.
+    /// Whether the configuration has organisations.
     pub fn has_organisations(&self) -> bool {
         self.view.load().organisations().is_some()
     }
 
-    /// Whether there is a configuration.
+    /// Whether a configuration is known.
     pub fn is_configured(&self) -> bool {
         self.view.load().routes.is_some()
     }
 
-    /// How long a caller may rest inside a transaction.
+    /// Maximum time that a caller may be idle inside a transaction; `None` if there is no limit.
     pub fn transaction_idle(&self) -> Option<Duration> {
         let view = self.view.load();
         let idle_ms = view.routes.as_ref()?.transaction_idle_ms;
         (idle_ms > 0).then(|| Duration::from_millis(idle_ms))
     }
 
-    /// Whether the platform may send new callers here.
+    /// Whether the balancer may send new callers to this process.
     pub fn is_ready(&self) -> bool {
         let can_serve = self.can_serve.load(Ordering::Relaxed);
         can_serve && self.is_configured() && self.stop.borrow().phase == StopPhase::Serving
     }
 
-    /// The process stops: it says that it is not ready from now on.
+    /// Begins the shutdown. The process reports that it is not ready from now on.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
         self.set_phase(StopPhase::NotReady);
     }
 
-    /// Whether the process was told to stop.
+    /// Whether the process is shutting down.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Comes into another phase, unless the process stops, which has phases of its own.
+    /// Sets the phase, unless the process is shutting down, which sets the phases itself.
     pub fn set_phase_unless_stopping(&self, phase: StopPhase) {
         if !self.is_stopping() {
             self.set_phase(phase);
         }
     }
 
-    /// Comes into another phase.
+    /// Sets the phase.
     pub fn set_phase(&self, phase: StopPhase) {
         self.stop.send_if_modified(|known| {
             let next = known.in_phase(phase);
@@ -221,17 +220,17 @@
         });
     }
 
-    /// A number for a new session.
+    /// Returns a number for a new session.
     pub fn next_session(&self) -> u64 {
         self.next_session.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A target by id.
+    /// Returns a target by id.
     pub fn target(&self, id: &str) -> Option<Arc<TargetState<C>>> {
         self.targets.load().get(id).cloned()
     }
 
-    /// All targets.
+    /// All listed targets.
     pub fn targets(&self) -> Arc<TargetTable<C>> {
         self.targets.load_full()
     }
@@ -241,7 +240,7 @@
         self.targets.load().members(service).to_vec()
     }
 
-    /// What the traffic showed of a service.
+    /// Returns the observed state of a service, creating it on first use.
     pub fn service(&self, name: &Arc<str>) -> Arc<ServiceState> {
         if let Some(known) = self.services.read().get(name) {
             return Arc::clone(known);
@@ -249,7 +248,7 @@
         Arc::clone(self.services.write().entry(Arc::clone(name)).or_default())
     }
 
-    /// The services of whose primaries a position is to be brought now.
+    /// Returns the services whose primary's position is due to be sampled.
     pub fn services_to_sample(&self) -> Vec<Arc<str>> {
         let now_us = self.clock.now_us();
         let is_due = |name: &Arc<str>, state: &ServiceState| {
@@ -266,7 +265,7 @@
         due.map(|(name, _)| name).collect()
     }
 
-    /// The target to ask as the primary of a service.
+    /// Returns the target to ask as the primary of a service.
     pub fn primary(&self, service: &Arc<str>) -> Option<Arc<TargetState<C>>> {
         let state = self.service(service);
         let targets = self.targets.load();
@@ -279,25 +278,25 @@
         targets.get(&id).cloned()
     }
 
-    /// Whether a target is the one believed to lead.
+    /// Whether a target is the presumed primary of its service.
     pub fn is_primary(&self, target: &TargetState<C>) -> bool {
         let state = self.service(&target.record.service);
         let leader = state.leader.lock();
         leader.preferred() == Some(&target.record.id)
     }
 
-    /// A target refused because it does not lead.
+    /// Records that a target refused a request because it is not the primary.
     pub fn record_not_primary(&self, target: &TargetState<C>) {
         let state = self.service(&target.record.service);
         state.leader.lock().refused(&target.record.id, self.clock.now_us());
     }
 
-    /// Notices of new versions and of targets that proved their lead.
+    /// Subscribes to changes of the view and of the presumed primaries.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Puts a new version in force.
+    /// Publishes a new view.
     pub fn publish(&self, view: View) {
         self.reconcile_targets(&view);
         for (service, members) in &view.services {
@@ -317,8 +316,8 @@
         }
     }
 
-    /// Brings the targets to what a version lists. The connections of a target that went are closed
-    /// as they become idle.
+    /// Adds and removes targets as the view lists them. The connections of a removed target are closed as
+    /// they become idle.
     fn reconcile_targets(&self, view: &View) {
         let mut targets = self.targets.load().by_id().clone();
         let members = view.services.values().flatten();
@@ -347,8 +346,8 @@
     }
 }
 
-/// Whether a key of one version is another organisation's or nobody's in the next. Most publications bring other
-/// targets and the configuration of before.
+/// Whether a key of one view belongs to another organisation or to none in the next. Most views only change
+/// targets and share the configuration with the one before.
 fn withdraws_keys(before: &View, now: &View) -> bool {
     if let (Some(before), Some(now)) = (&before.routes, &now.routes)
         && Arc::ptr_eq(before, now)
@@ -362,7 +361,7 @@
     }
 }
 
-/// The limits of a service in a configuration.
+/// Returns the limits of a service in a configuration.
 pub fn service_limits(routes: Option<&RouteTable>, service: &str) -> ServiceLimits {
     routes.and_then(|routes| routes.services.get(service)).copied().unwrap_or(UNKNOWN_SERVICE)
 }
--- a/crates/proxy/src/sessions/process/isolation.rs
+++ b/crates/proxy/src/sessions/process/isolation.rs
@@ -1,4 +1,4 @@
-//! Sends callers elsewhere while the process is cut off from other availability zones.
+//! Redirects callers to other zones while this process is partitioned from the other availability zones.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 use crate::sessions::process::targets::TargetState;
 use crate::sessions::request::prove;
 
-/// How often a process that is cut off asks whether it still is. Each question is paid for like a
-/// health check, and callers that come back a little later lose nothing.
+/// Interval between probes of a partitioned process. Each probe is billed like a health check, and callers
+/// that return slightly later lose nothing.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The time that a target of another zone has to answer.
+/// Timeout of a probe to a target of another zone.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Whether this process is cut off.
+/// Detects whether this process is partitioned.
 #[derive(Debug)]
 pub struct Isolation<C>
 where
@@ -39,12 +39,13 @@
 where
     C: Codec,
 {
-    /// A process that is not cut off.
+    /// Creates the detector for a process that is not partitioned.
     pub fn new(gateway: &Arc<Gateway<C>>) -> Isolation<C> {
         Isolation { gateway: Arc::clone(gateway), since: None, probed_at: Instant::now() }
     }
 
-    /// Looks at the targets, and changes what the balancer and the callers are told.
+    /// Evaluates the health of the targets in other zones, and sets the phase that the balancer and the
+    /// callers see.
     pub fn check(&mut self) {
         let remote_targets: Vec<_> = self.other_zone_targets();
         let seen: Vec<OtherZoneTarget> = remote_targets
@@ -72,7 +73,7 @@
                 "targets" => remote_targets.len(), "zone_is_cut" => self.gateway.zone_is_cut());
         }
         let since = *self.since.get_or_insert_with(Instant::now);
-        // The balancer would send callers that are let go at once back to this zone.
+        // Until the balancer has noticed, it would send callers that are closed back to this zone.
         let phase = match since.elapsed() >= limits::BALANCER_REACTION_TIME {
             true => StopPhase::ClosingIdle,
             false => StopPhase::NotReady,
@@ -86,7 +87,7 @@
         targets.all().filter(|target| target.record.zone != self.gateway.zone).cloned().collect()
     }
 
-    /// Asks one target of another zone: without callers there would be no other sign.
+    /// Probes one target of another zone. Without callers there would be no other evidence of a recovery.
     fn probe(&mut self, remote_targets: &[Arc<TargetState<C>>]) {
         if self.probed_at.elapsed() < PROBE_INTERVAL || remote_targets.is_empty() {
             return;
@@ -97,7 +98,8 @@
         let gateway = Arc::clone(&self.gateway);
         tokio::spawn(async move {
             if !target.is_direct() {
-                // Reaching the target by itself would not serve callers, whose statements go another way.
+                // If statements take the path through another VM, a direct probe would not show that callers
+                // can be served.
                 let until_us = gateway.clock.now_us() + PROBE_TIMEOUT.as_micros() as u64;
                 let _ = prove::status_of(&gateway, &target, until_us).await;
                 return;
--- a/crates/proxy/src/sessions/process/latencies.rs
+++ b/crates/proxy/src/sessions/process/latencies.rs
@@ -1,4 +1,4 @@
-//! How long statements take, by class and stage.
+//! Histograms of statement times by class and stage.
 
 use hdrhistogram::Histogram;
 use parking_lot::Mutex;
@@ -7,27 +7,27 @@
 use crate::sessions::process::metrics_text::Metric;
 use crate::sessions::process::targets::CLASSES;
 
-/// The longest time that is told apart, in microseconds: beyond every time limit of the users.
+/// Largest time that a histogram distinguishes, in microseconds. It exceeds every timeout of the users.
 const LONGEST_US: u64 = 20_000_000;
 
-/// One significant digit keeps a histogram below 2 KB and tells times apart to a tenth.
+/// One significant digit keeps a histogram below 2 KB and resolves times to a tenth.
 const SIGNIFICANT_DIGITS: u8 = 1;
 
-/// The upper bounds that are told, in milliseconds.
+/// Upper bounds of the exported buckets, in milliseconds.
 const BOUNDS_MS: [u64; 11] = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 2_000];
 
-/// Where time goes.
+/// A part of the time that a statement takes.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Stage {
     /// From the statement's arrival to its answer.
     Whole,
-    /// Waiting for a turn and a connection.
+    /// Waiting in the admission queue and for a connection.
     Queue,
-    /// From sending it to a target to the target's answer.
+    /// From sending the statement to a target to the target's answer.
     Target,
 }
 
-/// The stages in the order of their index.
+/// The stages with their names, in the order of their index.
 const STAGES: [(Stage, &str); 3] =
     [(Stage::Whole, "whole"), (Stage::Queue, "queue"), (Stage::Target, "target")];
 
@@ -48,13 +48,13 @@
 }
 
 impl Latencies {
-    /// Counts one statement of a class.
+    /// Records one statement of a class.
     pub fn record(&self, stage: Stage, class: usize, took_us: u64) {
         let index = stage as usize * CLASSES + class.min(CLASSES - 1);
         self.histograms[index].lock().saturating_record(took_us);
     }
 
-    /// All histograms that hold anything, as cumulative counts.
+    /// Appends all histograms that are not empty, as cumulative counts.
     pub fn render(&self, out: &mut String) {
         for (stage, name) in STAGES {
             for class in 0..CLASSES {
--- a/crates/proxy/src/sessions/process/lead.rs
+++ b/crates/proxy/src/sessions/process/lead.rs
@@ -1,6 +1,6 @@
-//! What the process believes and knows of the lead of a service.
+//! What the process presumes and has proved about the primary of a service.
 //!
-//! Belief decides who is asked; a proof decides what an answer is worth.
+//! The presumed primary determines which target is asked; a proof determines whether its answer may be used.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -23,7 +23,8 @@
 where
     C: Codec,
 {
-    /// A target answered as primary, which one that was replaced does as well.
+    /// Records that a target answered as primary. A primary that was replaced does so as well, so this is no
+    /// proof.
     pub fn answered_as_primary(&self, target: &TargetState<C>) {
         let state = self.service(&target.record.service);
         let is_news = state.leader.lock().answered(&target.record.id);
@@ -32,7 +33,7 @@
         }
     }
 
-    /// It is proved that by `moment_us` nobody but this target had acknowledged anything. Its log had
+    /// Records a proof that no other target had acknowledged a commit by `moment_us`. The target's log had
     /// reached `position` then.
     pub fn proved_lead(
         &self,
@@ -42,7 +43,7 @@
     ) {
         let state = self.service(&target.record.service);
         let is_news = state.leader.lock().proved(&target.record.id);
-        // Without a position nothing is known of what reads have to see: they go to the primary.
+        // Without a position it is unknown what reads must see, so they go to the primary.
         if let Some(position) = position {
             state.positions.lock().saw(moment_us, position);
             state.sampling_flight.notify();
@@ -52,8 +53,9 @@
         }
     }
 
-    /// A commit that was sent at `sent_us` was acknowledged at `position`. Where a replica has to receive it
-    /// first, that proves the lead; elsewhere a target that was replaced acknowledges as well.
+    /// Records that a commit which was sent at `sent_us` was acknowledged at `position`. With synchronous
+    /// replication this proves that the target is the primary. Without it a primary that was replaced
+    /// acknowledges commits as well.
     pub fn acknowledged(
         &self,
         target: &TargetState<C>,
@@ -73,15 +75,15 @@
         self.changed.send_modify(|number| *number += 1);
     }
 
-    /// What the words of its group say of a target's lead at a moment.
+    /// Evaluates what the members of the group reported about a target being the primary at a moment.
     pub fn lead_verdict(&self, target: &TargetState<C>, moment_us: u64) -> LeadVerdict {
         let record = &target.record;
         let state = self.service(&record.service);
         let view = self.view.load();
         let members = view.members(&record.service).iter().map(|member| &*member.record.id);
         let others: Vec<&str> = members.filter(|id| *id != &*record.id).collect();
-        // A process that just started knows of no member that left before, which may have acknowledged with
-        // a successor. That one is listed as the primary then.
+        // A process that just started does not know members that left before, which may have acknowledged
+        // commits with a successor. In that case the successor is listed as the primary.
         let is_listed_primary = || {
             view.listed_primary(&record.service).is_some_and(|listed| listed.record.id == record.id)
         };
@@ -96,13 +98,14 @@
         state.lead_reports.lock().verdict(&record.id, moment_us, &group)
     }
 
-    /// How many replicas of a service receive a commit before it is acknowledged.
+    /// Number of replicas that must receive a commit of a service before it is acknowledged.
     pub fn sync_replicas(&self, service: &str) -> usize {
         let view = self.view.load();
         gateway::service_limits(view.routes.as_deref(), service).sync_replicas as usize
     }
 
-    /// Another member knows of a later term than the one that this target leads.
+    /// Handles evidence that a target was replaced: another member knows a later term than the target's. The
+    /// target is told to step down.
     pub fn superseded(&self, target: &TargetState<C>, term: u64) {
         let record = &target.record;
         let state = self.service(&record.service);
@@ -117,7 +120,8 @@
         });
     }
 
-    /// A home that was asked at `asked_us` told a position of `age_us` before its answer.
+    /// Records a position that a home reported. The home was asked at `asked_us`, and its position was
+    /// `age_us` old when it answered.
     ///
     /// # Errors
     ///
@@ -137,13 +141,13 @@
         Ok(())
     }
 
-    /// The newest known position of a service's primary, and when it was taken.
+    /// The newest known position of a service's primary, and when it was sampled.
     pub fn newest_position(&self, service: &Arc<str>) -> Option<Sample> {
         self.service(service).positions.lock().newest()
     }
 
-    /// The position that a read must see, if its first byte arrived by `arrived_us`; none if no
-    /// position is known that is young enough.
+    /// Returns the position that a read must see whose first byte arrived by `arrived_us`; `None` if no known
+    /// position is recent enough.
     pub fn position_for(
         &self,
         route: &Route,
--- a/crates/proxy/src/sessions/process/leader.rs
+++ b/crates/proxy/src/sessions/process/leader.rs
@@ -1,35 +1,35 @@
-//! Which target of a service is asked as its primary.
+//! The presumed primary of a service.
 //!
-//! What targets write about themselves comes late or not at all: a primary that lost its lead while
-//! it was cut off still stands there as one. So the answers of targets go first: one that refused a
-//! write is not asked again until something speaks for it, and one that proved its lead is
-//! preferred until it refuses. Asking the wrong one is safe, it only costs time: targets that don't
-//! lead refuse.
+//! Entries that targets write about themselves arrive late or not at all: a primary that lost its role while
+//! it was partitioned is still listed as one. Answers of targets therefore take precedence. A target that
+//! refused a write is not asked again until there is new evidence for it, and a target that proved to be the
+//! primary is preferred until it refuses. Asking the wrong target is safe and only costs time, since targets
+//! that are not the primary refuse.
 
 use std::sync::Arc;
 
 use skylark_core::FastMap;
 use skylark_core::FastSet;
 
-/// How long after its refusal a target is asked again where no other is known, in microseconds. A
-/// promote takes 300 to 600 ms to take effect.
+/// How long after its refusal a target is asked again if no other candidate is known, in microseconds. A
+/// promotion takes 300 to 600 ms to take effect.
 const REFUSAL_RETRY_US: u64 = 150_000;
 
-/// What is believed of the lead of one service.
+/// The presumed primary of one service, and the evidence for it.
 #[derive(Clone, Debug, Default)]
 pub struct LeaderBelief {
-    /// The target that last proved or announced its lead.
+    /// The target that last proved or announced to be the primary.
     preferred: Option<Arc<str>>,
-    /// The revision of the newest announcement that was taken in.
+    /// The revision of the newest announcement that was applied.
     announced_revision: u64,
-    /// When each target last refused for not leading.
+    /// When each target last refused a request because it was not the primary.
     refused_us: FastMap<Arc<str>, u64>,
     /// Targets that answer as primary although a later term is known.
     superseded: FastSet<Arc<str>>,
 }
 
 impl LeaderBelief {
-    /// A target announced its lead at this revision.
+    /// Records that a target announced to be the primary at this revision.
     pub fn announced(&mut self, target: &Arc<str>, revision: u64) {
         if revision > self.announced_revision {
             self.announced_revision = revision;
@@ -37,20 +37,20 @@
         }
     }
 
-    /// A target answered as primary, without any proof that no other one leads. Returns whether that is
-    /// news: it is believed where nothing else is known.
+    /// Records that a target answered as primary, without a proof that no other target is. It becomes the
+    /// presumed primary only if there is none. Returns whether the presumed primary changed.
     pub fn answered(&mut self, target: &Arc<str>) -> bool {
         let is_believed = self.preferred.is_none() && !self.superseded.contains(target);
         is_believed && self.proved(target)
     }
 
-    /// A target answers as primary although a later term is known: it was replaced.
+    /// Records that a target still answers as primary although it was replaced in a later term.
     pub fn superseded(&mut self, target: &Arc<str>, now_us: u64) {
         self.refused(target, now_us);
         self.superseded.insert(Arc::clone(target));
     }
 
-    /// A target proved that it leads. Returns whether that is news.
+    /// Records a proof that a target is the primary. Returns whether the presumed primary changed.
     pub fn proved(&mut self, target: &Arc<str>) -> bool {
         self.superseded.remove(target);
         self.refused_us.remove(target);
@@ -61,7 +61,7 @@
         true
     }
 
-    /// A target refused because it does not lead.
+    /// Records that a target refused a request because it is not the primary.
     pub fn refused(&mut self, target: &Arc<str>, now_us: u64) {
         self.refused_us.insert(Arc::clone(target), now_us);
         if self.preferred.as_ref() == Some(target) {
@@ -69,14 +69,14 @@
         }
     }
 
-    /// The target that last proved or announced its lead and did not refuse since.
+    /// The target that last proved or announced to be the primary and has not refused since.
     pub fn preferred(&self) -> Option<&Arc<str>> {
         self.preferred.as_ref()
     }
 
-    /// The target to ask, out of the listed ones: the one that is believed to lead, otherwise the
-    /// one whose refusal is the oldest and not fresh. One that is leaving is asked only if it is
-    /// believed to lead.
+    /// Selects the target to ask among the listed ones: the presumed primary, or else the target with the
+    /// oldest refusal, if that is old enough. A leaving target is selected only if it is the presumed
+    /// primary.
     pub fn pick_target<F>(
         &self,
         listed: &[&Arc<str>],
@@ -99,7 +99,7 @@
         may_ask.then(|| Arc::clone(oldest))
     }
 
-    /// Forgets targets that are no longer listed.
+    /// Removes targets that are no longer listed.
     pub fn keep<F>(&mut self, is_listed: F)
     where
         F: Fn(&str) -> bool,
--- a/crates/proxy/src/sessions/process/log_budget.rs
+++ b/crates/proxy/src/sessions/process/log_budget.rs
@@ -1,16 +1,15 @@
-//! A bound on log lines by reason.
+//! A rate limit for log lines by reason.
 //!
-//! A failure that hits every request would otherwise write a line for each, and the writing would
-//! take the processor time that serving needs. The lines that are left out are counted and told with
-//! the next one of the same reason.
+//! A failure that affects every request would otherwise write a line for each, which would take processor
+//! time from requests. Suppressed lines are counted, and the count is reported with the next line of the same
+//! reason.
 
 use parking_lot::Mutex;
 use skylark_core::FastMap;
 
-/// How many lines of one reason are written in a second.
+/// Maximum number of lines per second and reason.
 const LINES_PER_SECOND: u32 = 10;
 
-/// Microseconds in a second.
 const SECOND_US: u64 = 1_000_000;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -20,14 +19,14 @@
     suppressed: u64,
 }
 
-/// The lines written by reason.
+/// The rate limits of all reasons.
 #[derive(Debug, Default)]
 pub struct LogBudget {
     windows: Mutex<FastMap<&'static str, Window>>,
 }
 
 impl LogBudget {
-    /// Whether a line of this reason may be written now, and how many were left out before it.
+    /// Returns the number of lines suppressed before this one, or `None` if this one is to be suppressed.
     pub fn take(&self, reason: &'static str, now_us: u64) -> Option<u64> {
         let mut windows = self.windows.lock();
         let window = windows.entry(reason).or_default();
--- a/crates/proxy/src/sessions/process/metrics_text.rs
+++ b/crates/proxy/src/sessions/process/metrics_text.rs
@@ -1,4 +1,4 @@
-//! Counters and beliefs as text for the metrics address.
+//! Exports counters and gauges as text for the metrics address.
 
 use std::fmt::Write;
 use std::sync::atomic::Ordering;
@@ -8,38 +8,38 @@
 use crate::sessions::process::gateway::Gateway;
 
 counted! {
-    /// What is shown beside the counters.
+    /// Metrics that are exported besides the counters.
     Metric {
         /// The version of the configuration in force.
         ConfigurationVersion = "skylark_configuration_version",
-        /// Sessions of callers that are open.
+        /// Open sessions of callers.
         Sessions = "skylark_sessions",
-        /// Whether the balancer is told that this VM takes callers.
+        /// Whether the balancer is told that this VM accepts callers.
         Ready = "skylark_ready",
-        /// VMs that this one tells what the platform says.
+        /// VMs that subscribe to this VM's feed.
         FeedSubscribers = "skylark_feed_subscribers",
-        /// Whether another VM tells this one.
+        /// Whether this VM gets the store's state from another VM.
         FeedTold = "skylark_feed_told",
         /// Age of the newest known position of a service's primary, in milliseconds.
         PrimaryPositionAge = "skylark_primary_position_age_ms",
-        /// Statements that took up to a bound in milliseconds, by stage and class.
+        /// Statements that took at most the bound in milliseconds, by stage and class.
         StatementTimes = "skylark_statement_ms_bucket",
-        /// Statements of a stage and class.
+        /// Statements by stage and class.
         StatementCount = "skylark_statement_ms_count",
         /// Average time of a target's answers, in microseconds.
         TargetUsualAnswer = "skylark_target_usual_answer_us",
-        /// Connections to a target, or to the VMs that lead to it.
+        /// Connections to a target, or to the VMs that relay statements to it.
         TargetConnections = "skylark_target_connections",
         /// An organisation's limit over all VMs, in thousandths of an operation a second.
         OrganisationLimit = "skylark_organisation_limit_milli_per_s",
-        /// Operations of an organisation's limit that this VM granted.
+        /// Operations that this VM granted of an organisation's limit.
         OrganisationGranted = "skylark_organisation_granted",
         /// Operations of an organisation that this VM did not grant.
         OrganisationDenied = "skylark_organisation_turned_away",
     }
 }
 
-/// All counters and gauges, a line each.
+/// Renders all counters and gauges, one line each.
 pub fn render<C>(gateway: &Gateway<C>) -> String
 where
     C: Codec,
@@ -93,7 +93,8 @@
     }
 }
 
-/// What this VM granted of the limits of organisations. The sum over all VMs is what the organisation used.
+/// Appends what this VM granted of the limits of organisations. The sum over all VMs is an organisation's
+/// usage.
 fn render_organisations<C>(gateway: &Gateway<C>, out: &mut String)
 where
     C: Codec,
@@ -106,7 +107,7 @@
     }
 }
 
-/// Writes one metric. `labels` is empty or stands in braces.
+/// Appends one metric. `labels` is empty or includes its braces.
 pub fn line(out: &mut String, name: &str, labels: &str, value: u64) {
     // Writing to a string does not fail.
     let _ = writeln!(out, "{name}{labels} {value}");
--- a/crates/proxy/src/sessions/process/peer_routes.rs
+++ b/crates/proxy/src/sessions/process/peer_routes.rs
@@ -1,4 +1,4 @@
-//! Which VMs hold connections to which targets, and the path that this process takes to each.
+//! Which VMs hold connections to which targets, and the path of this process to each target.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -19,59 +19,59 @@
 use crate::sessions::process::targets::TargetState;
 use crate::sessions::store::VmAddress;
 
-/// The VMs, and what was seen of them.
+/// The VMs with their roles, and which of them were unreachable lately.
 #[derive(Debug, Default)]
 pub struct PeerRoutes {
     own: Arc<str>,
     vms: Vec<VmAddress>,
-    /// The other availability zones.
+    /// The other availability zones that have VMs.
     other_zones: Vec<Arc<str>>,
-    /// The VMs of this one's zone that watch the store for the others.
+    /// The VMs of this VM's zone that watch the store for the others.
     watchers: Vec<VmAddress>,
     /// The VMs that watch the store for other zones.
     far_watchers: Vec<VmAddress>,
-    /// The VMs that can tell this one when the store turns it away: the watchers of all zones, or all
-    /// VMs if each watches by itself.
+    /// The VMs that this one may subscribe to while the store refuses it: the watchers of all zones, or all
+    /// VMs if each watches the store itself.
     helpers: Vec<VmAddress>,
-    /// The homes of the targets that were asked for: ranking them at each look at the pools would take
-    /// processor time that grows with targets times VMs.
+    /// Cache of the homes of targets. Ranking them at each maintenance of the pools would take processor time
+    /// that grows with the product of targets and VMs.
     homes: Mutex<FastMap<Arc<str>, Arc<Homes>>>,
-    /// When VMs last could not be reached.
+    /// When each VM last was unreachable.
     failed_us: Mutex<FastMap<Arc<str>, u64>>,
-    /// Whether a VM turned out not to be reached, so that paths through it are to change.
+    /// Whether a VM became unreachable, so that the paths through it have to change.
     has_new_failures: AtomicBool,
-    /// Until when this VM connects to targets though it is no home of theirs.
+    /// Until when this VM connects to targets directly although it is no home of theirs.
     fallback_until_us: Mutex<FastMap<Arc<str>, u64>>,
 }
 
-/// The VMs that may have connections of their own to a target.
+/// The VMs that may connect to a target directly.
 #[derive(Debug)]
 struct Homes {
-    /// Its homes first, then their fallbacks.
+    /// The homes, followed by the fallbacks.
     vms: Vec<VmAddress>,
-    /// How many of them are homes.
+    /// Number of homes.
     home_count: usize,
-    /// How many others were asked for.
+    /// Number of fallbacks that this was computed for.
     fallbacks: usize,
-    /// What this VM is of these.
+    /// The role of this VM.
     role: HomeRole,
-    /// How many VMs rank before this one.
+    /// Number of VMs that rank before this one.
     rank: usize,
 }
 
-/// What a VM is to a target.
+/// The role of a VM for a target.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum HomeRole {
-    /// One of its homes.
+    /// It connects to the target directly.
     Home,
-    /// It may connect where they can't be reached.
+    /// It may connect directly if the homes are unreachable.
     Fallback,
-    /// It goes through the others.
+    /// It reaches the target through the homes.
     Neither,
 }
 
 impl PeerRoutes {
-    /// The paths of VM `own` of an availability zone among these.
+    /// Computes the roles of the VMs as seen by VM `own` in zone `zone`.
     pub fn new(own: &Arc<str>, zone: &str, vms: Vec<VmAddress>) -> PeerRoutes {
         let has_many = vms.len() > limits::MAX_DIRECT_WATCHERS;
         let zones: BTreeSet<&Arc<str>> = vms.iter().map(|vm| &vm.zone).collect();
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The other availability zones.
+    /// The other availability zones that have VMs.
     pub fn other_zones(&self) -> &[Arc<str>] {
         &self.other_zones
     }
@@ -114,18 +114,18 @@
         &self.far_watchers
     }
 
-    /// Whether this VM asks the store for itself and others.
+    /// Whether this VM watches the store itself, either as a watcher or because the fleet is small.
     pub fn has_direct_access(&self) -> bool {
         self.is_watcher() || self.vms.len() <= limits::MAX_DIRECT_WATCHERS
     }
 
-    /// The VMs that can tell this one when the store turns it away.
+    /// The VMs that this one may subscribe to while the store refuses it.
     pub fn helpers(&self) -> &[VmAddress] {
         &self.helpers
     }
 
-    /// The VMs that watch the store for this one; none if it is one of those that watch for others, or
-    /// if there are so few VMs that each watches by itself.
+    /// The VMs that watch the store for this one; empty if it is a watcher itself, or if there are so few VMs
+    /// that each watches the store itself.
     pub fn watchers(&self) -> &[VmAddress] {
         match self.is_watcher() {
             true => &[],
@@ -138,27 +138,27 @@
         self.watchers.iter().any(|vm| vm.name == self.own)
     }
 
-    /// Forgets a target that is no longer listed.
+    /// Removes a target that is no longer listed.
     pub fn forget(&self, target_id: &str) {
         self.homes.lock().remove(target_id);
     }
 
-    /// Whether a VM turned out not to be reached since this was asked last.
+    /// Returns whether a VM became unreachable since the last call.
     pub fn take_new_failures(&self) -> bool {
         self.has_new_failures.swap(false, Ordering::Relaxed)
     }
 
-    /// How many VMs are known.
+    /// The number of known VMs.
     pub fn vm_count(&self) -> usize {
         self.vms.len()
     }
 
-    /// Whether the VMs are known.
+    /// Whether the list of VMs is known.
     pub fn is_known(&self) -> bool {
         !self.vms.is_empty()
     }
 
-    /// Sets the path to a target, and how many connections it has.
+    /// Sets the path to a target and the number of its connections.
     pub fn update_path<C>(&self, target: &TargetState<C>, inputs: PathInputs, now_us: u64)
     where
         C: Codec,
@@ -185,7 +185,7 @@
                                 && self.connects_as_last_resort(target, &homes, now_us))
                     }
                 };
-                // Without any home that may be reached, the path that fails is as good as another.
+                // If no home is reachable, the failing path is as good as any other.
                 if connects {
                     target.set_via(None);
                 } else if home.is_some() || target.is_direct() {
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Divides organisations among the homes that may be reached. A home does so with its own callers' statements;
-    /// a fallback reaches none.
+    /// Divides organisations among the reachable homes. A home does so as well with its own callers'
+    /// statements. A fallback takes part for none.
     fn divide_users<C>(&self, target: &TargetState<C>, homes: &Homes, demand: Demand, now_us: u64)
     where
         C: Codec,
@@ -226,8 +226,8 @@
         target.divide_users(&reachable);
     }
 
-    /// Whether this VM has had no path to a target for so long that it connects by itself. It goes on doing so
-    /// for a while.
+    /// Whether this VM has had no working path to a target for so long that it has to connect directly. It
+    /// then does so for [`limits::FALLBACK_US`].
     fn connects_as_last_resort<C>(
         &self,
         target: &TargetState<C>,
@@ -255,7 +255,8 @@
         self.fallback_until_us.lock().insert(Arc::clone(&target.record.id), until_us);
     }
 
-    /// Makes this VM a fallback for the homes of a target for a while, if it may be one. Returns whether it is.
+    /// Makes this VM a temporary fallback for the homes of a target, if it has that role. Returns whether it
+    /// has.
     pub fn become_fallback<C>(&self, target: &TargetState<C>, demand: Demand, now_us: u64) -> bool
     where
         C: Codec,
@@ -278,8 +279,8 @@
         fallback_until_us.contains_key(&target.record.id)
     }
 
-    /// The VMs that may connect to a target: homes of its availability zone, or of all if there are none
-    /// there, and fallbacks of the other zones.
+    /// Returns the VMs that may connect to a target directly: homes in the target's zone, or in all zones if
+    /// it has no VM there, and fallbacks in the other zones.
     fn homes_of<C>(&self, target: &TargetState<C>, fallbacks: usize) -> Arc<Homes>
     where
         C: Codec,
@@ -326,8 +327,9 @@
         failed_us.retain(|_, failed_us| now_us < *failed_us + limits::HOME_EJECTION_US);
     }
 
-    /// The VM that this process sends its statements through: another home for each process, the next one
-    /// where that could not be reached lately, and a fallback where no home can.
+    /// Returns the VM that this process sends statements through. Processes start with different homes. A
+    /// home that was unreachable lately is replaced by the next one, and by a fallback if no home is
+    /// reachable.
     fn home_for<'a>(&self, homes: &'a Homes, now_us: u64) -> Option<&'a VmAddress> {
         let failed_us = self.failed_us.lock();
         let (first, fallbacks) = homes.vms.split_at(homes.home_count);
@@ -345,7 +347,7 @@
     }
 }
 
-/// Whether a VM could be reached for so long.
+/// Whether a VM had no failure within the last `span_us`.
 fn not_failed_within(
     span_us: u64,
     failed_us: &FastMap<Arc<str>, u64>,
@@ -355,7 +357,7 @@
     failed_us.get(&vm.name).is_none_or(|failed_us| now_us >= failed_us + span_us)
 }
 
-/// The VMs that rank highest for a name.
+/// Returns the VMs that rank highest for a name.
 fn top_ranked(name: &str, vms: Vec<&VmAddress>, count: usize) -> Vec<VmAddress> {
     let names: Vec<&str> = vms.iter().map(|vm| &*vm.name).collect();
     let indexes = homes::rank_names(name, &names, count);
--- a/crates/proxy/src/sessions/process/quota/allocators.rs
+++ b/crates/proxy/src/sessions/process/quota/allocators.rs
@@ -1,4 +1,4 @@
-//! Which VMs divide an organisation's limit among them.
+//! Selection of the VMs that divide an organisation's limit among them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,15 +12,15 @@
 /// The allocators of one organisation.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Allocators {
-    /// In the order in which this VM asks them: itself, its zone's, then the others.
+    /// The allocators in the order in which this VM asks them: itself, those of its zone, then the others.
     pub ask_order: Vec<VmAddress>,
-    /// Whether this VM is one of them.
+    /// Whether this VM is an allocator.
     pub includes_own: bool,
-    /// Among how many the limit is divided.
+    /// How the limit is divided among zones and VMs.
     pub division: Division,
 }
 
-/// How many availability zones have VMs.
+/// Returns the number of availability zones that have VMs.
 pub fn zone_count(vms: &[VmAddress]) -> usize {
     by_zone(vms).len()
 }
@@ -34,8 +34,8 @@
 }
 
 impl Allocators {
-    /// The allocators among these VMs as VM `own` of an availability zone asks them. All VMs with the same list
-    /// find the same ones, in different orders.
+    /// Selects the allocators among `vms`. `own` and `zone` only determine the order: all VMs with the same
+    /// list select the same allocators.
     pub fn rank(
         organisation: &str,
         vms: &[VmAddress],
@@ -54,7 +54,7 @@
         }
         let includes_own = ask_order.iter().any(|vm| vm.name == *own);
         let seed = jitter::seed_of(own);
-        // Half of a zone's VMs ask each of its allocators first.
+        // Spreads the load: half of a zone's VMs ask each of its allocators first.
         let order = |vm: &VmAddress| jitter::seed_of(&vm.name) ^ seed;
         ask_order.sort_by_key(|vm| (vm.name != *own, &*vm.zone != zone, order(vm)));
         Allocators { ask_order, includes_own, division }
--- a/crates/proxy/src/sessions/process/quota/answer.rs
+++ b/crates/proxy/src/sessions/process/quota/answer.rs
@@ -1,6 +1,8 @@
-//! Granting operations to other VMs. A question is a line with the word `GRANT` and the names of organisations,
-//! one for each operation; the answer has for each of them `1`, or `0` and after how many microseconds to ask
-//! again, or `-` where this VM allocates nothing of the organisation.
+//! The allocator's side of quotas: grants operations to other VMs.
+//!
+//! A request is a line with the command `GRANT` and one organisation's name for each operation. The answer
+//! has one word for each of them: `1` for a grant, `0:` with the number of microseconds after which to ask
+//! again, or `-` if this VM is no allocator of the organisation.
 
 use std::fmt::Write;
 use std::io;
@@ -17,27 +19,27 @@
 use crate::sessions::process::gateway::Gateway;
 use crate::sessions::process::quota::ask::Answer;
 
-/// The word that begins a question.
+/// The command of a request.
 const GRANT: &str = "GRANT";
 
-/// What stands for an organisation that nothing is allocated of.
+/// The answer for an organisation that this VM does not allocate.
 const NOT_HERE: &str = "-";
 
-/// How long one who asks may stay silent before its connection is closed.
+/// How long a peer may send no request before its connection is closed.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long an answer may wait to be taken.
+/// How long a peer may read nothing of an answer.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The longest message, in bytes.
+/// Maximum size of a message, in bytes.
 const MAX_LINE_BYTES: usize = 64 << 10;
 
-/// Whether another VM asks for grants.
+/// Whether a message is a request for grants.
 pub fn is_request(message: &[u8]) -> bool {
     message.strip_prefix(GRANT.as_bytes()).is_some_and(|rest| rest.starts_with(b" "))
 }
 
-/// The question for one operation of each of these organisations.
+/// Encodes a request for one operation of each of these organisations.
 pub fn encode_request<'a, N>(names: N) -> String
 where
     N: Iterator<Item = &'a str>,
@@ -51,7 +53,7 @@
     line
 }
 
-/// What an answer says, in the order of the question.
+/// Decodes an answer, in the order of the request.
 pub fn decode_answers(line: &[u8]) -> impl Iterator<Item = Answer> {
     let text = std::str::from_utf8(line).unwrap_or_default();
     text.split_whitespace().map(|word| match word {
@@ -68,7 +70,8 @@
 ///
 /// # Errors
 ///
-/// An error of the stream, `UnexpectedEof` at its end, or `InvalidData` for a line that is too long.
+/// An I/O error of the stream, of kind `UnexpectedEof` at its end, or `InvalidData` for a line that is too
+/// long.
 pub async fn next_line(stream: &TcpStream, input: &mut BytesMut) -> io::Result<BytesMut> {
     loop {
         if let Some(end) = input.iter().position(|byte| *byte == b'\n') {
@@ -83,7 +86,7 @@
     }
 }
 
-/// Answers one who asks until it goes.
+/// Answers the requests of one peer until it disconnects or is silent.
 pub async fn answer<C>(
     gateway: &Arc<Gateway<C>>,
     stream: &TcpStream,
@@ -120,7 +123,7 @@
             (Some(organisation), Some(limit)) => gateway.quotas.grant(&organisation.name, limit, 1),
             _ => None,
         };
-        // Memory takes all that is written to it.
+        // Writing to a string does not fail.
         let _ = match granted {
             None => write!(answer, "{NOT_HERE} "),
             Some(Grant { granted: 1.., .. }) => write!(answer, "1 "),
--- a/crates/proxy/src/sessions/process/quota/ask.rs
+++ b/crates/proxy/src/sessions/process/quota/ask.rs
@@ -1,5 +1,7 @@
-//! Asking another VM to grant operations. All that is asked while an answer is awaited goes into the next
-//! message, so what questions cost does not grow with the operations.
+//! The requesting side of quotas: asks other VMs to grant operations.
+//!
+//! Requests that arrive while an answer is awaited are sent as one message, so the number of messages does
+//! not grow with that of the operations.
 
 use std::io;
 use std::sync::Arc;
@@ -20,37 +22,37 @@
 use crate::sessions::process::quota::answer;
 use crate::sessions::store::VmAddress;
 
-/// The time that another VM has to answer, a new connection included.
+/// Timeout for an answer, including the time for a new connection.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// After which time without a question a connection is closed. The other VM waits for longer.
+/// How long a connection may be unused before it is closed. The other side's timeout is longer.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How many questions wait for one VM at most.
+/// Maximum number of requests that wait for one VM.
 const MAX_QUEUED: usize = 1_024;
 
-/// How many organisations one message asks about at most.
+/// Maximum number of requests in one message.
 const MAX_BATCH: usize = 64;
 
-/// One operation of an organisation that is to be granted.
+/// A request for one operation of an organisation.
 #[derive(Debug)]
 struct GrantRequest {
     organisation: Arc<str>,
     answer: oneshot::Sender<Answer>,
 }
 
-/// What another VM says.
+/// The answer of another VM.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Answer {
-    /// It allocates the organisation's operations.
+    /// The VM is an allocator of the organisation, and this is its decision.
     Grant(Grant),
-    /// It allocates nothing of the organisation as far as it knows.
+    /// The VM is no allocator of the organisation as far as it knows.
     NotHere,
-    /// Nothing in time.
+    /// No valid answer arrived in time.
     Nothing,
 }
 
-/// The questions to other VMs.
+/// Connections to the allocators on other VMs.
 #[derive(Debug)]
 pub struct GrantClient {
     counters: Arc<Counters>,
@@ -58,7 +60,7 @@
 }
 
 impl GrantClient {
-    /// Nothing was asked yet.
+    /// Creates a client without connections.
     pub fn new(counters: &Arc<Counters>) -> GrantClient {
         GrantClient { counters: Arc::clone(counters), by_vm: Mutex::default() }
     }
@@ -68,7 +70,7 @@
         self.counters.event(Event::LimitsAsked);
         let (answer, answered) = oneshot::channel();
         let request = GrantRequest { organisation: Arc::clone(organisation), answer };
-        // A full queue is as good as no answer: the question is dropped, and the answer with it.
+        // A full queue counts as a missing answer: dropping the request also drops the sender of its answer.
         let _ = self.sender_to(vm).try_send(request);
         match time::timeout(ANSWER_TIMEOUT, answered).await {
             Ok(Ok(answer)) => answer,
@@ -91,11 +93,12 @@
     }
 }
 
-/// Asks a VM what there is to ask until nothing was for a while, or it does not answer.
+/// Sends the queued requests to a VM. Ends after a time without requests, or when the VM does not answer.
 async fn run_connection(vm: VmAddress, mut requests: mpsc::Receiver<GrantRequest>) {
     let connected = time::timeout(ANSWER_TIMEOUT, TcpStream::connect(vm.peer_address)).await;
     let Ok(Ok(stream)) = connected else { return };
-    // Without it small messages wait for each other, which is slow but works.
+    // If this fails, small messages are delayed until earlier ones are acknowledged, which is slow but
+    // correct.
     let _ = stream.set_nodelay(true);
     let mut input = BytesMut::new();
     let mut batch = Vec::new();
@@ -110,7 +113,7 @@
         let answered = time::timeout(ANSWER_TIMEOUT, exchange(&stream, &mut input, &message)).await;
         let Ok(Ok(line)) = answered else { return };
         for (request, answer) in batch.drain(..).zip(answer::decode_answers(&line)) {
-            // One who waits no longer has given its operation up.
+            // The requester may have timed out, in which case it has given up the operation.
             let _ = request.answer.send(answer);
         }
     }
--- a/crates/proxy/src/sessions/process/quota/mod.rs
+++ b/crates/proxy/src/sessions/process/quota/mod.rs
@@ -1,8 +1,9 @@
-//! Keeping the limits of organisations: who is asked for an operation, and what this VM grants to others.
+//! Enforcement of organisations' limits: which VM is asked for an operation, and what this VM grants to
+//! others.
 //!
-//! `skylark_core::process::quota` says how a limit is divided among allocators. Here an operation asks them one
-//! after the other, those of the own availability zone first ([`ask`]), and answers are given to the other VMs
-//! ([`answer`]). What an allocator said is remembered until it may say something else, so that operations far
+//! `skylark_core::process::quota` defines how a limit is divided among allocators. An operation asks the
+//! allocators one after the other, starting with those of its own availability zone ([`ask`]); other VMs are
+//! answered by [`answer`]. An allocator's refusal is cached for as long as it holds, so that operations far
 //! beyond a limit are refused without a message.
 
 pub mod allocators;
@@ -36,29 +37,28 @@
 /// For how long an allocator that did not answer is ejected, in microseconds.
 const SILENT_EJECTION_US: u64 = 500_000;
 
-/// For how long one that allocates nothing of an organisation, as it has no configuration yet, is not asked again,
-/// in microseconds.
+/// For how long a VM that does not allocate an organisation, since it has no configuration yet, is not asked
+/// again, in microseconds.
 const NOT_HERE_US: u64 = 50_000;
 
-/// How many notes of empty allocators are kept before those that are over are dropped.
+/// Maximum number of cached refusals before expired ones are removed.
 const MAX_EMPTY_ENTRIES: usize = 4_096;
 
-/// How long after a change of the list of VMs a VM that became an allocator begins to earn tokens, in
-/// microseconds. Others may ask its predecessor until they have the list as well.
+/// How long after a change of the list of VMs a new allocator's buckets begin to earn tokens, in
+/// microseconds. Other VMs may ask its predecessor until they have the list as well.
 const HANDOVER_DELAY_US: u64 = 1_500_000;
 
-/// How long an operation waits for room in its organisation's limit at most, in microseconds. One that waited for
-/// longer would be late as often as not, and holds up those of its organisation that come after it.
+/// Maximum time that an operation waits for room in its organisation's limit, in microseconds. After a longer
+/// wait it would often be late anyway, and it would hold up later operations of its organisation.
 const MAX_WAIT_US: u64 = 50_000;
 
-/// For how long after its start a process waits for longer, in microseconds: all may have started together, with
-/// little to grant at first and all their callers back.
+/// How long after its start a process lets operations wait until their deadline instead, in microseconds. All
+/// processes may have started together, with few tokens at first and all callers returning.
 const STARTUP_PERIOD_US: u64 = 5_000_000;
 
-/// Microseconds in a millisecond.
 const MS_US: u64 = 1_000;
 
-/// What one VM knows and grants of limits.
+/// The limits of organisations, as one VM enforces and allocates them.
 #[derive(Debug)]
 pub struct Quotas {
     own: Arc<str>,
@@ -73,39 +73,40 @@
 #[derive(Debug, Default)]
 struct State {
     vms: Vec<VmAddress>,
-    /// How many availability zones these are in.
+    /// Number of availability zones of these VMs.
     zones: usize,
-    /// From when buckets that are new earn tokens.
+    /// From when new buckets earn tokens, in microseconds.
     refill_from_us: u64,
     allocators: FastMap<Arc<str>, Arc<Allocators>>,
-    /// What this VM grants, by organisation.
+    /// What this VM allocates, by organisation.
     granting: FastMap<Arc<str>, Granting>,
-    /// Until when an allocator has nothing for an organisation, by organisation and VM.
+    /// Until when an allocator has nothing to grant, by organisation and VM, in microseconds.
     empty_until_us: FastMap<(Arc<str>, Arc<str>), u64>,
-    /// Until when a VM that did not answer is ejected.
+    /// Until when a VM that did not answer is ejected, in microseconds.
     silent_until_us: FastMap<Arc<str>, u64>,
 }
 
-/// The part of an organisation's limit that this VM grants.
+/// The part of an organisation's limit that this VM allocates.
 #[derive(Debug)]
 struct Granting {
     bucket: TokenBucket,
     usage: Usage,
 }
 
-/// What an allocator granted of an organisation's operations since it became one.
+/// An allocator's decisions on an organisation's operations since it became one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Usage {
     /// Operations that were granted.
     pub granted: u64,
-    /// Operations that were asked for and not granted. One that is refused by several allocators counts at each.
+    /// Operations that were requested and not granted. An operation that several allocators refuse counts at
+    /// each of them.
     pub denied: u64,
     /// The limit of the organisation over all VMs, in thousandths of an operation a second.
     pub limit_milli_per_s: u64,
 }
 
 impl State {
-    /// Notes that an allocator has nothing for an organisation until then.
+    /// Records that an allocator has nothing to grant to an organisation until `until_us`.
     fn set_empty(&mut self, name: &Arc<str>, vm: &VmAddress, until_us: u64, now_us: u64) {
         if self.empty_until_us.len() >= MAX_EMPTY_ENTRIES {
             self.empty_until_us.retain(|_, until_us| now_us < *until_us);
@@ -115,7 +116,7 @@
     }
 }
 
-/// What came of asking one allocator.
+/// The result of asking one or all allocators.
 enum AskOutcome {
     Granted,
     Empty { retry_after_us: u64 },
@@ -123,7 +124,7 @@
 }
 
 impl Quotas {
-    /// A VM that knows no others yet.
+    /// Creates the state of a VM that knows no other VMs yet.
     pub fn new(
         own: &Arc<str>,
         zone: &Arc<str>,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Takes in the list of VMs. Buckets of organisations that this VM no longer allocates are given up.
+    /// Applies the list of VMs. Buckets of organisations that this VM no longer allocates are dropped.
     pub fn set_vms(&self, vms: &[VmAddress]) {
         let mut state = self.state.lock();
         if state.vms == vms {
@@ -152,7 +153,7 @@
         state.vms = vms.to_vec();
         state.zones = allocators::zone_count(vms);
         let now_us = self.clock.now_us();
-        // What a process allocates by the first list it allocates from its start.
+        // With the first list a process is an allocator since its start, not a successor.
         state.refill_from_us = if is_first { 0 } else { now_us + HANDOVER_DELAY_US };
         let known = std::mem::take(&mut state.allocators);
         for (name, before) in known {
@@ -165,12 +166,13 @@
         }
     }
 
-    /// Has one operation of an organisation counted. Where the limit will have room before `until_us` that is
-    /// waited for: after a start of all processes there is little to grant for a moment.
+    /// Counts one operation against an organisation's limit. If the limit will have room before `until_us`,
+    /// the operation waits for it, since there is little to grant for a moment after all processes have
+    /// started.
     ///
     /// # Errors
     ///
-    /// A refusal if its limit has no room, or if nobody can be asked.
+    /// A refusal if the limit has no room in time, or if no allocator answers.
     pub async fn admit(&self, organisation: &Organisation, until_us: u64) -> Result<(), Refusal> {
         let Some(limit) = organisation.limit else { return Ok(()) };
         let now_us = self.clock.now_us();
@@ -193,7 +195,8 @@
         }
     }
 
-    /// Asks one allocator after the other. The one that has room soonest counts if none has.
+    /// Asks one allocator after the other. If none grants, the result has the shortest delay that any of them
+    /// named.
     async fn ask_in_turn(&self, name: &Arc<str>, limit: RateLimit) -> AskOutcome {
         let allocators = self.allocators_of(name, limit);
         let mut soonest_us = None;
@@ -209,7 +212,8 @@
         soonest_us.map_or(AskOutcome::Silent, |retry_after_us| AskOutcome::Empty { retry_after_us })
     }
 
-    /// Grants operations of an organisation out of this VM's part; none if it allocates nothing of it.
+    /// Grants operations out of this VM's part of an organisation's limit; `None` if it is no allocator of
+    /// the organisation.
     pub fn grant(&self, name: &Arc<str>, limit: RateLimit, wanted: u32) -> Option<Grant> {
         let allocators = self.allocators_of(name, limit);
         if !allocators.includes_own {
@@ -230,7 +234,7 @@
         Some(grant)
     }
 
-    /// What this VM granted, by organisation, in the order of their names.
+    /// Returns what this VM granted by organisation, sorted by name.
     pub fn usage(&self) -> Vec<(Arc<str>, Usage)> {
         let state = self.state.lock();
         let mut all: Vec<(Arc<str>, Usage)> =
@@ -273,7 +277,7 @@
         }
     }
 
-    /// What an allocator would say, as far as it said so before.
+    /// Returns the cached refusal of an allocator, if it still holds.
     fn known_answer(&self, name: &Arc<str>, vm: &VmAddress) -> Option<AskOutcome> {
         let now_us = self.clock.now_us();
         let mut state = self.state.lock();
--- a/crates/proxy/src/sessions/process/replicas.rs
+++ b/crates/proxy/src/sessions/process/replicas.rs
@@ -1,4 +1,4 @@
-//! Questions and orders to several replicas of a service beside each other.
+//! Queries and commands that are sent to several replicas of a service concurrently.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use crate::sessions::process::target_calls;
 use crate::sessions::process::target_calls::CallReply;
 
-/// The time that a target which left the list has to say that it is back. One that lives answers in
-/// some 20 ms, and one that is gone must not hold a takeover up for long.
+/// How long a target that left the list has to show that it is back. A live one answers within some 20 ms,
+/// and a lost one must not delay a takeover for long.
 const RETURN_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Those of these targets that answer.
+/// Returns the targets that report their status.
 pub async fn filter_responding<C>(
     vm: &Arc<str>,
     targets: &[Arc<TargetRecord>],
@@ -32,7 +32,7 @@
     answered.map(|(target, _)| Arc::clone(target)).collect()
 }
 
-/// Asks replicas how far they are; also tells the highest term that they know of.
+/// Queries the status of replicas. Also returns the highest term that any of them knows.
 pub async fn ask_all<C>(vm: &Arc<str>, replicas: &[Arc<TargetRecord>]) -> (Vec<ReplicaView>, u64)
 where
     C: Codec,
@@ -54,7 +54,7 @@
     (views, term)
 }
 
-/// Lets those of the replicas receive again that are paused.
+/// Resumes replication on those of the replicas that are paused.
 pub async fn resume<C>(log: &slog::Logger, vm: &Arc<str>, replicas: &[Arc<TargetRecord>])
 where
     C: Codec,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Those of the targets that are back which are not listed.
+/// Returns those of the targets in `back` that are not in `listed`.
 pub fn unlisted(
     back: &[Arc<TargetRecord>],
     listed: &[Arc<TargetRecord>],
--- a/crates/proxy/src/sessions/process/sampler.rs
+++ b/crates/proxy/src/sessions/process/sampler.rs
@@ -1,11 +1,11 @@
-//! Keeps positions of the primaries at hand that are neither too old nor too new.
+//! Samples the positions of primaries ahead of need.
 //!
-//! A read may see a position that is as old as its bound on age allows, and most replicas have
-//! reached that. Where a process asks a primary only when a read has no position left, the only
-//! position that it gets is new, the replicas lag behind it, and the read goes to the primary after
-//! all. With 86 VMs before 8 primaries that overran a primary for the whole day. So positions are
-//! brought ahead while a service is read often, and by those that tell others; opening a transaction takes
-//! no slot. When that is, `skylark_core::request::position_demand` decides.
+//! A read may use a position as old as its bound on staleness allows, and most replicas have reached such a
+//! position. If a process sampled only when a read finds no position, the position would be new, the replicas
+//! would lag behind it, and the read would go to the primary after all. With 86 VMs and 8 primaries this
+//! overloaded a primary permanently. Positions are therefore sampled ahead while a service is read often, and
+//! by processes that report them to others. Opening a transaction takes no slot.
+//! `skylark_core::request::position_demand` decides when a sample is due.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 use crate::sessions::process::gateway::Gateway;
 use crate::sessions::request::sample;
 
-/// How often the services are looked at.
+/// How often the services are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How old a position may be that is brought ahead, in microseconds.
+/// Maximum age of a position that makes a new sample unnecessary, in microseconds.
 const MAX_AGE_US: u64 = 250_000;
 
-/// Brings positions for ever.
+/// Samples positions for as long as the process runs.
 pub async fn run<C>(gateway: Arc<Gateway<C>>)
 where
     C: Codec,
@@ -43,6 +43,6 @@
 {
     let state = gateway.service(&service);
     let Some(_sampling) = state.sampling_flight.begin() else { return };
-    // Without a position the next read brings one, or is served by the primary.
+    // Without a sample the next read takes one, or is served by the primary.
     let _ = sample::sample(&gateway, &service, MAX_AGE_US).await;
 }
--- a/crates/proxy/src/sessions/process/services.rs
+++ b/crates/proxy/src/sessions/process/services.rs
@@ -1,4 +1,4 @@
-//! What the traffic showed of one service.
+//! What requests and status queries showed of one service.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -17,59 +17,60 @@
 use crate::sessions::process::limits;
 use crate::sessions::process::single_flight::SingleFlight;
 
-/// What the traffic showed of one service.
+/// What requests and status queries showed of one service.
 #[derive(Debug, Default)]
 pub struct ServiceState {
-    /// Positions of the primary.
+    /// Known positions of the primary.
     pub positions: Mutex<PrimaryPositions>,
-    /// Which target leads.
+    /// The presumed primary.
     pub leader: Mutex<LeaderBelief>,
-    /// What the members said of themselves.
+    /// What the members reported about their role and term.
     pub lead_reports: Mutex<LeadWords>,
-    /// How many members left without whom nothing can be promoted yet.
+    /// Number of departed members that a promotion still depends on.
     departed: AtomicUsize,
-    /// Whether members may have left before this process heard of the service.
+    /// Whether no departure that still matters can predate this process's knowledge of the service.
     past_is_known: AtomicBool,
-    /// Asking members for a proof.
+    /// The status queries to members that are to prove who the primary is. One round serves all requests.
     pub proof_flight: SingleFlight,
-    /// When questions ended last that nobody answered; zero if they never did.
+    /// When the last round of status queries without any answer ended, in microseconds; zero if an answer
+    /// came since.
     unanswered_round_us: AtomicU64,
-    /// Who needs positions.
+    /// Who needs positions of the primary, and how often.
     pub demand: Mutex<PositionDemand>,
-    /// Bringing a position of the primary.
+    /// The sampling of the primary's position. One sample serves all reads.
     pub sampling_flight: SingleFlight,
 }
 
 impl ServiceState {
-    /// A member said how it stands.
+    /// Records what a member reported about its role.
     pub fn record_report(&self, member: &Arc<str>, report: Word) {
         self.lead_reports.lock().heard(member, report);
         self.unanswered_round_us.store(0, Ordering::Relaxed);
     }
 
-    /// Questions ended at this time that nobody answered.
+    /// Records that a round of status queries ended without any answer.
     pub fn record_unanswered_round(&self, ended_us: u64) {
         self.unanswered_round_us.store(ended_us, Ordering::Relaxed);
     }
 
-    /// Whether questions had ended just before `came_us` that nobody answered.
+    /// Whether a round of status queries without any answer had ended shortly before `came_us`.
     pub fn has_recent_unanswered_round(&self, came_us: u64) -> bool {
         let ended_us = self.unanswered_round_us.load(Ordering::Relaxed);
         (1..=came_us).contains(&ended_us) && came_us < ended_us + limits::UNPROVED_BACKOFF_US
     }
 
-    /// What is known of members that left.
+    /// Updates what is known of departed members.
     pub fn set_departed<R>(&self, departures: &Departures<R>) {
         self.departed.store(departures.needed().count(), Ordering::Relaxed);
         self.past_is_known.store(departures.past_is_known(), Ordering::Relaxed);
     }
 
-    /// How many members left without whom nothing can be promoted yet.
+    /// Number of departed members that a promotion still depends on.
     pub fn departed(&self) -> usize {
         self.departed.load(Ordering::Relaxed)
     }
 
-    /// Whether no member can have left before this process heard of the service that still matters.
+    /// Whether no departure that still matters can predate this process's knowledge of the service.
     pub fn past_is_known(&self) -> bool {
         self.past_is_known.load(Ordering::Relaxed)
     }
--- a/crates/proxy/src/sessions/process/settings.rs
+++ b/crates/proxy/src/sessions/process/settings.rs
@@ -1,24 +1,24 @@
-//! What a process is started with.
+//! Settings of a proxy process with typed sessions.
 
 use std::net::SocketAddr;
 
 use skylark_core::process::quota::QuotaTolerance;
 
-/// What the process needs to know to start.
+/// Settings that are read at startup.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct SessionSettings {
-    /// The name of this process's VM.
+    /// Name of this process's VM.
     pub vm: String,
-    /// Its availability zone.
+    /// Availability zone of this process's VM.
     pub zone: String,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub callers_address: SocketAddr,
-    /// Where other proxies send statements for targets that this VM is home to.
+    /// Address that other proxies connect to, for statements to targets that this VM is a home of.
     pub peer_address: SocketAddr,
-    /// How long a target that announced its stop may be given work, in milliseconds.
+    /// How long a target that announced its shutdown may be given work, in milliseconds.
     pub drain_ms: u64,
-    /// How long the process has between being told to stop and being killed, in milliseconds.
+    /// How long the process has between the signal to stop and being killed, in milliseconds.
     pub grace_ms: u64,
-    /// By how much operations may exceed an organisation's limit.
+    /// How far operations may exceed an organisation's limit.
     pub quota: QuotaTolerance,
 }
--- a/crates/proxy/src/sessions/process/single_flight.rs
+++ b/crates/proxy/src/sessions/process/single_flight.rs
@@ -1,4 +1,4 @@
-//! Work that one task does for all who want it.
+//! Coalesces work that several tasks need into one execution.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 use tokio::sync::futures::Notified;
 
-/// Work of which at most one is under way.
+/// Work that is executed at most once at a time.
 #[derive(Debug, Default)]
 pub struct SingleFlight(Arc<Shared>);
 
@@ -17,7 +17,7 @@
     ended: Notify,
 }
 
-/// The work is under way until this is dropped.
+/// An execution in progress, which ends when this is dropped.
 #[derive(Debug)]
 pub struct Flight(Arc<Shared>);
 
@@ -29,19 +29,19 @@
 }
 
 impl SingleFlight {
-    /// Takes the work on, unless somebody does it already.
+    /// Begins the work; `None` if it is already in progress.
     pub fn begin(&self) -> Option<Flight> {
         let was_in_flight = self.0.in_flight.swap(true, Ordering::Relaxed);
         (!was_in_flight).then(|| Flight(Arc::clone(&self.0)))
     }
 
-    /// Waits until the work ends, or [`SingleFlight::notify`] tells that looking again may help. Counts from
-    /// the call on: what is looked at after it is not missed.
+    /// Waits until the work ends or [`SingleFlight::notify`] is called. Notifications from after this call on
+    /// are not lost, so the condition is to be checked between the call and the await.
     pub fn ended(&self) -> Notified<'_> {
         self.0.ended.notified()
     }
 
-    /// Has those look again who wait for the work.
+    /// Wakes the waiting tasks, so that they check their condition again.
     pub fn notify(&self) {
         self.0.ended.notify_waiters();
     }
--- a/crates/proxy/src/sessions/process/step_down.rs
+++ b/crates/proxy/src/sessions/process/step_down.rs
@@ -1,8 +1,8 @@
-//! Telling a primary that was replaced to step down.
+//! Tells a primary that was replaced to step down.
 //!
-//! A primary that was cut off when another was promoted goes on until it reaches that one, and callers
-//! that reach only the old one are refused for want of a proof. Whoever sees that it was replaced tells
-//! it, until it answers: the driver of the takeover often can't reach it.
+//! A primary that was partitioned during the promotion of its successor stays primary until it reaches that
+//! one. Callers that reach only the old primary are refused, since it can't prove its role. The driver of the
+//! takeover often can't reach it either, so every process that finds it replaced tells it until it answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,13 +15,13 @@
 use crate::sessions::process::target_calls;
 use crate::sessions::process::target_calls::CallReply;
 
-/// How often it is told without an answer before the next request that meets it has to see to it.
+/// Maximum number of attempts. The next request that finds the target replaced starts over.
 const MAX_TRIES: u32 = 5;
 
-/// The pause between two tries.
+/// Delay between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Tells a target that another leads under `term`.
+/// Tells a target that another one is primary under `term`.
 pub async fn notify<C>(log: &slog::Logger, record: &TargetRecord, vm: &Arc<str>, term: u64)
 where
     C: Codec,
--- a/crates/proxy/src/sessions/process/stop.rs
+++ b/crates/proxy/src/sessions/process/stop.rs
@@ -1,53 +1,54 @@
-//! How a process stops: the phases that its callers are told, and when each caller has to go.
+//! Phases of a graceful shutdown, and when each session is closed.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Resting sessions are closed over this time when the process stops, so that their callers don't
-/// all come back to the other VMs at one moment.
+/// The time over which idle sessions are closed during a shutdown, in milliseconds, so that their callers
+/// don't all reconnect to the other VMs at the same time.
 const STOPPING_SPREAD_MS: u64 = 1_200;
 
-/// The same when the process is cut off: until they go, callers are refused what others could serve.
+/// The time over which idle sessions are closed when the process is partitioned, in milliseconds. It is
+/// shorter, since callers are refused what other processes could serve until they leave.
 const CUT_OFF_SPREAD_MS: u64 = 400;
 
-/// How many parts the spread has.
+/// Number of steps in which sessions are closed.
 const CLOSING_PARTS: u64 = 64;
 
-/// How long after the beginning of closing a session is closed.
+/// Returns the delay between the begin of the closing phase and the close of a session.
 pub fn closing_spread(session: u64, is_stopping: bool) -> Duration {
     let spread_ms = if is_stopping { STOPPING_SPREAD_MS } else { CUT_OFF_SPREAD_MS };
     Duration::from_millis(session % CLOSING_PARTS * spread_ms / CLOSING_PARTS)
 }
 
-/// How far the process has come with stopping.
+/// Phase of the shutdown. A partitioned process enters the first phases as well.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum StopPhase {
-    /// It serves.
+    /// The process accepts and serves callers.
     Serving,
-    /// It says that it is not ready, and serves all that comes.
+    /// The process reports that it is not ready, but still serves everything that arrives.
     NotReady,
-    /// Callers that rest outside a transaction are asked to go, one after the other.
+    /// Idle sessions outside a transaction are closed one after the other.
     ClosingIdle,
     /// Open transactions are rolled back as well.
     Ending,
-    /// Nobody is accepted any more, and each caller goes after the statement that is under way.
+    /// New connections are refused, and each session is closed after its current statement.
     Last,
 }
 
-/// How far the process has come with stopping, and since when.
+/// Phase of the shutdown and when the closing of sessions began.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct StopState {
-    /// How far.
+    /// The current phase.
     pub phase: StopPhase,
-    /// When resting callers began to be closed; none before.
+    /// When the closing of idle sessions began; `None` before that phase.
     pub closing_since: Option<Instant>,
 }
 
 impl StopState {
-    /// A process that serves.
+    /// State of a serving process.
     pub const SERVING: StopState = StopState { phase: StopPhase::Serving, closing_since: None };
 
-    /// The state in another phase.
+    /// Returns this state in another phase.
     pub fn in_phase(self, phase: StopPhase) -> StopState {
         let is_closing = phase >= StopPhase::ClosingIdle;
         let closing_since = self.closing_since.or(Some(Instant::now())).filter(|_| is_closing);
--- a/crates/proxy/src/sessions/process/store_access.rs
+++ b/crates/proxy/src/sessions/process/store_access.rs
@@ -1,7 +1,7 @@
-//! Whether this process asks the store by itself, and its pauses while the store does not answer.
+//! Decides whether this process calls the store itself, and how it probes a store that does not answer.
 //!
-//! The decisions are those of `skylark_core::process::store_calls`. One probe serves all in the process
-//! that wait for the store.
+//! `skylark_core::process::store_calls` defines the rules. All tasks of the process that wait for the store
+//! share one sequence of probes.
 
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
@@ -18,23 +18,23 @@
 use crate::process::clock::MonotonicClock;
 use crate::sessions::store::StateStore;
 
-/// How long a process that starts waits for the list of VMs, which says who asks for whom.
+/// How long a starting process waits for the list of VMs, which determines the watchers.
 const VM_LIST_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What decides who asks.
+/// The inputs of the decision.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 struct State {
-    /// How many VMs there are; zero while that is not known.
+    /// Number of VMs; zero while unknown.
     vm_count: usize,
-    /// Whether this process asks for itself and others.
+    /// Whether this process watches the store for itself or as a watcher.
     has_direct_access: bool,
-    /// What the one that tells this process says of the store.
+    /// What the followed feed reports about the store; `None` without a feed.
     feed_news: Option<StoreNews>,
-    /// Since when nobody tells what the store says.
+    /// Since when this process has had no feed with an answering store, in microseconds.
     no_feed_since_us: u64,
     /// Whether the store did not answer this process's last probe.
     is_away: bool,
-    /// Whether what the one that tells this process told of is late.
+    /// Whether a version that the feed announced is overdue.
     feed_is_late: bool,
 }
 
@@ -52,21 +52,22 @@
     }
 }
 
-/// Whether this process asks the store.
+/// Access of this process to the store.
 #[derive(Debug)]
 pub struct StoreAccess {
     vm: Box<str>,
     seed: u64,
     clock: MonotonicClock,
     state: watch::Sender<State>,
-    /// How many probes in a row were sent since a call was answered.
+    /// Number of probes since the last answered call.
     failures: AtomicU32,
-    /// When the last probe was answered. Held by the one that probes for all.
+    /// When the last probe was answered, in microseconds. Whoever holds the lock probes for all waiting
+    /// tasks.
     probe_answered_us: Mutex<u64>,
 }
 
 impl StoreAccess {
-    /// For a process that starts.
+    /// Creates the state of a starting process.
     pub fn new(vm: &str, clock: MonotonicClock) -> StoreAccess {
         let no_feed_since_us = clock.now_us();
         let state = State {
@@ -87,30 +88,30 @@
         }
     }
 
-    /// How this process comes by what the store says.
+    /// How this process gets the store's state.
     pub fn standing(&self) -> Standing {
         self.state.borrow().standing()
     }
 
-    /// Whether this process has to ask by itself.
+    /// Whether this process has no feed with an answering store, so that it has to call the store itself.
     pub fn lacks_feed(&self) -> bool {
         !self.state.borrow().has_feed()
     }
 
-    /// Takes in how many VMs there are, and whether this one asks for itself and others.
+    /// Sets the number of VMs, and whether this process watches the store itself.
     pub fn set_fleet(&self, vm_count: usize, has_direct_access: bool) {
         self.change(|state| {
             (state.vm_count, state.has_direct_access) = (vm_count, has_direct_access)
         });
     }
 
-    /// Takes in what the one that tells this process says of the store; none if nobody tells it.
+    /// Sets what the followed feed reports about the store; `None` if no feed is followed.
     pub fn set_feed_status(&self, feed_news: Option<StoreNews>) {
         self.change(|state| (state.feed_news, state.feed_is_late) = (feed_news, false));
     }
 
-    /// A version that this process was told of is late: it asks at once. With the pauses of one that is told no
-    /// longer, the version could come into force later than it has to.
+    /// Records that an announced version is overdue, so that the store is called immediately. The delays for
+    /// a process without a feed could put the version into force too late.
     pub fn mark_feed_late(&self) {
         self.change(|state| (state.feed_news, state.feed_is_late) = (None, true));
     }
@@ -130,22 +131,22 @@
         });
     }
 
-    /// Waits until this process has to ask by itself, and the store answers it. Returns whether it was told
-    /// meanwhile.
+    /// Waits until this process has to call the store itself and the store answers it. Returns whether it had
+    /// a feed meanwhile, in which case earlier revisions are outdated.
     pub async fn wait_for_direct_access<S>(&self, store: &S) -> bool
     where
         S: StateStore,
     {
         let mut states = self.state.subscribe();
         let mut had_feed = false;
-        // Without the list of VMs all of a large fleet would ask as if they were few.
+        // Without the list of VMs, all VMs of a large fleet would call the store as if there were only a few.
         let _ = time::timeout(VM_LIST_TIMEOUT, states.wait_for(|state| state.vm_count > 0)).await;
         loop {
             let state = *states.borrow_and_update();
             let standing = state.standing();
             if standing == Standing::Told {
                 had_feed = true;
-                // The sender lives as long as this.
+                // The sender is a field of `self`, so this does not fail.
                 let _ = states.changed().await;
                 continue;
             }
@@ -163,14 +164,13 @@
         }
     }
 
-    /// The store answered a call that was no probe.
+    /// Records that the store answered a call other than a probe.
     pub fn record_answer(&self) {
         self.failures.store(0, Ordering::Relaxed);
         self.change(|state| state.is_away = false);
     }
 
-    /// Waits after a call that was not answered until the store answers a probe, or another VM tells
-    /// this process.
+    /// Waits after a failed call until the store answers a probe, or another VM supplies the store's state.
     pub async fn wait_after_failure<S>(&self, store: &S)
     where
         S: StateStore,
@@ -178,8 +178,9 @@
         self.wait_for_probe(self.clock.now_us(), store).await;
     }
 
-    /// Waits until the store has answered a probe that was sent after `since_us`, or another VM tells this
-    /// process. Returns whether the store has. A probe is cheap, and one at a time serves all that wait.
+    /// Waits until the store has answered a probe that was sent after `since_us`, or another VM supplies the
+    /// store's state. Returns whether the store answered. Probes are cheap, and one at a time serves all
+    /// waiting tasks.
     async fn wait_for_probe<S>(&self, since_us: u64, store: &S) -> bool
     where
         S: StateStore,
@@ -209,11 +210,11 @@
         self.state.borrow().may_answer()
     }
 
-    /// Waits while the store is known not to answer, at most for this time.
+    /// Waits while the store is known to be unavailable, for at most `limit`.
     pub async fn wait_while_away(&self, limit: Duration) {
         let mut states = self.state.subscribe();
         let is_here = states.wait_for(State::may_answer);
-        // Trying after all is what is left then.
+        // After the limit the caller tries the store regardless.
         let _ = time::timeout(limit, is_here).await;
     }
 }
--- a/crates/proxy/src/sessions/process/takeover/drive.rs
+++ b/crates/proxy/src/sessions/process/takeover/drive.rs
@@ -1,4 +1,4 @@
-//! One takeover under way, and how it ended.
+//! The state of one takeover in progress, and its outcome.
 
 use std::sync::Arc;
 
@@ -9,52 +9,52 @@
 
 use crate::sessions::process::takeover_trigger::TakeoverTrigger;
 
-/// How long a driver works at one takeover before it gives up and undoes its pauses, in
-/// microseconds. The next look begins anew if it is still needed.
+/// Maximum duration of one takeover before its driver abandons it and resumes the replicas, in microseconds.
+/// If it is still needed, the next check starts another one.
 pub(super) const DRIVE_LIMIT_US: u64 = 6_000_000;
 
 /// How a takeover ended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum Outcome {
-    /// Another target leads, or will in a moment.
+    /// Another target is the primary, or will be as soon as the promotion takes effect.
     Promoted,
-    /// It was needed no longer.
+    /// The takeover was no longer needed.
     NotNeeded,
-    /// It took too long.
+    /// The takeover exceeded its time limit.
     GaveUp,
-    /// Another driver may hold the claim now.
+    /// The claim was lost, and another driver may hold it.
     ClaimLost,
 }
 
-/// One takeover under way.
+/// A takeover in progress.
 pub(super) struct Drive {
     pub(super) service: Arc<str>,
     pub(super) trigger: TakeoverTrigger,
     pub(super) began_us: u64,
-    /// The target that is replaced.
+    /// The primary that is to be replaced; `None` if the service has none.
     pub(super) old: Option<Arc<TargetRecord>>,
-    /// The end of the log of a primary that leaves and answered.
+    /// The end of the log of a leaving primary that answered; the lowest position otherwise.
     pub(super) leaving_log_end: LogPosition,
     pub(super) claim: HeldClaim,
     /// Whether the old primary was told to step down.
     pub(super) stepped_down: bool,
-    /// Whether members that left have to be asked whether they are back.
+    /// Whether the departed members have to be queried again, since some may be back.
     pub(super) checks_departed: bool,
-    /// Members that left and are back, but not listed yet.
+    /// Departed members that are back but not listed yet.
     pub(super) returned: Vec<Arc<TargetRecord>>,
 }
 
 impl Drive {
-    /// Whether ending now would leave the group worse than it was: nobody leads once the old primary was
-    /// stepped down, and a promotion that may come late must find the replicas paused.
+    /// Whether ending now would leave the group worse off than before. Once the old primary stepped down
+    /// there is no primary, and a promotion that may take effect late must find the replicas paused.
     pub(super) fn must_continue(&self, now_us: u64) -> bool {
         let limit_us = self.began_us + DRIVE_LIMIT_US + LATE_EFFECT_US;
         now_us < limit_us && (self.stepped_down || self.claim.may_come_late(now_us))
     }
 
-    /// Whether the old primary has to step down before another is promoted. Where commits are stuck nothing
-    /// is acknowledged anyway. A replica that comes back before the promotion takes effect would have them
-    /// acknowledged after all, and they were lost with the promotion: 21 to 60 commits of a soak seed.
+    /// Whether the old primary has to step down before another target is promoted. While commits are stuck
+    /// none is acknowledged, but a replica that returns before the promotion takes effect would cause them to
+    /// be acknowledged, and the promotion would then lose them: 21 to 60 commits in a simulated run.
     pub(super) fn needs_step_down(&self) -> bool {
         self.trigger == TakeoverTrigger::CommitsStuck && !self.stepped_down
     }
--- a/crates/proxy/src/sessions/process/takeover/mod.rs
+++ b/crates/proxy/src/sessions/process/takeover/mod.rs
@@ -1,8 +1,10 @@
-//! Drives a change of primary where `takeover_trigger.rs` sees one: claims it, and carries the steps of
-//! `skylark_core::process::takeover` out (`steps.rs`, and `promote.rs` for the last one).
+//! Drives the takeover of a service whose primary has to be replaced.
 //!
-//! A process that is cut off by itself reaches neither the store nor the replicas, so it can't harm a
-//! primary that serves the others.
+//! `takeover_trigger.rs` detects the need. A driver acquires the service's claim and executes the steps that
+//! `skylark_core::process::takeover` selects (`steps.rs`; `promote.rs` for the promotion itself).
+//!
+//! A process that is partitioned reaches neither the store nor the replicas, so it can't harm a primary that
+//! serves other processes.
 
 mod drive;
 mod promote;
@@ -34,16 +36,16 @@
 use crate::sessions::store::Promoter;
 use crate::sessions::store::StateStore;
 
-/// How often the primaries are looked at.
+/// How often the primaries are checked.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The pause between two looks at what a driver waits for.
+/// Delay between two checks of a condition that a driver waits for.
 const STEP_PAUSE: Duration = Duration::from_millis(15);
 
-/// The pause after a step that could not be carried out.
+/// Delay after a step that could not be executed.
 const RETRY_PAUSE: Duration = Duration::from_millis(120);
 
-/// The takeovers of all services.
+/// The takeovers that this process drives.
 #[derive(Debug)]
 pub struct Takeovers<C, S, P>
 where
@@ -53,7 +55,7 @@
     watcher: Arc<Watcher<C, S>>,
     claims: Claims<C, S>,
     promoter: P,
-    /// The services that this process works at.
+    /// The services with a takeover in progress.
     driven: Mutex<FastSet<Arc<str>>>,
     triggers: TakeoverTriggers<C, S>,
 }
@@ -64,7 +66,7 @@
     S: StateStore,
     P: Promoter,
 {
-    /// Nothing is driven yet.
+    /// Creates the state without any takeover in progress.
     pub fn new(
         gateway: &Arc<Gateway<C>>,
         watcher: &Arc<Watcher<C, S>>,
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Looks at all services, and starts to drive what needs it.
+    /// Checks all services and starts the takeovers that are needed.
     pub fn check(self: &Arc<Self>) {
         self.watcher.settle_departures();
         for service in self.gateway.targets().connected_services() {
@@ -141,8 +143,8 @@
         if outcome == Outcome::Promoted {
             self.notify_old_primary(&service, old).await;
         }
-        // A replica that received again could acknowledge with the old primary what a promotion that
-        // comes late would lose.
+        // A replica that receives again could acknowledge commits with the old primary, which a promotion
+        // that takes effect late would lose.
         let may_come_late = claim.claim.unsettled && outcome != Outcome::Promoted;
         if outcome != Outcome::ClaimLost && !may_come_late {
             self.resume_all(&service, &returned).await;
@@ -156,8 +158,8 @@
             "settled" => settled);
     }
 
-    /// Tells a primary that was replaced to step down. Where it can't be reached, whoever meets it goes on
-    /// telling it.
+    /// Tells a primary that was replaced to step down. If it is unreachable, processes that find it replaced
+    /// tell it later.
     async fn notify_old_primary(&self, service: &Arc<str>, old: Option<Arc<TargetRecord>>) {
         let leader = self.last_leader(service);
         let Some(old) = old.filter(|old| Some(&old.id) != leader.as_ref()) else { return };
@@ -174,18 +176,18 @@
         }
     }
 
-    /// The target that is believed to lead, or led last.
+    /// The presumed primary, or the last one.
     fn last_leader(&self, service: &Arc<str>) -> Option<Arc<str>> {
         self.gateway.service(service).leader.lock().preferred().cloned()
     }
 
-    /// Whether a target is believed to lead.
+    /// Whether a target is the presumed primary.
     fn leads(&self, service: &Arc<str>, id: &str) -> bool {
         self.last_leader(service).is_some_and(|leader| *leader == *id)
     }
 
-    /// The end of the log of a primary that leaves and still answers. Its successor has to have all of it:
-    /// this process may not know of a replica that acknowledged with it and is gone.
+    /// Returns the end of the log of a leaving primary that still answers. Its successor must have the whole
+    /// log, since this process may not know of a replica that acknowledged commits with it and is gone.
     async fn leaving_primary_log_end(&self, service: &Arc<str>) -> Option<LogPosition> {
         let primary = self.triggers.current_primary(service)?;
         let (record, vm) = (&primary.record, &self.gateway.vm);
@@ -195,7 +197,7 @@
         }
     }
 
-    /// The listed targets of a service but its primary.
+    /// Returns the listed targets of a service without `primary`.
     fn listed_replicas(
         &self,
         service: &Arc<str>,
@@ -206,9 +208,9 @@
         records.filter(|record| Some(&record.id) != primary).cloned().collect()
     }
 
-    /// Lets replicas receive again that a driver paused which died, unless it is still at work. Returns
-    /// whether there were any. Without this the primary that it promoted acknowledged nothing until
-    /// somebody saw a need to replace it as well.
+    /// Resumes replicas that a failed driver left paused, unless that driver is still active. Returns whether
+    /// there were any. Otherwise the primary that it promoted could acknowledge no commit until it was
+    /// replaced as well.
     async fn resume_orphaned_replicas(&self, service: &Arc<str>) -> bool {
         let replicas = self.listed_replicas(service, self.last_leader(service).as_ref());
         let (views, _) = replicas::ask_all::<C>(&self.gateway.vm, &replicas).await;
@@ -216,7 +218,8 @@
             return false;
         }
         let began_us = self.gateway.clock.now_us();
-        // The commit that showed it may have timed out before the dead driver's claim can be taken.
+        // The commit that revealed the paused replicas may time out before the failed driver's claim can be
+        // taken over.
         let is_needed = || self.gateway.clock.now_us() < began_us + DRIVE_LIMIT_US;
         let Some(claim) = self.claims.acquire(service, began_us, is_needed).await else {
             return true;
@@ -226,7 +229,7 @@
         true
     }
 
-    /// Lets all paused replicas receive again.
+    /// Resumes replication on all paused replicas.
     async fn resume_all(&self, service: &Arc<str>, returned: &[Arc<TargetRecord>]) {
         let mut paused = self.listed_replicas(service, None);
         paused.extend(replicas::unlisted(returned, &paused));
--- a/crates/proxy/src/sessions/process/takeover/promote.rs
+++ b/crates/proxy/src/sessions/process/takeover/promote.rs
@@ -1,4 +1,4 @@
-//! The call that names a new primary, and what is known of it when no answer comes.
+//! The promotion of a target, including promotions whose outcome is unknown because no answer arrived.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 use crate::sessions::store::Promoter;
 use crate::sessions::store::StateStore;
 
-/// How long a promoted target may take until it leads, in microseconds: 300 to 600 ms are usual.
+/// Maximum time for a promotion to take effect, in microseconds. It usually takes 300 to 600 ms.
 const PROMOTION_TIMEOUT_US: u64 = 2_000_000;
 
 impl<C, S, P> Takeovers<C, S, P>
@@ -25,7 +25,7 @@
     S: StateStore,
     P: Promoter,
 {
-    /// Writes the claim again, changed. Returns whether it is still held.
+    /// Updates the claim in the store. Returns whether it is still held.
     pub(super) async fn change_claim<F>(&self, drive: &mut Drive, change: F) -> bool
     where
         F: FnOnce(&mut Claim),
@@ -39,7 +39,7 @@
         true
     }
 
-    /// Has a target lead. Returns how the takeover ended; none if it goes on.
+    /// Promotes a target. Returns the outcome of the takeover, or `None` if it continues.
     pub(super) async fn promote(
         &self,
         drive: &mut Drive,
@@ -54,7 +54,7 @@
             time::sleep(RETRY_PAUSE).await;
             return None;
         }
-        // A call with this claim's token settles earlier ones where tokens are checked.
+        // Where the platform checks tokens, a call with this claim's token fences off earlier calls.
         let may_come_late = !checks_tokens && drive.claim.may_come_late(now_us);
         let choose = |claim: &mut Claim| {
             claim.chosen = target.id.to_string();
@@ -91,8 +91,8 @@
         }
     }
 
-    /// After a call that was refused, or that may still be carried out: a call with a higher token settles
-    /// it where tokens are checked. The replicas stay paused until then.
+    /// Handles a promotion that was refused or may still take effect. Where the platform checks tokens, a
+    /// call with a higher token fences it off. The replicas stay paused until then.
     async fn resolve_call(&self, drive: &mut Drive, checks_tokens: bool) -> Option<Outcome> {
         if checks_tokens && !self.change_claim(drive, |claim| claim.token += 1).await {
             return Some(Outcome::ClaimLost);
@@ -101,7 +101,7 @@
         None
     }
 
-    /// Waits until the promoted target leads.
+    /// Waits until the promoted target is the presumed primary.
     async fn await_effect(&self, service: &Arc<str>, target: &str) {
         let until_us = self.gateway.clock.now_us() + PROMOTION_TIMEOUT_US;
         while !self.leads(service, target) && self.gateway.clock.now_us() < until_us {
--- a/crates/proxy/src/sessions/process/takeover/steps.rs
+++ b/crates/proxy/src/sessions/process/takeover/steps.rs
@@ -1,5 +1,5 @@
-//! The steps of a takeover: what the members say is looked at, and the next thing is done, until
-//! another target leads or it is not needed any more.
+//! The step loop of a takeover: queries the members and executes the next step, until another target is
+//! primary or the takeover is no longer needed.
 
 use std::iter;
 use std::sync::Arc;
@@ -25,15 +25,16 @@
 use crate::sessions::store::Promoter;
 use crate::sessions::store::StateStore;
 
-/// What the members said at one look.
+/// The result of querying the members once.
 struct Members {
-    /// Those that were asked.
+    /// The members that were queried.
     replicas: Vec<Arc<TargetRecord>>,
-    /// What they said, and after that a silence for each that nobody can speak for.
+    /// What these members reported, followed by one unreachable replica for each departed member whose log is
+    /// lost.
     views: Vec<ReplicaView>,
-    /// The highest term that they know of.
+    /// The highest term that any member knows.
     term: u64,
-    /// What a new primary must have received.
+    /// The position that a new primary must have received.
     floor: LogPosition,
 }
 
@@ -43,7 +44,7 @@
     S: StateStore,
     P: Promoter,
 {
-    /// Carries the steps out. Returns how it ended.
+    /// Executes steps until the takeover ends. Returns its outcome.
     pub(super) async fn run_steps(&self, drive: &mut Drive) -> Outcome {
         let mut waiting_since_us = None;
         loop {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Whether it is over, and how; renews the claim otherwise.
+    /// Returns the outcome if the takeover has ended. Renews the claim otherwise.
     async fn check_end(&self, drive: &mut Drive, now_us: u64) -> Option<Outcome> {
         let must_continue = drive.must_continue(now_us);
         if now_us >= drive.began_us + DRIVE_LIMIT_US && !must_continue {
@@ -83,11 +84,11 @@
         None
     }
 
-    /// Asks all members but the old primary, departed ones that are needed included.
+    /// Queries all members other than the old primary, including departed ones that the promotion depends on.
     async fn ask_members(&self, drive: &mut Drive) -> Members {
         let service = &drive.service;
         let primary_id = drive.old.as_ref().map(|primary| Arc::clone(&primary.id));
-        // One that died is listed no more, but is still believed to have led last.
+        // A failed primary is no longer listed, but remains the last presumed one.
         let last_leader = primary_id.clone().or_else(|| self.last_leader(service));
         let departed = self.watcher.departed(service, last_leader.as_ref());
         let mut replicas = self.listed_replicas(service, primary_id.as_ref());
@@ -98,9 +99,9 @@
         }
         replicas.extend(replicas::unlisted(&drive.returned, &replicas));
         let (mut views, term) = replicas::ask_all::<C>(&self.gateway.vm, &replicas).await;
-        // They stand for members that never answer again: only a position of the primary from after they
-        // left shows that nothing was lost with them. Without this a replica was promoted that lacked a
-        // commit, on the word of a member that had started again with an empty log.
+        // These stand for departed members whose logs are lost. Only a position of the primary from after
+        // their departure shows that no commit was lost with them. Otherwise a replica that lacked a commit
+        // could be promoted, based on the answer of a member that had restarted with an empty log.
         views.extend(iter::repeat_n(ReplicaView::default(), departed.lost));
         Members { replicas, views, term, floor: departed.floor.max(drive.leaving_log_end) }
     }
@@ -112,7 +113,7 @@
         })
     }
 
-    /// Takes one step. Returns how the takeover ended; none if it goes on.
+    /// Executes one step. Returns the outcome of the takeover, or `None` if it continues.
     async fn take_step(
         &self,
         drive: &mut Drive,
@@ -142,7 +143,7 @@
 
     async fn step_old_primary_down(&self, drive: &mut Drive, term: u64) {
         drive.stepped_down = true;
-        // One may have come back just before, and have acknowledged with the old primary.
+        // A departed member may have returned just before and acknowledged commits with the old primary.
         drive.checks_departed = true;
         let Some(primary) = &drive.old else { return };
         let query = Query::StepDown { term };
--- a/crates/proxy/src/sessions/process/takeover_trigger.rs
+++ b/crates/proxy/src/sessions/process/takeover_trigger.rs
@@ -1,7 +1,6 @@
-//! Whether the primary of a service has to be replaced.
+//! Detects that the primary of a service has to be replaced.
 //!
-//! What this process's own traffic shows of a primary comes first; one question to the primary itself
-//! confirms a suspicion.
+//! A suspicion arises from this process's own requests. One status query to the primary confirms it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,45 +17,45 @@
 use crate::sessions::store::StateStore;
 use crate::sessions::version::view::Member;
 
-/// How long a primary has to fail requests before it is asked itself, in microseconds. The question
-/// decides; this only keeps single failures from causing one.
+/// How long requests to a primary have to fail before it is queried, in microseconds. The query decides; this
+/// only avoids queries for single failures.
 const SUSPECT_US: u64 = 100_000;
 
-/// The time that a primary has to say that it lives. Its slots are busy for some 10 ms at a time, and
-/// what waits is bounded by 16 statements; each 100 ms more are 100 ms of writes refused when it is
-/// gone.
+/// Timeout of the query to a suspected primary. Its slots are busy for some 10 ms at a time, and at most 16
+/// statements wait for them. Each further 100 ms mean that writes are refused for 100 ms longer when the
+/// primary is lost.
 const PRIMARY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long statements may wait without any being answered before the primary is asked itself, in
-/// microseconds. The slowest run takes 110 ms. Few connections may all hang on a primary that went
-/// silent, and nobody else would get one and fail: it took two seconds to notice.
+/// How long statements may wait without any answer before the primary is queried, in microseconds. The
+/// slowest statement takes 110 ms. If the few connections all wait for a silent primary, no other statement
+/// gets one and fails, and detection would take two seconds without this rule.
 const UNANSWERED_US: u64 = 250_000;
 
-/// How old the last failure may be for a suspicion to stand, in microseconds: without requests to
-/// the primary there is no evidence.
+/// Maximum age of the last failure for a suspicion to hold, in microseconds. Without requests to the primary
+/// there is no evidence.
 const EVIDENCE_US: u64 = 1_500_000;
 
-/// How long commits may wait without any being acknowledged, in microseconds. They take 10 to 60 ms;
-/// a primary whose replicas don't receive acknowledges none.
+/// How long commits may wait without any being acknowledged, in microseconds. They take 10 to 60 ms. A
+/// primary acknowledges none while its replicas don't receive.
 const COMMITS_STUCK_US: u64 = 400_000;
 
-/// How long a service may be listed without a primary before one is promoted, in microseconds.
+/// How long a service may be listed without a primary before a target is promoted, in microseconds.
 const UNLED_US: u64 = 400_000;
 
 /// Why a primary has to be replaced.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TakeoverTrigger {
-    /// It announced that it will stop.
+    /// The primary announced its shutdown.
     Leaving,
-    /// It does not answer.
+    /// The primary does not answer.
     Silent,
-    /// It acknowledges no commits.
+    /// The primary acknowledges no commits.
     CommitsStuck,
     /// No target is listed as primary.
     Unled,
 }
 
-/// The needs of all services.
+/// Detection of takeover triggers for all services.
 #[derive(Debug)]
 pub struct TakeoverTriggers<C, S>
 where
@@ -64,7 +63,7 @@
 {
     gateway: Arc<Gateway<C>>,
     watcher: Arc<Watcher<C, S>>,
-    /// Since when services are listed without a primary.
+    /// Since when services have been listed without a primary, in microseconds.
     unled_since_us: Mutex<FastMap<Arc<str>, u64>>,
 }
 
@@ -73,13 +72,14 @@
     C: Codec,
     S: StateStore,
 {
-    /// Nothing was looked at yet.
+    /// Creates the detection without any observations.
     pub fn new(gateway: &Arc<Gateway<C>>, watcher: &Arc<Watcher<C, S>>) -> TakeoverTriggers<C, S> {
         let (gateway, watcher) = (Arc::clone(gateway), Arc::clone(watcher));
         TakeoverTriggers { gateway, watcher, unled_since_us: Mutex::default() }
     }
 
-    /// Whether the primary of a service has to be replaced.
+    /// Returns why the primary of a service has to be replaced; `None` if it does not, or if this process
+    /// does not monitor the service.
     pub fn detect(&self, service: &Arc<str>) -> Option<TakeoverTrigger> {
         if !self.gateway.monitors_primary(service) {
             return None;
@@ -114,7 +114,7 @@
         (now_us >= failed_since_us + SUSPECT_US).then_some(TakeoverTrigger::Silent)
     }
 
-    /// The target that leads as far as is known, if it is listed.
+    /// Returns the presumed primary if it is listed, and else the one that is listed as primary.
     pub fn current_primary(&self, service: &Arc<str>) -> Option<Member> {
         let view = self.gateway.view();
         let state = self.gateway.service(service);
@@ -124,7 +124,7 @@
         believed.or(view.listed_primary(service)).cloned()
     }
 
-    /// Asks the primary whether it lives and leads.
+    /// Queries whether the primary is alive. Also records if it answers that it is not the primary.
     pub async fn primary_answers(&self, service: &Arc<str>) -> bool {
         let Some(primary) = self.current_primary(service) else { return false };
         let (record, vm) = (&primary.record, &self.gateway.vm);
--- a/crates/proxy/src/sessions/process/target_calls.rs
+++ b/crates/proxy/src/sessions/process/target_calls.rs
@@ -1,4 +1,4 @@
-//! Single questions and orders to a target, each over a connection of its own.
+//! Single queries and commands to a target, each on its own connection.
 //!
 //! A takeover must not wait for pooled connections, which may all hang on the primary that failed.
 
@@ -17,25 +17,25 @@
 use crate::sessions::connection::link::TargetLogin;
 use crate::sessions::connection::reply::End;
 
-/// The time for one question, the connection included. A new connection takes up to 30 ms and waits
-/// for slots that run statements of up to 110 ms; a target that needs longer is as good as gone.
+/// Timeout of one call, including the time to connect. A new connection takes up to 30 ms and waits for slots
+/// that execute statements of up to 110 ms; a target that needs longer counts as lost.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How often a target that is busy is asked again within the limit, and after which pause.
+/// Delay before a busy target is asked again, within the timeout.
 const BUSY_PAUSE: Duration = Duration::from_millis(15);
 
-/// What a target said.
+/// The result of a call to a target.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CallReply {
-    /// Its state.
+    /// The target reported its status.
     Status(TargetStatus),
-    /// It lives and refused the question.
+    /// The target is alive but refused the call, or its answer was not a status.
     Refused,
-    /// Nothing.
+    /// No answer arrived in time.
     Nothing,
 }
 
-/// Asks one target.
+/// Sends one call to a target, with [`CALL_TIMEOUT`].
 pub async fn ask<C>(record: &TargetRecord, vm: &Arc<str>, query: &Query<'_>) -> CallReply
 where
     C: Codec,
@@ -43,7 +43,7 @@
     ask_with_timeout::<C>(record, vm, query, CALL_TIMEOUT).await
 }
 
-/// Asks one target that has this long to answer.
+/// Sends one call to a target, which has to answer within `limit`.
 pub async fn ask_with_timeout<C>(
     record: &TargetRecord,
     vm: &Arc<str>,
--- a/crates/proxy/src/sessions/process/target_path.rs
+++ b/crates/proxy/src/sessions/process/target_path.rs
@@ -1,4 +1,5 @@
-//! How this process comes to a target: by connections of its own, or through another VM.
+//! The path of this process to a target: direct connections, or connections to another VM that relays
+//! statements.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,15 +19,15 @@
 use crate::sessions::process::limits;
 use crate::sessions::store::VmAddress;
 
-/// How this process comes to a target.
+/// A path to a target.
 #[derive(Debug)]
 pub struct TargetPath<C>
 where
     C: Codec,
 {
-    /// The VM that the statements go through; none if this process has connections of its own.
+    /// The VM that relays the statements; `None` for direct connections.
     pub via: Option<Arc<str>>,
-    /// The connections to the target, or to that VM.
+    /// The connections to the target or to the relaying VM.
     pub pool: Arc<Pool<StatementLink<C>>>,
 }
 
@@ -41,16 +42,16 @@
     }
 }
 
-/// What the paths to a target follow from while none of them fails.
+/// The inputs that determine the paths to a target while none of them fails.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct PathInputs {
-    /// What its connections are divided by.
+    /// What determines how the target's connections are divided.
     pub demand: Demand,
-    /// Whether it is believed to be the primary.
+    /// Whether the target is the presumed primary.
     pub is_primary: bool,
 }
 
-/// What the connections to a target need to know.
+/// What is needed to open connections to a target.
 #[derive(Clone, Debug)]
 pub(super) struct PoolParts {
     pub(super) login: TargetLogin,
@@ -59,8 +60,8 @@
 }
 
 impl PoolParts {
-    /// Connections to the target itself, or to another VM that leads to it. That VM has to mean the same
-    /// start of the target; the target itself knows its name only.
+    /// Creates a path to the target itself, or to a VM that relays to it. The relaying VM has to connect to
+    /// the same incarnation, so it gets the target's id; the target itself only knows its name.
     pub(super) fn path<C>(
         &self,
         vm: Option<&VmAddress>,
@@ -103,7 +104,7 @@
     }
 }
 
-/// How connections to a target, or to another proxy, are kept and opened.
+/// Returns the policy for connections to a target or to another proxy.
 pub(super) fn policy(to_proxy: bool, has_organisations: bool) -> BudgetPolicy {
     match (to_proxy, has_organisations) {
         (true, true) => limits::ORGANISATIONS_PEER_POLICY,
--- a/crates/proxy/src/sessions/process/target_table.rs
+++ b/crates/proxy/src/sessions/process/target_table.rs
@@ -1,4 +1,4 @@
-//! The listed targets with what is held of each, as they stand at one version.
+//! An immutable table of the listed targets with their state.
 
 use std::sync::Arc;
 
@@ -7,14 +7,14 @@
 use crate::sessions::codec::Codec;
 use crate::sessions::process::targets::TargetState;
 
-/// All listed targets. A change of the list makes another table.
+/// All listed targets. A change of the list creates a new table.
 #[derive(Debug)]
 pub struct TargetTable<C>
 where
     C: Codec,
 {
     by_id: FastMap<Arc<str>, Arc<TargetState<C>>>,
-    /// Those of each service, in the order of their ids.
+    /// The targets of each service, sorted by id.
     by_service: FastMap<Arc<str>, Vec<Arc<TargetState<C>>>>,
 }
 
@@ -31,7 +31,7 @@
 where
     C: Codec,
 {
-    /// A table of these targets by id.
+    /// Creates a table of these targets by id.
     pub fn new(by_id: FastMap<Arc<str>, Arc<TargetState<C>>>) -> TargetTable<C> {
         let mut by_service: FastMap<Arc<str>, Vec<Arc<TargetState<C>>>> = FastMap::default();
         for target in by_id.values() {
@@ -46,7 +46,7 @@
         TargetTable { by_id, by_service }
     }
 
-    /// A target by id.
+    /// Returns a target by id.
     pub fn get(&self, id: &str) -> Option<&Arc<TargetState<C>>> {
         self.by_id.get(id)
     }
@@ -56,12 +56,12 @@
         self.by_id.values()
     }
 
-    /// The targets of a service.
+    /// The targets of a service, sorted by id.
     pub fn members(&self, service: &str) -> &[Arc<TargetState<C>>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// The services that this process has connections of its own to a member of.
+    /// The services with a member that this process connects to directly, sorted by name.
     pub fn connected_services(&self) -> Vec<Arc<str>> {
         let connected = self.by_id.values().filter(|target| target.is_direct());
         let mut services: Vec<Arc<str>> =
@@ -71,7 +71,7 @@
         services
     }
 
-    /// These targets by id.
+    /// The targets by id.
     pub fn by_id(&self) -> &FastMap<Arc<str>, Arc<TargetState<C>>> {
         &self.by_id
     }
