--- a/crates/proxy/src/sessions/process/claims.rs
+++ b/crates/proxy/src/sessions/process/claims.rs
@@ -83,7 +83,7 @@
                     });
                 }
                 Err(error) => {
-                    slog::info!(self.gateway.log, "the claim can't be read";
+                    slog::info!(self.gateway.log, "could not read the claim";
                         "service" => &**service, "reason" => error.to_string());
                     time::sleep(self.retry_pause(failures)).await;
                     failures += 1;
@@ -97,13 +97,15 @@
             let vm = &*self.gateway.vm;
             match takeover_claim::next_claim(seen.as_ref(), vm, wanted_us, now_us) {
                 ClaimStep::Write { token } => {
-                    let before = seen.as_ref();
-                    let claim = Claim::next(before.map(|seen| &seen.claim), vm, token);
-                    let over = before.map(|seen| seen.revision);
+                    let previous = seen.as_ref();
+                    let claim = Claim::next(previous.map(|seen| &seen.claim), vm, token);
+                    let expected_revision = previous.map(|seen| seen.revision);
                     // Calls of the previous holder had reached the platform before its claim was silent for
                     // long enough to be taken over.
                     let unsettled_since_us = now_us;
-                    if let Some(held) = self.write(service, claim, over, unsettled_since_us).await {
+                    if let Some(held) =
+                        self.write(service, claim, expected_revision, unsettled_since_us).await
+                    {
                         return Some(held);
                     }
                 }
@@ -147,20 +149,20 @@
         &self,
         service: &Arc<str>,
         claim: Claim,
-        over: Option<u64>,
+        expected_revision: Option<u64>,
         unsettled_since_us: u64,
     ) -> Option<HeldClaim> {
         // The lease is counted from before the write, and a successor counts it from after the write.
         let written_us = self.gateway.clock.now_us();
-        match self.store.write_claim(service, &claim, over).await {
+        match self.store.write_claim(service, &claim, expected_revision).await {
             Ok(revision) => {
-                slog::info!(self.gateway.log, "holds a claim";
+                slog::info!(self.gateway.log, "wrote the claim";
                     "service" => &**service, "token" => claim.token, "chosen" => &*claim.chosen,
                     "unsettled" => claim.unsettled);
                 Some(HeldClaim { claim, revision, written_us, unsettled_since_us })
             }
             Err(error) => {
-                slog::info!(self.gateway.log, "the claim was not written";
+                slog::info!(self.gateway.log, "could not write the claim";
                     "service" => &**service, "token" => claim.token, "reason" => error.to_string());
                 time::sleep(CONFLICT_PAUSE).await;
                 None
--- a/crates/proxy/src/sessions/process/cluster_state.rs
+++ b/crates/proxy/src/sessions/process/cluster_state.rs
@@ -183,7 +183,7 @@
     fn handle_unlisted(&self, known: &mut ClusterState, member: Member) {
         let may_return = !member.record.leaving && !self.is_settled(known);
         if may_return {
-            slog::info!(self.gateway.log, "target lapsed, perhaps for a moment";
+            slog::info!(self.gateway.log, "target entry expired; kept until the list is settled";
                 "target" => &*member.record.id);
             known.expired.insert(Arc::clone(&member.record.id));
             known.targets.insert(Arc::clone(&member.record.id), member);
@@ -247,7 +247,7 @@
         if !is_current && !known.targets.is_empty() {
             self.update_feed(&known);
         }
-        let (news, is_settled) = (self.news(&known), self.is_settled(&known));
+        let (news, is_settled) = (self.store_news(&known), self.is_settled(&known));
         let zone_is_cut = self.gateway.zone_is_cut();
         self.gateway.outbox.feed_state.send_if_modified(|feed_state| {
             let changes = feed_state.news != news
--- a/crates/proxy/src/sessions/process/feed/frame.rs
+++ b/crates/proxy/src/sessions/process/feed/frame.rs
@@ -46,8 +46,8 @@
 impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FrameError::TooLarge => f.write_str("larger than any message"),
-            FrameError::Malformed(why) => write!(f, "no message: {why}"),
+            FrameError::TooLarge => f.write_str("message too large"),
+            FrameError::Malformed(why) => write!(f, "malformed message: {why}"),
         }
     }
 }
--- a/crates/proxy/src/sessions/process/feed/publisher.rs
+++ b/crates/proxy/src/sessions/process/feed/publisher.rs
@@ -56,10 +56,11 @@
     let mut subscriber =
         Subscriber { gateway: &gateway, stream, version: known_version, targets, vms };
     let Err(error) = subscriber.run().await else { return };
-    let suppressed = gateway.log_budget.take("no longer tells", gateway.clock.now_us());
+    let suppressed =
+        gateway.log_budget.take("stopped publishing to a subscriber", gateway.clock.now_us());
     if let Some(suppressed) = suppressed {
         let to = subscriber.stream.peer_addr().map_or_else(|_| String::new(), |to| to.to_string());
-        slog::info!(gateway.log, "no longer tells";
+        slog::info!(gateway.log, "stopped publishing to a subscriber";
             "to" => to, "known_version" => subscriber.version, "reason" => error.to_string(),
             "left_out" => suppressed);
     }
@@ -134,7 +135,7 @@
         if let Some((version, frame)) = since {
             let began_us = gateway.clock.now_us();
             self.send(&frame).await?;
-            slog::debug!(gateway.log, "told a configuration";
+            slog::debug!(gateway.log, "sent a configuration";
                 "version" => version, "known_version" => self.version, "bytes" => frame.len(),
                 "took_us" => gateway.clock.now_us() - began_us);
             self.version = version;
--- a/crates/proxy/src/sessions/process/feed/subscriber.rs
+++ b/crates/proxy/src/sessions/process/feed/subscriber.rs
@@ -92,10 +92,12 @@
 impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CloseReason::StoreUnavailable => f.write_str("it can't tell"),
-            CloseReason::Outdated => f.write_str("it is behind"),
-            CloseReason::UnknownBase => f.write_str("its changes are to an unknown version"),
-            CloseReason::NotNeeded => f.write_str("it is not wanted any more"),
+            CloseReason::StoreUnavailable => {
+                f.write_str("the publisher has no answer from the store")
+            }
+            CloseReason::Outdated => f.write_str("the publisher is outdated"),
+            CloseReason::UnknownBase => f.write_str("the changes are based on an unknown version"),
+            CloseReason::NotNeeded => f.write_str("the subscription is no longer needed"),
             CloseReason::Failed(error) => error.fmt(f),
         }
     }
@@ -192,8 +194,8 @@
         true => (gateway.clock.now_us() / MAX_BACKOFF.as_micros() as u64) as usize,
         false => 0,
     };
-    let len_or_one = vms.len().max(1);
-    vms.rotate_left(first.wrapping_add(offset) % len_or_one);
+    let divisor = vms.len().max(1);
+    vms.rotate_left(first.wrapping_add(offset) % divisor);
     vms.truncate(count);
     vms
 }
@@ -379,8 +381,8 @@
     }
 
     fn report_news(&mut self, news: StoreNews) {
-        let feed = FeedStatus { news, is_settled: self.is_settled };
-        self.watcher.set_feed_status(Some(feed));
+        let feed_status = FeedStatus { news, is_settled: self.is_settled };
+        self.watcher.set_feed_status(Some(feed_status));
         let standing = store_calls::standing(false, Some(news));
         if self.best_standing != Some(Standing::Told) {
             self.best_standing = Some(standing);
--- a/crates/proxy/src/sessions/process/fleet.rs
+++ b/crates/proxy/src/sessions/process/fleet.rs
@@ -46,8 +46,8 @@
             self.counters.event(Event::PathsChecked);
             let demand = demand(&view, &target.record.service, &peer_routes);
             let inputs = PathInputs { demand, is_primary: self.is_primary(target) };
-            let is_settled = target.is_settled(inputs) && !checks_all;
-            if !is_settled && !target.refuses_work(now_us) {
+            let is_unchanged = target.paths_unchanged(inputs) && !checks_all;
+            if !is_unchanged && !target.refuses_work(now_us) {
                 self.counters.event(Event::PathsSet);
                 peer_routes.update_path(target, inputs, now_us);
             }
--- a/crates/proxy/src/sessions/process/lead.rs
+++ b/crates/proxy/src/sessions/process/lead.rs
@@ -70,7 +70,7 @@
     }
 
     fn announce_leader(&self, target: &TargetState<C>) {
-        slog::info!(self.log, "another target leads";
+        slog::info!(self.log, "the primary changed";
             "service" => &*target.record.service, "target" => &*target.record.id);
         self.changed.send_modify(|number| *number += 1);
     }
@@ -111,7 +111,7 @@
         let state = self.service(&record.service);
         state.leader.lock().superseded(&record.id, self.clock.now_us());
         let Some(step_down_flight) = target.step_down_flight.begin() else { return };
-        slog::warn!(self.log, "a target goes on that no longer leads";
+        slog::warn!(self.log, "a replaced primary is still active";
             "service" => &*record.service, "target" => &*record.id, "later_term" => term);
         let (log, vm, record) = (self.log.clone(), Arc::clone(&self.vm), Arc::clone(record));
         tokio::spawn(async move {
--- a/crates/proxy/src/sessions/process/leader.rs
+++ b/crates/proxy/src/sessions/process/leader.rs
@@ -94,8 +94,8 @@
         let refused_us = |target: &&Arc<str>| self.refused_us.get(*target).copied().unwrap_or(0);
         let staying = listed.iter().copied().filter(|target| !is_leaving(target));
         let oldest = staying.min_by_key(refused_us)?;
-        let asked_us = refused_us(&oldest);
-        let may_ask = asked_us == 0 || now_us >= asked_us + REFUSAL_RETRY_US;
+        let oldest_refusal_us = refused_us(&oldest);
+        let may_ask = oldest_refusal_us == 0 || now_us >= oldest_refusal_us + REFUSAL_RETRY_US;
         may_ask.then(|| Arc::clone(oldest))
     }
 
--- a/crates/proxy/src/sessions/process/metrics_text.rs
+++ b/crates/proxy/src/sessions/process/metrics_text.rs
@@ -19,7 +19,7 @@
         /// VMs that subscribe to this VM's feed.
         FeedSubscribers = "skylark_feed_subscribers",
         /// Whether this VM gets the store's state from another VM.
-        FeedTold = "skylark_feed_told",
+        FeedFollowed = "skylark_feed_told",
         /// Age of the newest known position of a service's primary, in milliseconds.
         PrimaryPositionAge = "skylark_primary_position_age_ms",
         /// Statements that took at most the bound in milliseconds, by stage and class.
@@ -67,7 +67,7 @@
     line(out, Metric::Sessions.name(), "", sessions);
     line(out, Metric::Ready.name(), "", u64::from(gateway.is_ready()));
     line(out, Metric::FeedSubscribers.name(), "", subscribers);
-    line(out, Metric::FeedTold.name(), "", u64::from(gateway.has_feed()));
+    line(out, Metric::FeedFollowed.name(), "", u64::from(gateway.has_feed()));
     let now_us = gateway.clock.now_us();
     for service in view.services.keys() {
         let state = gateway.service(service);
--- a/crates/proxy/src/sessions/process/services.rs
+++ b/crates/proxy/src/sessions/process/services.rs
@@ -53,10 +53,10 @@
         self.unanswered_round_us.store(ended_us, Ordering::Relaxed);
     }
 
-    /// Whether a round of status queries without any answer had ended shortly before `came_us`.
-    pub fn has_recent_unanswered_round(&self, came_us: u64) -> bool {
+    /// Whether a round of status queries without any answer had ended shortly before `arrived_us`.
+    pub fn has_recent_unanswered_round(&self, arrived_us: u64) -> bool {
         let ended_us = self.unanswered_round_us.load(Ordering::Relaxed);
-        (1..=came_us).contains(&ended_us) && came_us < ended_us + limits::UNPROVED_BACKOFF_US
+        (1..=arrived_us).contains(&ended_us) && arrived_us < ended_us + limits::UNPROVED_BACKOFF_US
     }
 
     /// Updates what is known of departed members.
--- a/crates/proxy/src/sessions/process/step_down.rs
+++ b/crates/proxy/src/sessions/process/step_down.rs
@@ -29,13 +29,13 @@
     for _ in 0..MAX_TRIES {
         match target_calls::ask::<C>(record, vm, &Query::StepDown { term }).await {
             CallReply::Status(status) => {
-                slog::warn!(log, "told a target that it no longer leads";
+                slog::warn!(log, "told a replaced primary to step down";
                     "target" => &*record.id, "term" => term, "leads" => status.is_primary);
                 return;
             }
             CallReply::Refused | CallReply::Nothing => time::sleep(RETRY_PAUSE).await,
         }
     }
-    slog::info!(log, "a target that no longer leads does not answer";
+    slog::info!(log, "a replaced primary does not answer";
         "target" => &*record.id, "term" => term);
 }
--- a/crates/proxy/src/sessions/process/store_access.rs
+++ b/crates/proxy/src/sessions/process/store_access.rs
@@ -192,8 +192,8 @@
             let failures = self.failures.fetch_add(1, Ordering::Relaxed) + 1;
             let pause_us =
                 store_calls::retry_pause_us(state.standing(), state.vm_count, failures, self.seed);
-            let feed_news = states.wait_for(State::has_feed);
-            if time::timeout(Duration::from_micros(pause_us), feed_news).await.is_ok() {
+            let feed = states.wait_for(State::has_feed);
+            if time::timeout(Duration::from_micros(pause_us), feed).await.is_ok() {
                 return false;
             }
             let is_away = store.probe(&self.vm).await.is_err();
@@ -213,8 +213,8 @@
     /// Waits while the store is known to be unavailable, for at most `limit`.
     pub async fn wait_while_away(&self, limit: Duration) {
         let mut states = self.state.subscribe();
-        let is_here = states.wait_for(State::may_answer);
+        let answering = states.wait_for(State::may_answer);
         // After the limit the caller tries the store regardless.
-        let _ = time::timeout(limit, is_here).await;
+        let _ = time::timeout(limit, answering).await;
     }
 }
--- a/crates/proxy/src/sessions/process/takeover/drive.rs
+++ b/crates/proxy/src/sessions/process/takeover/drive.rs
@@ -32,7 +32,7 @@
     pub(super) trigger: TakeoverTrigger,
     pub(super) began_us: u64,
     /// The primary that is to be replaced; `None` if the service has none.
-    pub(super) old: Option<Arc<TargetRecord>>,
+    pub(super) old_primary: Option<Arc<TargetRecord>>,
     /// The end of the log of a leaving primary that answered; the lowest position otherwise.
     pub(super) leaving_log_end: LogPosition,
     pub(super) claim: HeldClaim,
--- a/crates/proxy/src/sessions/process/takeover/mod.rs
+++ b/crates/proxy/src/sessions/process/takeover/mod.rs
@@ -56,7 +56,7 @@
     claims: Claims<C, S>,
     promoter: P,
     /// The services with a takeover in progress.
-    driven: Mutex<FastSet<Arc<str>>>,
+    in_progress: Mutex<FastSet<Arc<str>>>,
     triggers: TakeoverTriggers<C, S>,
 }
 
@@ -78,7 +78,7 @@
             watcher: Arc::clone(watcher),
             claims: Claims::new(gateway, store),
             promoter,
-            driven: Mutex::default(),
+            in_progress: Mutex::default(),
             triggers: TakeoverTriggers::new(gateway, watcher),
         }
     }
@@ -88,13 +88,13 @@
         self.watcher.settle_departures();
         for service in self.gateway.targets().connected_services() {
             let Some(trigger) = self.triggers.detect(&service) else { continue };
-            if !self.driven.lock().insert(Arc::clone(&service)) {
+            if !self.in_progress.lock().insert(Arc::clone(&service)) {
                 continue;
             }
             let takeovers = Arc::clone(self);
             tokio::spawn(async move {
                 takeovers.drive(&service, trigger).await;
-                takeovers.driven.lock().remove(&service);
+                takeovers.in_progress.lock().remove(&service);
             });
         }
     }
@@ -115,7 +115,8 @@
             }
         };
         if leaving_log_end.is_none() && !self.watcher.may_promote(service) {
-            slog::info!(self.gateway.log, "too new to judge who may lead"; "service" => &**service);
+            slog::info!(self.gateway.log, "history of the members is unknown; not promoting yet";
+                "service" => &**service);
             time::sleep(RETRY_PAUSE).await;
             return;
         }
@@ -125,13 +126,13 @@
         }
         let is_needed = || self.triggers.detect(service).is_some();
         let Some(claim) = self.claims.acquire(service, began_us, is_needed).await else { return };
-        let old = self.triggers.current_primary(service).map(|member| member.record);
+        let old_primary = self.triggers.current_primary(service).map(|member| member.record);
         let (service, token) = (Arc::clone(service), claim.claim.token);
         let mut drive = Drive {
             service,
             trigger,
             began_us,
-            old,
+            old_primary,
             leaving_log_end: leaving_log_end.unwrap_or_default(),
             claim,
             stepped_down: false,
@@ -139,9 +140,9 @@
             returned: Vec::new(),
         };
         let outcome = self.run_steps(&mut drive).await;
-        let Drive { service, claim, old, returned, .. } = drive;
+        let Drive { service, claim, old_primary, returned, .. } = drive;
         if outcome == Outcome::Promoted {
-            self.notify_old_primary(&service, old).await;
+            self.notify_old_primary(&service, old_primary).await;
         }
         // A replica that receives again could acknowledge commits with the old primary, which a promotion
         // that takes effect late would lose.
@@ -160,9 +161,13 @@
 
     /// Tells a primary that was replaced to step down. If it is unreachable, processes that find it replaced
     /// tell it later.
-    async fn notify_old_primary(&self, service: &Arc<str>, old: Option<Arc<TargetRecord>>) {
+    async fn notify_old_primary(&self, service: &Arc<str>, old_primary: Option<Arc<TargetRecord>>) {
         let leader = self.last_leader(service);
-        let Some(old) = old.filter(|old| Some(&old.id) != leader.as_ref()) else { return };
+        let Some(old_primary) =
+            old_primary.filter(|old_primary| Some(&old_primary.id) != leader.as_ref())
+        else {
+            return;
+        };
         let Some(leader) = leader.and_then(|leader| self.gateway.target(&leader)) else { return };
         let vm = &self.gateway.vm;
         let CallReply::Status(status) =
@@ -172,7 +177,9 @@
         };
         if status.is_primary {
             let (log, vm, term) = (self.gateway.log.clone(), Arc::clone(vm), status.term);
-            tokio::spawn(async move { step_down::notify::<C>(&log, &old, &vm, term).await });
+            tokio::spawn(
+                async move { step_down::notify::<C>(&log, &old_primary, &vm, term).await },
+            );
         }
     }
 
--- a/crates/proxy/src/sessions/process/takeover/promote.rs
+++ b/crates/proxy/src/sessions/process/takeover/promote.rs
@@ -48,7 +48,7 @@
         let checks_tokens = self.promoter.checks_tokens();
         let now_us = self.gateway.clock.now_us();
         if !drive.claim.may_promote(&target.id, checks_tokens, now_us) {
-            slog::info!(self.gateway.log, "a promotion of another target may still come late";
+            slog::info!(self.gateway.log, "the promotion of another target may still take effect";
                 "service" => &*drive.service, "target" => &*target.id,
                 "chosen" => &*drive.claim.claim.chosen);
             time::sleep(RETRY_PAUSE).await;
--- a/crates/proxy/src/sessions/process/takeover/steps.rs
+++ b/crates/proxy/src/sessions/process/takeover/steps.rs
@@ -87,7 +87,7 @@
     /// Queries all members other than the old primary, including departed ones that the promotion depends on.
     async fn ask_members(&self, drive: &mut Drive) -> Members {
         let service = &drive.service;
-        let primary_id = drive.old.as_ref().map(|primary| Arc::clone(&primary.id));
+        let primary_id = drive.old_primary.as_ref().map(|primary| Arc::clone(&primary.id));
         // A failed primary is no longer listed, but remains the last presumed one.
         let last_leader = primary_id.clone().or_else(|| self.last_leader(service));
         let departed = self.watcher.departed(service, last_leader.as_ref());
@@ -107,7 +107,7 @@
     }
 
     fn old_primary_answers(&self, drive: &Drive) -> bool {
-        drive.old.as_ref().is_some_and(|primary| {
+        drive.old_primary.as_ref().is_some_and(|primary| {
             let target = self.gateway.target(&primary.id);
             target.is_some_and(|target| target.health().failed_since_us.is_none())
         })
@@ -145,10 +145,10 @@
         drive.stepped_down = true;
         // A departed member may have returned just before and acknowledged commits with the old primary.
         drive.checks_departed = true;
-        let Some(primary) = &drive.old else { return };
+        let Some(primary) = &drive.old_primary else { return };
         let query = Query::StepDown { term };
         let reply = target_calls::ask::<C>(primary, &self.gateway.vm, &query).await;
-        slog::info!(self.gateway.log, "stepped down before its successor leads";
+        slog::info!(self.gateway.log, "told the old primary to step down before the promotion";
             "target" => &*primary.id, "said" => ?reply);
     }
 }
--- a/crates/proxy/src/sessions/process/targets.rs
+++ b/crates/proxy/src/sessions/process/targets.rs
@@ -251,7 +251,7 @@
 
     /// Records the inputs for the paths. Returns whether the paths can stay as they are, since the inputs are
     /// unchanged and no path fails.
-    pub fn is_settled(&self, inputs: PathInputs) -> bool {
+    pub fn paths_unchanged(&self, inputs: PathInputs) -> bool {
         let before = self.applied_inputs.lock().replace(inputs);
         if before != Some(inputs) || self.health.lock().path_failed_since_us.is_some() {
             return false;
--- a/crates/proxy/src/sessions/process/vms.rs
+++ b/crates/proxy/src/sessions/process/vms.rs
@@ -100,14 +100,14 @@
                     self.failures = 0;
                     return found;
                 }
-                Err(error) => self.handle_error(error, "no list of VMs").await,
+                Err(error) => self.handle_error(error, "could not read the list of VMs").await,
             }
         }
     }
 
     async fn register(&mut self) {
         while let Err(error) = self.store.register_vm(&self.own).await {
-            self.handle_error(error, "the VM's address was not written").await;
+            self.handle_error(error, "could not register this VM").await;
         }
         self.failures = 0;
     }
--- a/crates/proxy/src/sessions/process/watch.rs
+++ b/crates/proxy/src/sessions/process/watch.rs
@@ -193,7 +193,7 @@
 
     /// What this process publishes about the store. A subscriber has no answers of its own to report; one
     /// that watches the store itself also reports what another VM supplies meanwhile.
-    pub(super) fn news(&self, known: &ClusterState) -> StoreNews {
+    pub(super) fn store_news(&self, known: &ClusterState) -> StoreNews {
         let has_direct_access = self.gateway.store_access.standing() == Standing::Asks;
         let helper = known.feed.filter(|_| has_direct_access).map(|feed| feed.news);
         store_calls::news(known.health.answers(), helper)
@@ -333,7 +333,8 @@
         watched: Watched,
     ) -> Option<u64> {
         if error == StoreError::HistoryGone {
-            slog::info!(self.gateway.log, "the history is gone, listing anew"; "watch" => watched.name());
+            slog::info!(self.gateway.log, "the store compacted its history; reading everything again";
+                "watch" => watched.name());
             return None;
         }
         self.record_failure(watched, &error);
--- a/crates/proxy/src/sessions/process/zone_reach.rs
+++ b/crates/proxy/src/sessions/process/zone_reach.rs
@@ -135,7 +135,7 @@
             probe_targets(gateway, self.next_index);
         }
         if gateway.set_zone_is_cut(is_cut_off) {
-            slog::warn!(gateway.log, "no other availability zone is reached by this one's watcher";
+            slog::warn!(gateway.log, "reachability of the other availability zones changed";
                 "is_cut_off" => is_cut_off, "zones" => zones.len());
         }
     }
