--- a/crates/proxy/src/sessions/process/cluster_state.rs
+++ b/crates/proxy/src/sessions/process/cluster_state.rs
@@ -25,8 +25,8 @@
 impl ClusterState {
     /// Returns the id of the listed target with this name.
     fn id_by_name(&self, name: &str) -> Option<Arc<str>> {
-        let id_by_name = self.targets.values().find(|member| &*member.record.name == name);
-        id_by_name.map(|member| Arc::clone(&member.record.id))
+        let found = self.targets.values().find(|member| &*member.record.name == name);
+        found.map(|member| Arc::clone(&member.record.id))
     }
 
     /// Adds a listed target.
--- a/crates/proxy/src/sessions/process/daemon.rs
+++ b/crates/proxy/src/sessions/process/daemon.rs
@@ -123,7 +123,7 @@
         tokio::select! {
             _ = signals.terminate.recv() => break,
             // All settings are read at startup only.
-            _ = signals.hangup.recv() => slog::info!(log, "ignored a reload signal; settings are read at start"),
+            _ = signals.hangup.recv() => slog::info!(log, "reload ignored; settings are read at startup"),
         }
     }
     running.stop(Duration::from_millis(settings.grace_ms)).await;
--- a/crates/proxy/src/sessions/process/feed/publisher.rs
+++ b/crates/proxy/src/sessions/process/feed/publisher.rs
@@ -29,7 +29,7 @@
 const SEND_BUFFER_BYTES: usize = 32 << 10;
 
 /// Maximum size of a message that is sent without a permit, in bytes. It fits into the send buffer.
-const MAX_UNLIMITED_BYTES: usize = 16 << 10;
+const MAX_SMALL_MESSAGE_BYTES: usize = 16 << 10;
 
 /// A subscriber to the feed.
 struct Subscriber<'a, C>
@@ -119,7 +119,7 @@
 
     /// Sends a small message immediately, and a large one when a permit is available.
     async fn send_frame(&self, frame: &Frame) -> io::Result<()> {
-        let _permit = match frame.len() > MAX_UNLIMITED_BYTES {
+        let _permit = match frame.len() > MAX_SMALL_MESSAGE_BYTES {
             true => Some(self.acquire_send_permit().await?),
             false => None,
         };
--- a/crates/proxy/src/sessions/process/peer_routes.rs
+++ b/crates/proxy/src/sessions/process/peer_routes.rs
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Divides organisations among the reachable homes. A home does so as well with its own callers'
-    /// statements. A fallback takes part for none.
+    /// Divides organisations among the reachable homes. Homes divide their own callers' statements as well. A
+    /// fallback connects directly because it reaches no home, so it sends all statements itself.
     fn divide_users<C>(&self, target: &TargetState<C>, homes: &Homes, demand: Demand, now_us: u64)
     where
         C: Codec,
@@ -342,8 +342,8 @@
         let is_stable = |home: &&VmAddress| {
             not_failed_within(limits::HOME_EJECTION_US, &failed_us, home, now_us)
         };
-        let top_ranked = rotated().filter(may_be_reached).find(is_stable);
-        top_ranked.or_else(|| rotated().chain(fallbacks).find(may_be_reached))
+        let preferred = rotated().filter(may_be_reached).find(is_stable);
+        preferred.or_else(|| rotated().chain(fallbacks).find(may_be_reached))
     }
 }
 
--- a/crates/proxy/src/sessions/process/store_access.rs
+++ b/crates/proxy/src/sessions/process/store_access.rs
@@ -131,8 +131,9 @@
         });
     }
 
-    /// Waits until this process has to call the store itself and the store answers it. Returns whether it had
-    /// a feed meanwhile, in which case earlier revisions are outdated.
+    /// Waits until this process has to call the store itself. A process that does not watch the store anyway
+    /// also waits for a delay and for an answered probe. Returns whether it had a feed meanwhile, in which
+    /// case the revisions that it knew before are outdated.
     pub async fn wait_for_direct_access<S>(&self, store: &S) -> bool
     where
         S: StateStore,
