--- a/crates/proxy/src/sessions/process/gateway.rs
+++ b/crates/proxy/src/sessions/process/gateway.rs
@@ -34,7 +34,7 @@
 use crate::sessions::process::settings::SessionSettings;
 use crate::sessions::process::stop::StopPhase;
 use crate::sessions::process::stop::StopState;
-use crate::sessions::process::store_access::StoreAccess;
+use crate::sessions::process::store_access::StoreAccessTracker;
 use crate::sessions::process::target_table::TargetTable;
 use crate::sessions::process::targets::TargetState;
 use crate::sessions::version::holder::Holder;
@@ -74,7 +74,7 @@
     /// State that this process publishes to subscribers of its feed.
     pub outbox: Outbox,
     /// Whether this process calls the store itself.
-    pub store_access: StoreAccess,
+    pub store_access: StoreAccessTracker,
     /// Reachability of the other availability zones, if this process watches the store for its own.
     pub zone_reach: Mutex<ZoneReach>,
     /// Until when this process's zone counts as partitioned, in microseconds; zero if it does not.
@@ -122,7 +122,7 @@
             stop: watch::Sender::new(StopState::SERVING),
             sessions: AtomicU32::new(0),
             outbox: Outbox::default(),
-            store_access: StoreAccess::new(&settings.vm, clock),
+            store_access: StoreAccessTracker::new(&settings.vm, clock),
             zone_reach: Mutex::default(),
             zone_cut_until_us: AtomicU64::new(0),
             can_serve: AtomicBool::new(false),
--- a/crates/proxy/src/sessions/process/store_access.rs
+++ b/crates/proxy/src/sessions/process/store_access.rs
@@ -54,7 +54,7 @@
 
 /// Access of this process to the store.
 #[derive(Debug)]
-pub struct StoreAccess {
+pub struct StoreAccessTracker {
     vm: Box<str>,
     seed: u64,
     clock: MonotonicClock,
@@ -66,9 +66,9 @@
     probe_answered_us: Mutex<u64>,
 }
 
-impl StoreAccess {
+impl StoreAccessTracker {
     /// Creates the state of a starting process.
-    pub fn new(vm: &str, clock: MonotonicClock) -> StoreAccess {
+    pub fn new(vm: &str, clock: MonotonicClock) -> StoreAccessTracker {
         let no_feed_since_us = clock.now_us();
         let state = State {
             vm_count: 0,
@@ -78,7 +78,7 @@
             is_away: false,
             feed_is_late: false,
         };
-        StoreAccess {
+        StoreAccessTracker {
             vm: vm.into(),
             seed: jitter::seed_of(vm),
             clock,
