--- a/crates/proxy/src/sessions/codec.rs
+++ b/crates/proxy/src/sessions/codec.rs
@@ -41,7 +41,7 @@
         statement: Statement<'a>,
     },
     /// The caller leaves.
-    Goodbye,
+    Terminate,
 }
 
 /// A message of a target.
@@ -87,7 +87,7 @@
     /// Tell role and positions. It waits for a slot like any statement.
     Status,
     /// The same, at once: it takes no slot, so a target that is overrun answers as well.
-    Standing,
+    ImmediateStatus,
     /// Tell a position of the service's primary and its age. Only proxies understand it.
     Position {
         /// How old it may be, in microseconds.
@@ -131,7 +131,7 @@
         organisation: &'a str,
     },
     /// The last message.
-    Goodbye,
+    Terminate,
 }
 
 /// What a target says of itself.
@@ -161,7 +161,7 @@
     /// Decodes one message of a target, its framing included.
     fn decode_target(message: &[u8]) -> Result<TargetMessage<'_>, CodecError>;
 
-    /// Decodes the row that answers [`Query::Status`], [`Query::Standing`], [`Query::Pause`],
+    /// Decodes the row that answers [`Query::Status`], [`Query::ImmediateStatus`], [`Query::Pause`],
     /// [`Query::StepDown`] and [`Query::Resume`].
     fn decode_status(row: &str) -> Result<TargetStatus, CodecError>;
 
@@ -191,7 +191,7 @@
     fn encode_query(query: &Query<'_>, out: &mut BytesMut);
 
     /// Writes the last message to a target.
-    fn encode_goodbye(out: &mut BytesMut);
+    fn encode_terminate(out: &mut BytesMut);
 }
 
 /// The name that a prepared statement has on connections to targets: callers' names collide, and
--- a/crates/proxy/src/sessions/connection/caller.rs
+++ b/crates/proxy/src/sessions/connection/caller.rs
@@ -265,7 +265,7 @@
         let message = self.input.split_to(length);
         let (id, statement) = match C::decode_caller(&message) {
             Ok(CallerMessage::Query { id, statement }) => (id, statement),
-            Ok(CallerMessage::Goodbye) => return false,
+            Ok(CallerMessage::Terminate) => return false,
             Ok(CallerMessage::Startup { .. }) | Err(_) => {
                 let refusal = Refusal::from(ErrorKind::ProtocolViolation);
                 self.gateway.counters.refusal(refusal.kind);
--- a/crates/proxy/src/sessions/connection/link.rs
+++ b/crates/proxy/src/sessions/connection/link.rs
@@ -359,7 +359,7 @@
 
     async fn terminate(&mut self, timeout: Duration) -> io::Result<()> {
         let mut goodbye = BytesMut::new();
-        C::encode_goodbye(&mut goodbye);
+        C::encode_terminate(&mut goodbye);
         socket::write_all(&self.stream, &goodbye, timeout).await
     }
 }
--- a/crates/proxy/src/sessions/connection/peer.rs
+++ b/crates/proxy/src/sessions/connection/peer.rs
@@ -178,7 +178,7 @@
                 self.user = (!organisation.is_empty()).then(|| organisation.into());
                 return true;
             }
-            Ok(TargetRequest::Startup { .. } | TargetRequest::Goodbye) | Err(_) => return false,
+            Ok(TargetRequest::Startup { .. } | TargetRequest::Terminate) | Err(_) => return false,
         };
         self.gateway.counters.event(Event::ForwardsReceived);
         match self.run(&query).await {
@@ -216,7 +216,7 @@
                     Ok(None)
                 }
                 Query::Position { max_age_us } => self.position(*max_age_us).await.map(Some),
-                Query::Standing => self.standing().await.map(Some),
+                Query::ImmediateStatus => self.standing().await.map(Some),
                 _ => Err(Forwarded::Refused(ErrorKind::Unsupported.into())),
             };
         };
--- a/crates/proxy/src/sessions/process/counted_store.rs
+++ b/crates/proxy/src/sessions/process/counted_store.rs
@@ -11,7 +11,7 @@
 use crate::process::counters::Counters;
 use crate::process::counters::StoreCall;
 use crate::process::counters::StoreTrouble;
-use crate::sessions::store::At;
+use crate::sessions::store::AtRevision;
 use crate::sessions::store::Freshness;
 use crate::sessions::store::ListedTarget;
 use crate::sessions::store::StateStore;
@@ -62,7 +62,7 @@
 where
     S: StateStore,
 {
-    async fn configuration(&self) -> Result<At<Option<RouteTable>>, StoreError> {
+    async fn configuration(&self) -> Result<AtRevision<Option<RouteTable>>, StoreError> {
         self.counted(StoreCall::ReadConfiguration, self.store.configuration()).await
     }
 
@@ -70,12 +70,12 @@
         &self,
         revision: u64,
         wait: Duration,
-    ) -> Result<At<Option<RouteTable>>, StoreError> {
+    ) -> Result<AtRevision<Option<RouteTable>>, StoreError> {
         let watch = self.store.watch_configuration(revision, wait);
         self.counted(StoreCall::WatchConfiguration, watch).await
     }
 
-    async fn targets(&self) -> Result<At<Vec<ListedTarget>>, StoreError> {
+    async fn targets(&self) -> Result<AtRevision<Vec<ListedTarget>>, StoreError> {
         self.counted(StoreCall::ListTargets, self.store.targets()).await
     }
 
@@ -83,7 +83,7 @@
         &self,
         revision: u64,
         wait: Duration,
-    ) -> Result<At<Vec<TargetChange>>, StoreError> {
+    ) -> Result<AtRevision<Vec<TargetChange>>, StoreError> {
         let watch = self.store.watch_targets(revision, wait);
         self.counted(StoreCall::WatchTargets, watch).await
     }
@@ -92,7 +92,7 @@
         self.counted(StoreCall::RegisterVm, self.store.register_vm(vm)).await
     }
 
-    async fn vms(&self, freshness: Freshness) -> Result<At<Vec<VmAddress>>, StoreError> {
+    async fn vms(&self, freshness: Freshness) -> Result<AtRevision<Vec<VmAddress>>, StoreError> {
         self.counted(StoreCall::ListVms, self.store.vms(freshness)).await
     }
 
@@ -100,7 +100,7 @@
         self.counted(StoreCall::Probe, self.store.probe(vm)).await
     }
 
-    async fn claim(&self, service: &str) -> Result<Option<At<Claim>>, StoreError> {
+    async fn claim(&self, service: &str) -> Result<Option<AtRevision<Claim>>, StoreError> {
         self.counted(StoreCall::ReadClaim, self.store.claim(service)).await
     }
 
--- a/crates/proxy/src/sessions/process/replicas.rs
+++ b/crates/proxy/src/sessions/process/replicas.rs
@@ -21,7 +21,7 @@
 where
     C: Codec,
 {
-    let query = Query::Standing;
+    let query = Query::ImmediateStatus;
     let ask = |target| target_calls::ask_within::<C>(target, vm, &query, BACK_LIMIT);
     let said = future::join_all(targets.iter().map(|target| ask(target))).await;
     let answered = targets.iter().zip(said).filter(|(_, said)| matches!(said, Said::Status(_)));
--- a/crates/proxy/src/sessions/process/takeover/mod.rs
+++ b/crates/proxy/src/sessions/process/takeover/mod.rs
@@ -163,7 +163,7 @@
         let Some(leader) = leader.and_then(|leader| self.gateway.target(&leader)) else { return };
         let vm = &self.gateway.vm;
         let Said::Status(status) =
-            target_calls::ask::<C>(&leader.record, vm, &Query::Standing).await
+            target_calls::ask::<C>(&leader.record, vm, &Query::ImmediateStatus).await
         else {
             return;
         };
--- a/crates/proxy/src/sessions/process/vms.rs
+++ b/crates/proxy/src/sessions/process/vms.rs
@@ -15,7 +15,7 @@
 use crate::sessions::process::feed::listing::VmList;
 use crate::sessions::process::limits;
 use crate::sessions::process::watch::Watcher;
-use crate::sessions::store::At;
+use crate::sessions::store::AtRevision;
 use crate::sessions::store::Freshness;
 use crate::sessions::store::StateStore;
 use crate::sessions::store::StoreError;
@@ -62,13 +62,13 @@
     S: StateStore,
 {
     async fn follow(mut self) {
-        let mut found = self.list(Freshness::MayBeLate).await;
+        let mut found = self.list(Freshness::MayBeStale).await;
         if !found.value.contains(&self.own) {
             self.register().await;
             if found.value.len() <= limits::WATCH_ALONE {
                 time::sleep(FLEET_PAUSE).await;
                 // A late one would have each VM of a large fleet that starts take itself for one of few.
-                found = self.list(Freshness::Newest).await;
+                found = self.list(Freshness::Latest).await;
             }
         }
         self.take(found);
@@ -82,14 +82,14 @@
             asking.while_away(LIST_PAUSE).await;
             // It may be told by now, or else the store may still be away.
             if asking.is_untold() && asking.may_answer() {
-                let found = self.list(Freshness::MayBeLate).await;
+                let found = self.list(Freshness::MayBeStale).await;
                 self.take(found);
             }
         }
     }
 
     /// Lists all VMs, however often the store has to be asked for that.
-    async fn list(&mut self, freshness: Freshness) -> At<Vec<VmAddress>> {
+    async fn list(&mut self, freshness: Freshness) -> AtRevision<Vec<VmAddress>> {
         loop {
             match self.store.vms(freshness).await {
                 Ok(found) => {
@@ -118,7 +118,7 @@
         time::sleep(Duration::from_micros(pause_us)).await;
     }
 
-    fn take(&self, found: At<Vec<VmAddress>>) {
+    fn take(&self, found: AtRevision<Vec<VmAddress>>) {
         let mut vms = found.value;
         // A late list may lack this VM's own entry.
         if !vms.iter().any(|vm| vm.name == self.own.name) {
--- a/crates/proxy/src/sessions/process/zone_reach.rs
+++ b/crates/proxy/src/sessions/process/zone_reach.rs
@@ -196,7 +196,8 @@
         let gateway = Arc::clone(gateway);
         tokio::spawn(async move {
             let vm = &gateway.vm;
-            let said = target_calls::ask_within::<C>(&record, vm, &Query::Standing, ANSWER_LIMIT);
+            let said =
+                target_calls::ask_within::<C>(&record, vm, &Query::ImmediateStatus, ANSWER_LIMIT);
             if said.await != Said::Nothing {
                 gateway.zone_reach.lock().answered(&zone);
             }
--- a/crates/proxy/src/sessions/request/prove.rs
+++ b/crates/proxy/src/sessions/request/prove.rs
@@ -212,7 +212,7 @@
     gateway.counters.event(Event::WordsAsked);
     let asked_us = gateway.clock.now_us();
     let until = gateway.clock.instant_at(asked_us + limits::STATUS_TIMEOUT_US);
-    let reply = link.ask(&Query::Standing, until).await?;
+    let reply = link.ask(&Query::ImmediateStatus, until).await?;
     heard(gateway, target, asked_us, &reply);
     Ok(())
 }
@@ -272,7 +272,7 @@
     let until = gateway.clock.instant_at(until_us.min(now_us + limits::STATUS_TIMEOUT_US));
     let path = member.path();
     let mut lease = path.pool.take(None, None, until).await?;
-    match lease.connection().ask(&Query::Standing, until).await {
+    match lease.connection().ask(&Query::ImmediateStatus, until).await {
         Ok(reply) => {
             lease.give_back();
             member.replied(reply.error(), gateway.clock.now_us(), None);
--- a/crates/proxy/src/sessions/store.rs
+++ b/crates/proxy/src/sessions/store.rs
@@ -71,7 +71,7 @@
 
 /// A result and the platform's revision at which it held, from which a watch goes on.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct At<T> {
+pub struct AtRevision<T> {
     /// The platform's revision.
     pub revision: u64,
     /// The result.
@@ -82,9 +82,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Freshness {
     /// It holds all that was written before the question.
-    Newest,
+    Latest,
     /// It may be some seconds old, and costs less.
-    MayBeLate,
+    MayBeStale,
 }
 
 /// The part of the platform that keeps what lasts.
@@ -92,24 +92,26 @@
     /// Reads the configuration; none while there is none.
     fn configuration(
         &self,
-    ) -> impl Future<Output = Result<At<Option<RouteTable>>, StoreError>> + Send;
+    ) -> impl Future<Output = Result<AtRevision<Option<RouteTable>>, StoreError>> + Send;
 
     /// Waits for a configuration newer than `revision`; none if none came within `wait`.
     fn watch_configuration(
         &self,
         revision: u64,
         wait: Duration,
-    ) -> impl Future<Output = Result<At<Option<RouteTable>>, StoreError>> + Send;
+    ) -> impl Future<Output = Result<AtRevision<Option<RouteTable>>, StoreError>> + Send;
 
     /// Lists all targets.
-    fn targets(&self) -> impl Future<Output = Result<At<Vec<ListedTarget>>, StoreError>> + Send;
+    fn targets(
+        &self,
+    ) -> impl Future<Output = Result<AtRevision<Vec<ListedTarget>>, StoreError>> + Send;
 
     /// Waits for changes of targets after `revision`; none if none came within `wait`.
     fn watch_targets(
         &self,
         revision: u64,
         wait: Duration,
-    ) -> impl Future<Output = Result<At<Vec<TargetChange>>, StoreError>> + Send;
+    ) -> impl Future<Output = Result<AtRevision<Vec<TargetChange>>, StoreError>> + Send;
 
     /// Writes down where this VM is reached by the others.
     fn register_vm(&self, vm: &VmAddress) -> impl Future<Output = Result<(), StoreError>> + Send;
@@ -118,7 +120,7 @@
     fn vms(
         &self,
         freshness: Freshness,
-    ) -> impl Future<Output = Result<At<Vec<VmAddress>>, StoreError>> + Send;
+    ) -> impl Future<Output = Result<AtRevision<Vec<VmAddress>>, StoreError>> + Send;
 
     /// Asks whether the store answers, by the cheapest call that there is.
     fn probe(&self, vm: &str) -> impl Future<Output = Result<(), StoreError>> + Send;
@@ -127,7 +129,7 @@
     fn claim(
         &self,
         service: &str,
-    ) -> impl Future<Output = Result<Option<At<Claim>>, StoreError>> + Send;
+    ) -> impl Future<Output = Result<Option<AtRevision<Claim>>, StoreError>> + Send;
 
     /// Writes the claim of a service in place of the one with `revision`, or the first one if that
     /// is none. Returns the new revision.
--- a/crates/standin/src/typed/database.rs
+++ b/crates/standin/src/typed/database.rs
@@ -157,7 +157,7 @@
             let message = self.message().await?;
             let request = Lines::decode_request(&message).map_err(|_| Ended::Closed)?;
             match request {
-                TargetRequest::Goodbye
+                TargetRequest::Terminate
                 | TargetRequest::Startup { .. }
                 | TargetRequest::OnBehalf { .. } => {
                     return Err(Ended::Closed);
@@ -206,7 +206,7 @@
                 self.prepared.clear();
                 Ok(Ok(Answer::empty()))
             }
-            Query::Status | Query::Standing => Ok(Ok(self.status())),
+            Query::Status | Query::ImmediateStatus => Ok(Ok(self.status())),
             Query::StepDown { term } => {
                 group.step_down(member, *term);
                 Ok(Ok(self.status()))
--- a/crates/standin/src/typed/deployment.rs
+++ b/crates/standin/src/typed/deployment.rs
@@ -97,10 +97,10 @@
             slots: SLOTS,
             leaving: state.leaving,
             role: if leads { TargetRole::Primary } else { TargetRole::Replica },
-            id: objects::id_of(&name, state.born_ms),
+            id: objects::target_id(&name, state.born_ms),
             name,
         };
-        platform.objects.put(store::TARGETS, &record.name, objects::entry_of(&record));
+        platform.objects.put(store::TARGETS, &record.name, objects::encode_target(&record));
     }
 }
 
--- a/crates/standin/src/typed/platform.rs
+++ b/crates/standin/src/typed/platform.rs
@@ -93,7 +93,7 @@
     /// Puts a configuration in force, as an operator does; without organisations where none are given.
     pub fn configure(&self, table: &RouteTable, organisations: Option<&[TenantBody]>) {
         let (kind, name) = store::CONFIGURATION;
-        self.objects.put(kind, name, objects::body_with(table, organisations));
+        self.objects.put(kind, name, objects::encode_configuration(table, organisations));
     }
 
     /// A group by its service.
