--- a/crates/proxy/src/sessions/connection/caller.rs
+++ b/crates/proxy/src/sessions/connection/caller.rs
@@ -25,7 +25,7 @@
 use crate::sessions::codec::CodecError;
 use crate::sessions::codec::TargetMessage;
 use crate::sessions::connection::messages;
-use crate::sessions::connection::messages::NoMessage;
+use crate::sessions::connection::messages::ReadError;
 use crate::sessions::connection::session::Session;
 use crate::sessions::connection::session::SessionState;
 use crate::sessions::process::gateway::Gateway;
@@ -68,7 +68,7 @@
 /// The time of a caller outside a transaction is counted from the moment at which closing began, or
 /// its session did, not from its last request: a caller that never rests for long would otherwise be
 /// there still when the process has to end.
-fn leave_at(state: StopState, is_idle: bool, began: Instant, spread: Duration) -> Option<Instant> {
+fn close_at(state: StopState, is_idle: bool, began: Instant, spread: Duration) -> Option<Instant> {
     let closing_since = state.closing_since?;
     match state.phase {
         StopPhase::Serving | StopPhase::NotReady => None,
@@ -85,7 +85,7 @@
 where
     C: Codec,
 {
-    if super::link::watch_for_silence(&stream).is_err() {
+    if super::link::set_keepalive(&stream).is_err() {
         return;
     }
     let stop = gateway.stop.subscribe();
@@ -95,7 +95,7 @@
     gateway.counters.event(Event::CallersAccepted);
     let mut caller =
         Caller { gateway, stream, input, output, began: Instant::now(), stop, keys_withdrawn };
-    if let Some(mut session) = caller.welcome().await {
+    if let Some(mut session) = caller.open_session().await {
         caller.serve_session(&mut session).await;
         if let SessionState::Open(open) = session.state {
             transaction::roll_back(open);
@@ -110,8 +110,8 @@
     C: Codec,
 {
     /// Takes the first message. `None` if no session comes of it.
-    async fn welcome(&mut self) -> Option<Session<C>> {
-        let first = time::timeout(limits::STARTUP_LIMIT, self.whole_message()).await;
+    async fn open_session(&mut self) -> Option<Session<C>> {
+        let first = time::timeout(limits::STARTUP_LIMIT, self.read_message_len()).await;
         let length = match first {
             Ok(Ok(Some(length))) => length,
             Ok(Ok(None)) => return None,
@@ -167,7 +167,7 @@
                     }
                 }
                 Wake::Message(length) => {
-                    if !Box::pin(self.take(session, length)).await {
+                    if !Box::pin(self.handle_message(session, length)).await {
                         return;
                     }
                 }
@@ -180,11 +180,11 @@
         if self.input.is_empty() {
             self.input = BytesMut::new();
             self.output = BytesMut::new();
-            if let Some(wake) = self.rest(session).await {
+            if let Some(wake) = self.wait_until_readable(session).await {
                 return wake;
             }
         }
-        match time::timeout(limits::SLOW_SENDER, self.whole_message()).await {
+        match time::timeout(limits::SLOW_SENDER, self.read_message_len()).await {
             Ok(Ok(Some(length))) => Wake::Message(length),
             Ok(Ok(None)) => Wake::End,
             Ok(Err(kind)) => Wake::Broken(kind),
@@ -193,9 +193,9 @@
     }
 
     /// Rests until something can be read; otherwise tells why not.
-    async fn rest(&mut self, session: &Session<C>) -> Option<Wake> {
-        let holds = matches!(&session.state, SessionState::Open(open) if open.held.is_some());
-        let idle = self.gateway.transaction_idle().filter(|_| holds);
+    async fn wait_until_readable(&mut self, session: &Session<C>) -> Option<Wake> {
+        let is_pinned = matches!(&session.state, SessionState::Open(open) if open.pinned.is_some());
+        let idle = self.gateway.transaction_idle().filter(|_| is_pinned);
         // Far beyond the life of a process: no bound.
         let idle = idle.unwrap_or(Duration::from_secs(86_400));
         let is_idle = matches!(session.state, SessionState::Idle);
@@ -206,7 +206,7 @@
                 let state = *stop.borrow_and_update();
                 let change = stop.changed();
                 let spread = stop::closing_spread(session.number, gateway.is_stopping());
-                match leave_at(state, is_idle, began, spread) {
+                match close_at(state, is_idle, began, spread) {
                     // The sender lives as long as the process's state, so a change is one.
                     None => drop(change.await),
                     Some(at) => tokio::select! {
@@ -245,22 +245,22 @@
             },
             () = stopped => Some(Wake::End),
             () = key_withdrawn => Some(Wake::End),
-            () = time::sleep(idle), if holds => Some(Wake::IdleInTransaction),
+            () = time::sleep(idle), if is_pinned => Some(Wake::IdleInTransaction),
         }
     }
 
     /// Reads until the input starts with a whole message; `None` at its end.
-    async fn whole_message(&mut self) -> Result<Option<usize>, ErrorKind> {
-        match messages::whole::<C>(&self.stream, &mut self.input).await {
+    async fn read_message_len(&mut self) -> Result<Option<usize>, ErrorKind> {
+        match messages::read_message::<C>(&self.stream, &mut self.input).await {
             Ok(length) => Ok(Some(length)),
-            Err(NoMessage::Ended | NoMessage::Broken(_)) => Ok(None),
-            Err(NoMessage::Codec(CodecError::TooLong)) => Err(ErrorKind::MessageTooLarge),
-            Err(NoMessage::Codec(CodecError::Malformed)) => Err(ErrorKind::ProtocolViolation),
+            Err(ReadError::Ended | ReadError::Broken(_)) => Ok(None),
+            Err(ReadError::Codec(CodecError::TooLong)) => Err(ErrorKind::MessageTooLarge),
+            Err(ReadError::Codec(CodecError::Malformed)) => Err(ErrorKind::ProtocolViolation),
         }
     }
 
     /// Answers one message. Returns whether the session goes on.
-    async fn take(&mut self, session: &mut Session<C>, length: usize) -> bool {
+    async fn handle_message(&mut self, session: &mut Session<C>, length: usize) -> bool {
         let arrived_us = self.gateway.clock.now_us();
         let message = self.input.split_to(length);
         let (id, statement) = match C::decode_caller(&message) {
--- a/crates/proxy/src/sessions/connection/link.rs
+++ b/crates/proxy/src/sessions/connection/link.rs
@@ -34,22 +34,22 @@
 use crate::sessions::codec::TargetMessage;
 use crate::sessions::connection::messages;
 use crate::sessions::connection::reply::End;
-use crate::sessions::connection::reply::Lost;
+use crate::sessions::connection::reply::LostReply;
 use crate::sessions::connection::reply::Reply;
 
 /// How much room for input is kept on an idle connection, in bytes.
-const KEPT_INPUT_BYTES: usize = 4 << 10;
+const MAX_IDLE_INPUT_BYTES: usize = 4 << 10;
 
 /// How long a target may take no byte of a request. Far above a round trip, far below the time
 /// limits of statements.
-const SEND_STALL: Duration = Duration::from_millis(500);
+const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long a connection without traffic stays unnoticed when the other end is silent: a connection
 /// that died without a reset would swallow the next request.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(1);
 
 /// How long sent bytes may stay unacknowledged before the connection counts as broken.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(2_000);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// How many statements are prepared on one connection before it is reset, which bounds its memory.
 const MAX_PREPARED: usize = 256;
@@ -82,7 +82,7 @@
     values: Vec<(Box<str>, Box<str>)>,
     prepared: FastMap<Prepared, u32>,
     next_prepared: u32,
-    watched_by: ThreadId,
+    reactor_thread: ThreadId,
     codec: PhantomData<C>,
 }
 
@@ -106,7 +106,7 @@
     }
 
     /// Has the statements that follow run for a user. A target knows the connection's user from its start.
-    pub fn act_for(&mut self, user: Option<&Arc<str>>) {
+    pub fn set_user(&mut self, user: Option<&Arc<str>>) {
         if self.to_proxy && self.user.as_ref() != user {
             C::encode_on_behalf(user.map_or("", |user| user), &mut self.output);
             self.user = user.cloned();
@@ -114,32 +114,32 @@
     }
 
     /// Sends what was pushed. After an error the connection is of no further use.
-    pub async fn send(&mut self) -> Result<(), Lost> {
-        let sent = socket::write_all(&self.stream, &self.output, SEND_STALL).await;
+    pub async fn send(&mut self) -> Result<(), LostReply> {
+        let sent = socket::write_all(&self.stream, &self.output, SEND_TIMEOUT).await;
         self.output.clear();
         // Some of it may have left, so the target may have run it.
-        sent.map_err(|error| Lost { failure: failure_of(&error), stage: Stage::Sent })
+        sent.map_err(|error| LostReply { failure: failure_of(&error), stage: Stage::Sent })
     }
 
     /// Takes the next answer.
-    pub async fn answer(&mut self, until: Instant) -> Result<Reply, Lost> {
-        match time::timeout_at(until.into(), self.whole_answer()).await {
+    pub async fn next_reply(&mut self, until: Instant) -> Result<Reply, LostReply> {
+        match time::timeout_at(until.into(), self.read_reply()).await {
             Ok(Ok(reply)) => Ok(reply),
-            Ok(Err(error)) => Err(Lost { failure: failure_of(&error), stage: Stage::Sent }),
-            Err(_) => Err(Lost { failure: Failure::TimedOut, stage: Stage::Sent }),
+            Ok(Err(error)) => Err(LostReply { failure: failure_of(&error), stage: Stage::Sent }),
+            Err(_) => Err(LostReply { failure: Failure::TimedOut, stage: Stage::Sent }),
         }
     }
 
     /// Sends one request and takes its answer.
-    pub async fn ask(&mut self, query: &Query<'_>, until: Instant) -> Result<Reply, Lost> {
+    pub async fn ask(&mut self, query: &Query<'_>, until: Instant) -> Result<Reply, LostReply> {
         self.push(query);
         self.exchange(until).await
     }
 
     /// Sends what was pushed and takes the first answer to it.
-    pub async fn exchange(&mut self, until: Instant) -> Result<Reply, Lost> {
+    pub async fn exchange(&mut self, until: Instant) -> Result<Reply, LostReply> {
         self.send().await?;
-        self.answer(until).await
+        self.next_reply(until).await
     }
 
     /// The transaction's status in the last complete answer.
@@ -156,12 +156,12 @@
         needed: Option<&Prepared>,
     ) -> u32 {
         let before = self.awaited;
-        let has_foreign =
+        let has_foreign_value =
             self.values.iter().any(|(name, _)| !values.iter().any(|(n, _)| n == name));
         let is_full = self.prepared.len() >= MAX_PREPARED
             && needed.is_some_and(|needed| !self.prepared.contains_key(needed));
         // Inside a transaction the values stay: a caller only adds to its own.
-        if (has_foreign || is_full) && self.status == TransactionStatus::Idle {
+        if (has_foreign_value || is_full) && self.status == TransactionStatus::Idle {
             self.push(&Query::Reset);
             self.values.clear();
             self.prepared.clear();
@@ -213,7 +213,7 @@
         self.prepared.clear();
     }
 
-    async fn whole_answer(&mut self) -> io::Result<Reply> {
+    async fn read_reply(&mut self) -> io::Result<Reply> {
         let mut rows = BytesMut::new();
         let mut first_row = Box::<str>::from("");
         let mut end = None;
@@ -244,7 +244,7 @@
     }
 
     async fn next_message(&mut self) -> io::Result<BytesMut> {
-        let length = messages::whole::<C>(&self.stream, &mut self.input).await?;
+        let length = messages::read_message::<C>(&self.stream, &mut self.input).await?;
         Ok(self.input.split_to(length))
     }
 
@@ -252,7 +252,7 @@
         let mut startup = BytesMut::new();
         let user = self.user.as_ref().unwrap_or(&login.vm);
         C::encode_startup(&login.service, user, &login.target_id, &mut startup);
-        socket::write_all(&self.stream, &startup, SEND_STALL).await.map_err(OpenError::Io)?;
+        socket::write_all(&self.stream, &startup, SEND_TIMEOUT).await.map_err(OpenError::Io)?;
         let message = self.next_message().await.map_err(OpenError::Io)?;
         match C::decode_target(&message) {
             Ok(TargetMessage::Ready { .. }) => Ok(()),
@@ -267,13 +267,13 @@
     /// Reads what is awaited, and rolls an open transaction back.
     async fn drain_and_roll_back(&mut self) -> io::Result<()> {
         while self.awaited > 0 {
-            self.whole_answer().await?;
+            self.read_reply().await?;
         }
         if self.status != TransactionStatus::Idle {
             self.push_own(Statement::Rollback);
-            socket::write_all(&self.stream, &self.output, SEND_STALL).await?;
+            socket::write_all(&self.stream, &self.output, SEND_TIMEOUT).await?;
             self.output.clear();
-            self.whole_answer().await?;
+            self.read_reply().await?;
         }
         match self.is_idle() {
             true => Ok(()),
@@ -296,7 +296,7 @@
     ) -> Result<StatementLink<C>, OpenError> {
         let opening = async {
             let stream = TcpStream::connect(address).await.map_err(OpenError::Io)?;
-            watch_for_silence(&stream).map_err(OpenError::Io)?;
+            set_keepalive(&stream).map_err(OpenError::Io)?;
             let mut link = StatementLink {
                 stream,
                 input: BytesMut::new(),
@@ -308,7 +308,7 @@
                 values: Vec::new(),
                 prepared: FastMap::default(),
                 next_prepared: 0,
-                watched_by: thread::current().id(),
+                reactor_thread: thread::current().id(),
                 codec: PhantomData,
             };
             link.begin_session(login).await?;
@@ -322,7 +322,7 @@
     }
 
     fn is_here(&self) -> bool {
-        self.watched_by == thread::current().id()
+        self.reactor_thread == thread::current().id()
     }
 
     fn brought_here(self) -> io::Result<StatementLink<C>> {
@@ -330,11 +330,11 @@
             return Ok(self);
         }
         let stream = TcpStream::from_std(self.stream.into_std()?)?;
-        Ok(StatementLink { stream, watched_by: thread::current().id(), ..self })
+        Ok(StatementLink { stream, reactor_thread: thread::current().id(), ..self })
     }
 
     fn is_quiet(&mut self) -> bool {
-        if self.input.is_empty() && self.input.capacity() > KEPT_INPUT_BYTES {
+        if self.input.is_empty() && self.input.capacity() > MAX_IDLE_INPUT_BYTES {
             self.input = BytesMut::new();
         }
         self.input.is_empty() && socket::is_silent(&self.stream)
@@ -365,12 +365,12 @@
 }
 
 /// Has the system notice an other end that went without closing.
-pub fn watch_for_silence(stream: &TcpStream) -> io::Result<()> {
+pub fn set_keepalive(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new().with_time(KEEPALIVE_TIME).with_interval(KEEPALIVE_TIME);
     socket.set_tcp_keepalive(&keepalive.with_retries(2))?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
 
 fn failure_of(error: &io::Error) -> Failure {
--- a/crates/proxy/src/sessions/connection/messages.rs
+++ b/crates/proxy/src/sessions/connection/messages.rs
@@ -12,7 +12,7 @@
 
 /// Why no message came.
 #[derive(Debug)]
-pub enum NoMessage {
+pub enum ReadError {
     /// What came is no message.
     Codec(CodecError),
     /// The stream ended.
@@ -21,12 +21,12 @@
     Broken(io::Error),
 }
 
-impl From<NoMessage> for io::Error {
-    fn from(reason: NoMessage) -> io::Error {
+impl From<ReadError> for io::Error {
+    fn from(reason: ReadError) -> io::Error {
         match reason {
-            NoMessage::Codec(_) => io::ErrorKind::InvalidData.into(),
-            NoMessage::Ended => io::ErrorKind::UnexpectedEof.into(),
-            NoMessage::Broken(error) => error,
+            ReadError::Codec(_) => io::ErrorKind::InvalidData.into(),
+            ReadError::Ended => io::ErrorKind::UnexpectedEof.into(),
+            ReadError::Broken(error) => error,
         }
     }
 }
@@ -36,17 +36,17 @@
 /// # Errors
 ///
 /// [`NoMessage`] if none comes.
-pub async fn whole<C>(stream: &TcpStream, input: &mut BytesMut) -> Result<usize, NoMessage>
+pub async fn read_message<C>(stream: &TcpStream, input: &mut BytesMut) -> Result<usize, ReadError>
 where
     C: Codec,
 {
     loop {
         let found = C::message_len(input, limits::MAX_MESSAGE_BYTES);
-        if let Some(length) = found.map_err(NoMessage::Codec)? {
+        if let Some(length) = found.map_err(ReadError::Codec)? {
             return Ok(length);
         }
-        if socket::read_some(stream, input).await.map_err(NoMessage::Broken)? == 0 {
-            return Err(NoMessage::Ended);
+        if socket::read_some(stream, input).await.map_err(ReadError::Broken)? == 0 {
+            return Err(ReadError::Ended);
         }
     }
 }
--- a/crates/proxy/src/sessions/connection/peer.rs
+++ b/crates/proxy/src/sessions/connection/peer.rs
@@ -32,7 +32,7 @@
 use crate::sessions::connection::link::StatementLink;
 use crate::sessions::connection::messages;
 use crate::sessions::connection::reply::End;
-use crate::sessions::connection::reply::Lost;
+use crate::sessions::connection::reply::LostReply;
 use crate::sessions::connection::reply::Reply;
 use crate::sessions::process::feed;
 use crate::sessions::process::feed::tell;
@@ -42,9 +42,9 @@
 use crate::sessions::process::targets::TargetState;
 use crate::sessions::process::zone_reach;
 use crate::sessions::request::acquire;
-use crate::sessions::request::acquire::NotTaken;
+use crate::sessions::request::acquire::AcquireError;
 use crate::sessions::request::call::Call;
-use crate::sessions::request::call::Work;
+use crate::sessions::request::call::Operation;
 use crate::sessions::request::prove;
 use crate::sessions::request::sample;
 
@@ -57,7 +57,7 @@
 
 /// How old a position may always be that another proxy is told, in microseconds: the primary is not asked for
 /// each question.
-const LEAST_POSITION_AGE_US: u64 = 250_000;
+const MIN_POSITION_AGE_US: u64 = 250_000;
 
 /// The precedence of forwarded statements. The other proxies have sorted theirs already.
 const PRIORITY: u32 = 1;
@@ -79,8 +79,8 @@
     values: Vec<(Box<str>, Box<str>)>,
     prepared: FastMap<Box<str>, Prepared>,
     /// The connection of the open transaction.
-    held: Option<Lease<StatementLink<C>>>,
-    /// The transaction's status as the other proxy was told.
+    pinned: Option<Lease<StatementLink<C>>>,
+    /// The transaction's status as the other proxy was chosen.
     status: TransactionStatus,
     /// Whether the open transaction wrote something.
     wrote: bool,
@@ -91,7 +91,7 @@
 where
     C: Codec,
 {
-    if link::watch_for_silence(&stream).is_err() {
+    if link::set_keepalive(&stream).is_err() {
         return;
     }
     let mut input = BytesMut::new();
@@ -139,7 +139,7 @@
         user: None,
         values: Vec::new(),
         prepared: FastMap::default(),
-        held: None,
+        pinned: None,
         status: TransactionStatus::Idle,
         wrote: false,
     };
@@ -147,8 +147,8 @@
     if peer.flush().await {
         while peer.serve_one().await {}
     }
-    if let Some(held) = peer.held.take() {
-        held.give_back();
+    if let Some(pinned) = peer.pinned.take() {
+        pinned.give_back();
     }
 }
 
@@ -156,7 +156,7 @@
 where
     C: Codec,
 {
-    let length = messages::whole::<C>(stream, input).await.ok()?;
+    let length = messages::read_message::<C>(stream, input).await.ok()?;
     Some(input.split_to(length))
 }
 
@@ -187,13 +187,13 @@
                 C::encode_answer(&TargetMessage::Complete { proof: "-" }, &mut self.output);
                 self.push_ready(None);
             }
-            Err(Forwarded::Refused(refusal)) => {
+            Err(ForwardError::Refused(refusal)) => {
                 self.gateway.counters.refusal(refusal.kind);
                 push_refusal::<C>(&refusal, &mut self.output);
                 self.push_ready(None);
             }
             // The other proxy can't know how far it came, so it sees what this one saw.
-            Err(Forwarded::Lost) => return false,
+            Err(ForwardError::LostReply) => return false,
         }
         // A batch that came in one piece is answered in one.
         let has_more =
@@ -202,10 +202,10 @@
     }
 
     /// Runs one request; none where this proxy answers by itself.
-    async fn run(&mut self, query: &Query<'_>) -> Result<Option<Reply>, Forwarded> {
+    async fn run(&mut self, query: &Query<'_>) -> Result<Option<Reply>, ForwardError> {
         // A fallback may go through another one by now, which could send a statement back here for ever, so it
         // connects again. One that is no home any more goes through a home, which sends nothing on.
-        if self.held.is_none() {
+        if self.pinned.is_none() {
             self.gateway.connects(&self.target);
         }
         let Query::Statement { id, at_least, statement } = query else {
@@ -216,8 +216,8 @@
                     Ok(None)
                 }
                 Query::Position { max_age_us } => self.position(*max_age_us).await.map(Some),
-                Query::ImmediateStatus => self.standing().await.map(Some),
-                _ => Err(Forwarded::Refused(ErrorKind::Unsupported.into())),
+                Query::ImmediateStatus => self.immediate_status().await.map(Some),
+                _ => Err(ForwardError::Refused(ErrorKind::Unsupported.into())),
             };
         };
         match statement {
@@ -237,46 +237,46 @@
                 Ok(None)
             }
             Statement::Rollback => {
-                if let Some(held) = self.held.take() {
-                    held.give_back();
+                if let Some(pinned) = self.pinned.take() {
+                    pinned.give_back();
                 }
                 (self.status, self.wrote) = (TransactionStatus::Idle, false);
                 Ok(None)
             }
             Statement::Execute { name, arguments } => {
                 let Some(prepared) = self.prepared.get(*name).cloned() else {
-                    return Err(Forwarded::Refused(ErrorKind::UnknownPrepared.into()));
+                    return Err(ForwardError::Refused(ErrorKind::UnknownPrepared.into()));
                 };
-                let work = Work::Execute { prepared, arguments };
-                self.forward(*id, *at_least, &work).await.map(Some)
+                let operation = Operation::Execute { prepared, arguments };
+                self.forward(*id, *at_least, &operation).await.map(Some)
             }
             Statement::Begin { .. }
             | Statement::Commit
             | Statement::Read { .. }
             | Statement::Write { .. } => {
-                self.forward(*id, *at_least, &Work::Plain(*statement)).await.map(Some)
+                self.forward(*id, *at_least, &Operation::Plain(*statement)).await.map(Some)
             }
         }
     }
 
     /// Tells the oldest position of the service's primary that is young enough.
-    async fn position(&mut self, max_age_us: u64) -> Result<Reply, Forwarded> {
+    async fn position(&mut self, max_age_us: u64) -> Result<Reply, ForwardError> {
         let (gateway, service) = (&self.gateway, &self.target.record.service);
         let state = gateway.service(service);
         let now_us = gateway.clock.now_us();
         state.demand.lock().needed(now_us);
-        let max_age_us = max_age_us.max(LEAST_POSITION_AGE_US);
+        let max_age_us = max_age_us.max(MIN_POSITION_AGE_US);
         let first = || state.positions.lock().first_since(now_us.saturating_sub(max_age_us));
         if first().is_none()
             && let Some(_sampling) = state.sampling.begin()
         {
-            // Whatever comes of it, the newest position is told.
+            // Whatever comes of it, the newest position is chosen.
             let _ = sample::sample(gateway, service, max_age_us).await;
         }
-        let told = first().or_else(|| state.positions.lock().newest());
-        let told = told.ok_or(Forwarded::Refused(ErrorKind::NoPrimary.into()))?;
-        let age_us = gateway.clock.now_us().saturating_sub(told.taken_us);
-        let row = C::encode_position(told.position, age_us);
+        let chosen = first().or_else(|| state.positions.lock().newest());
+        let chosen = chosen.ok_or(ForwardError::Refused(ErrorKind::NoPrimary.into()))?;
+        let age_us = gateway.clock.now_us().saturating_sub(chosen.taken_us);
+        let row = C::encode_position(chosen.position, age_us);
         let mut rows = BytesMut::new();
         C::encode_answer(&TargetMessage::Row(&row), &mut rows);
         Ok(Reply {
@@ -289,10 +289,10 @@
     }
 
     /// Passes on what the target says of itself.
-    async fn standing(&mut self) -> Result<Reply, Forwarded> {
+    async fn immediate_status(&mut self) -> Result<Reply, ForwardError> {
         let until_us = self.gateway.clock.now_us() + limits::STATUS_TIMEOUT_US;
-        let standing = prove::status_of(&self.gateway, &self.target, until_us).await;
-        standing.map_err(|_| Forwarded::Refused(ErrorKind::TargetUnreachable.into()))
+        let status = prove::request_status(&self.gateway, &self.target, until_us).await;
+        status.map_err(|_| ForwardError::Refused(ErrorKind::TargetUnreachable.into()))
     }
 
     /// Sends a statement to the target.
@@ -300,8 +300,8 @@
         &mut self,
         id: Option<&str>,
         at_least: Option<LogPosition>,
-        work: &Work<'_>,
-    ) -> Result<Reply, Forwarded> {
+        operation: &Operation<'_>,
+    ) -> Result<Reply, ForwardError> {
         let gateway = Arc::clone(&self.gateway);
         let (route, now_us) = (Arc::clone(&self.route), gateway.clock.now_us());
         // A proxy that names nobody must not have its statements run on an organisation's connection.
@@ -316,22 +316,25 @@
             arrived_us: now_us,
             began_us: now_us,
         };
-        let mut lease = match self.held.take() {
-            Some(mut held) => {
-                held.statement_started();
-                held
+        let mut lease = match self.pinned.take() {
+            Some(mut pinned) => {
+                pinned.statement_started();
+                pinned
             }
             // Whosever the statement is: what was sent on goes no further.
-            None => {
-                acquire::take_on(&call, &self.target, &self.target.path(), call.offer_until_us())
-                    .await
-                    .map_err(|not_taken| self.refused(&not_taken))?
-            }
+            None => acquire::take_on_path(
+                &call,
+                &self.target,
+                &self.target.path(),
+                call.offer_until_us(),
+            )
+            .await
+            .map_err(|acquire_error| self.refusal_for(&acquire_error))?,
         };
         let is_durable = match self.status {
-            TransactionStatus::Idle => work.writes(),
+            TransactionStatus::Idle => operation.writes(),
             TransactionStatus::Open | TransactionStatus::Failed => {
-                self.wrote && work.effect() == Effect::Commit
+                self.wrote && operation.effect() == Effect::Commit
             }
         };
         let sent_us = call.now_us();
@@ -340,9 +343,9 @@
             self.target.commit_sent(sent_us);
         }
         let (link, until_us) = (lease.connection(), call.deadline_us());
-        let answered = acquire::run(&call, link, &self.values, work, at_least, until_us).await;
+        let answered = acquire::run(&call, link, &self.values, operation, at_least, until_us).await;
         if is_durable {
-            let timed_out = answered.as_ref().is_err_and(Lost::timed_out);
+            let timed_out = answered.as_ref().is_err_and(LostReply::timed_out);
             self.target.commit_ended(call.now_us(), timed_out);
         }
         self.target.ended();
@@ -355,13 +358,13 @@
                     gateway.acknowledged(&self.target, sent_us, reply.position);
                 }
                 self.wrote = reply.status == TransactionStatus::Open
-                    && (self.wrote || (is_done && work.writes()));
+                    && (self.wrote || (is_done && operation.writes()));
                 self.status = reply.status;
                 match reply.status {
                     TransactionStatus::Idle => lease.give_back(),
                     TransactionStatus::Open | TransactionStatus::Failed => {
                         lease.statement_ended();
-                        self.held = Some(lease);
+                        self.pinned = Some(lease);
                     }
                 }
                 Ok(reply)
@@ -369,23 +372,23 @@
             Err(lost) => {
                 self.target.failed(call.now_us());
                 call.log_lost(&self.target.record.id, lost.failure);
-                Err(Forwarded::Lost)
+                Err(ForwardError::LostReply)
             }
         }
     }
 
-    /// What the other proxy is told of a statement for which there was no connection. That the target can't be
+    /// What the other proxy is chosen of a statement for which there was no connection. That the target can't be
     /// reached has to be said: without it the other one went on sending it reads that another member had
     /// answered at once.
-    fn refused(&self, not_taken: &NotTaken) -> Forwarded {
-        let kind = match not_taken {
-            NotTaken::Queue(_) => ErrorKind::TargetBusy,
-            NotTaken::NotConnected(_) => match self.target.health().failed_since_us {
+    fn refusal_for(&self, acquire_error: &AcquireError) -> ForwardError {
+        let kind = match acquire_error {
+            AcquireError::Queue(_) => ErrorKind::TargetBusy,
+            AcquireError::NotConnected(_) => match self.target.health().failed_since_us {
                 Some(_) => ErrorKind::TargetUnreachable,
                 None => ErrorKind::TargetBusy,
             },
         };
-        Forwarded::Refused(kind.into())
+        ForwardError::Refused(kind.into())
     }
 
     fn push_reply(&mut self, reply: &Reply) {
@@ -416,9 +419,9 @@
 }
 
 /// Why a forwarded statement has no answer of the target.
-enum Forwarded {
+enum ForwardError {
     /// It was not sent.
     Refused(Refusal),
     /// It was sent, and no whole answer came.
-    Lost,
+    LostReply,
 }
--- a/crates/proxy/src/sessions/connection/reply.rs
+++ b/crates/proxy/src/sessions/connection/reply.rs
@@ -67,14 +67,14 @@
 
 /// A statement that got no whole answer.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Lost {
+pub struct LostReply {
     /// What was seen.
     pub failure: Failure,
     /// How far the statement had come.
     pub stage: Stage,
 }
 
-impl Lost {
+impl LostReply {
     /// Whether the other end was silent for too long.
     pub fn timed_out(&self) -> bool {
         self.failure == Failure::TimedOut
--- a/crates/proxy/src/sessions/connection/session.rs
+++ b/crates/proxy/src/sessions/connection/session.rs
@@ -15,7 +15,7 @@
 use crate::sessions::codec::Codec;
 use crate::sessions::connection::link::StatementLink;
 use crate::sessions::process::targets::TargetState;
-use crate::sessions::version::holder::Holder;
+use crate::sessions::version::principal::Principal;
 
 /// How many values or prepared statements one session may have. The users' sessions have a few; a
 /// session without a bound could take all memory of a small VM.
@@ -30,9 +30,9 @@
     /// The route that it began with: a change of the route applies from the next transaction on.
     pub route: Arc<Route>,
     /// For whom it runs.
-    pub holder: Holder,
+    pub principal: Principal,
     /// Whether it counts towards its organisation's limit already.
-    pub is_counted: bool,
+    pub is_charged: bool,
     /// Whether the caller said that it will only read.
     pub read_only: bool,
     /// When its first byte had arrived at the latest.
@@ -41,12 +41,12 @@
     pub wrote: bool,
     /// Where it runs; none before its first statement. A caller that rests after its `BEGIN` holds
     /// no connection.
-    pub held: Option<Held<C>>,
+    pub pinned: Option<PinnedConnection<C>>,
 }
 
 /// The connection of an open transaction.
 #[derive(Debug)]
-pub struct Held<C>
+pub struct PinnedConnection<C>
 where
     C: Codec,
 {
@@ -145,7 +145,7 @@
     }
 
     /// The session was told that a commit of this service ended at `position`.
-    pub fn committed(&mut self, service: &Arc<str>, position: LogPosition) {
+    pub fn raise_floor(&mut self, service: &Arc<str>, position: LogPosition) {
         self.floor = match self.floor.take() {
             Some((known, floor)) if known == *service => Some((known, floor.max(position))),
             _ => Some((Arc::clone(service), position)),
--- a/crates/proxy/src/sessions/process/feed/listen.rs
+++ b/crates/proxy/src/sessions/process/feed/listen.rs
@@ -223,7 +223,7 @@
 {
     let stream = time::timeout(CONNECT_LIMIT, TcpStream::connect(vm.peer_address)).await;
     let stream = stream.map_err(|_| io::ErrorKind::TimedOut)??;
-    link::watch_for_silence(&stream)?;
+    link::set_keepalive(&stream)?;
     let subscription = feed::subscription(watcher.version());
     socket::write_all(&stream, subscription.as_bytes(), CONNECT_LIMIT).await?;
     Ok(stream)
--- a/crates/proxy/src/sessions/process/gateway.rs
+++ b/crates/proxy/src/sessions/process/gateway.rs
@@ -37,7 +37,7 @@
 use crate::sessions::process::stop::StopState;
 use crate::sessions::process::target_table::TargetTable;
 use crate::sessions::process::targets::TargetState;
-use crate::sessions::version::holder::Holder;
+use crate::sessions::version::principal::Principal;
 use crate::sessions::version::view::View;
 
 /// The limits of a service that no configuration names: its targets are listed, and nobody is sent
@@ -156,13 +156,13 @@
     /// # Errors
     ///
     /// `UnknownKey` if the key is nobody's, and the route asks for one.
-    pub fn holder(&self, key: KeyDigest, route: Option<&Route>) -> Result<Holder, ErrorKind> {
+    pub fn holder(&self, key: KeyDigest, route: Option<&Route>) -> Result<Principal, ErrorKind> {
         let view = self.view.load();
         let routes = view.routes.as_ref().ok_or(ErrorKind::NotReady)?;
-        let Some(organisations) = &routes.organisations else { return Ok(Holder::NotNeeded) };
+        let Some(organisations) = &routes.organisations else { return Ok(Principal::NotNeeded) };
         match organisations.holder(key) {
-            Some(organisation) => Ok(Holder::Organisation(Arc::clone(organisation))),
-            None if route.is_some_and(|route| route.is_public) => Ok(Holder::Nobody),
+            Some(organisation) => Ok(Principal::Organisation(Arc::clone(organisation))),
+            None if route.is_some_and(|route| route.is_public) => Ok(Principal::Nobody),
             None => Err(ErrorKind::UnknownKey),
         }
     }
--- a/crates/proxy/src/sessions/process/isolation.rs
+++ b/crates/proxy/src/sessions/process/isolation.rs
@@ -99,7 +99,7 @@
             if !target.is_own() {
                 // Reaching the target by itself would not serve callers, whose statements go another way.
                 let until_us = gateway.clock.now_us() + ASK_LIMIT.as_micros() as u64;
-                let _ = prove::status_of(&gateway, &target, until_us).await;
+                let _ = prove::request_status(&gateway, &target, until_us).await;
                 return;
             }
             let (record, query) = (&target.record, Query::Status);
--- a/crates/proxy/src/sessions/request/acquire.rs
+++ b/crates/proxy/src/sessions/request/acquire.rs
@@ -11,17 +11,17 @@
 use crate::request::refusal::Refusal;
 use crate::sessions::codec::Codec;
 use crate::sessions::connection::link::StatementLink;
-use crate::sessions::connection::reply::Lost;
+use crate::sessions::connection::reply::LostReply;
 use crate::sessions::connection::reply::Reply;
 use crate::sessions::process::latencies::Stage;
 use crate::sessions::process::target_path::TargetPath;
 use crate::sessions::process::targets::TargetState;
 use crate::sessions::request::call::Call;
-use crate::sessions::request::call::Work;
+use crate::sessions::request::call::Operation;
 
 /// Why no connection was had.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum NotTaken {
+pub enum AcquireError {
     /// The queue in front of the target refused or gave up.
     Queue(Refusal),
     /// No connection came about.
@@ -33,62 +33,62 @@
     call: &Call<'_, C>,
     target: &Arc<TargetState<C>>,
     until_us: u64,
-) -> Result<Lease<StatementLink<C>>, NotTaken>
+) -> Result<Lease<StatementLink<C>>, AcquireError>
 where
     C: Codec,
 {
-    take_on(call, target, &target.path_for(call.user), until_us).await
+    take_on_path(call, target, &target.path_for(call.user), until_us).await
 }
 
 /// The same on one of the ways to the target.
-pub async fn take_on<C>(
+pub async fn take_on_path<C>(
     call: &Call<'_, C>,
     target: &Arc<TargetState<C>>,
     path: &TargetPath<C>,
     until_us: u64,
-) -> Result<Lease<StatementLink<C>>, NotTaken>
+) -> Result<Lease<StatementLink<C>>, AcquireError>
 where
     C: Codec,
 {
     target.queued();
     let asked_us = call.now_us();
-    let taken = take_counted(call, target, &path.pool, until_us).await;
+    let taken = queue_and_take(call, target, &path.pool, until_us).await;
     target.unqueued();
-    call.took(Stage::Queue, asked_us);
-    if let Err(NotTaken::NotConnected(failure)) = &taken {
+    call.record_latency(Stage::Queue, asked_us);
+    if let Err(AcquireError::NotConnected(failure)) = &taken {
         // A wait that ran out says nothing of the target, but the last try to connect may.
         let seen = match failure {
             Failure::TimedOut => path.pool.failing(),
             other => Some(*other),
         };
-        if let Some(failure) = seen.filter(|failure| !is_full(*failure)) {
+        if let Some(failure) = seen.filter(|failure| !is_connection_limit(*failure)) {
             target.unreached(path, failure, call.now_us());
         }
     }
     taken
 }
 
-async fn take_counted<C>(
+async fn queue_and_take<C>(
     call: &Call<'_, C>,
     target: &Arc<TargetState<C>>,
     pool: &Arc<Pool<StatementLink<C>>>,
     until_us: u64,
-) -> Result<Lease<StatementLink<C>>, NotTaken>
+) -> Result<Lease<StatementLink<C>>, AcquireError>
 where
     C: Codec,
 {
     let (class, caller) = (call.class(), call.caller());
     let request = TurnRequest { class, caller, deadline_us: until_us };
-    let turn = target.queue.admit(&request).await.map_err(NotTaken::Queue)?;
+    let turn = target.queue.admit(&request).await.map_err(AcquireError::Queue)?;
     let until = call.gateway.clock.instant_at(until_us);
     let taken = pool.take(call.user, Some(turn), until).await;
-    let mut lease = taken.map_err(NotTaken::NotConnected)?;
-    lease.connection().act_for(call.user);
+    let mut lease = taken.map_err(AcquireError::NotConnected)?;
+    lease.connection().set_user(call.user);
     Ok(lease)
 }
 
 /// Whether the target has as many connections as it accepts, which does not speak against it.
-fn is_full(failure: Failure) -> bool {
+fn is_connection_limit(failure: Failure) -> bool {
     matches!(failure, Failure::Said { sqlstate, .. } if &sqlstate == b"53300")
 }
 
@@ -98,31 +98,31 @@
     call: &Call<'_, C>,
     link: &mut StatementLink<C>,
     values: &[(Box<str>, Box<str>)],
-    work: &Work<'_>,
+    operation: &Operation<'_>,
     at_least: Option<LogPosition>,
     until_us: u64,
-) -> Result<Reply, Lost>
+) -> Result<Reply, LostReply>
 where
     C: Codec,
 {
-    let owed = link.push_session(values, work.prepared());
-    if let Some(reply) = settle(call, link, owed, until_us).await?
+    let pending = link.push_session(values, operation.prepared());
+    if let Some(reply) = exchange_all(call, link, pending, until_us).await?
         && reply.error().is_some()
     {
         return Ok(reply);
     }
-    work.push(link, call.id, at_least);
+    operation.push(link, call.id, at_least);
     link.exchange(call.gateway.clock.instant_at(until_us)).await
 }
 
 /// Sends what was pushed and takes all of its answers. Returns the first error, otherwise the last
 /// answer. After an error the connection's session counts as unknown.
-pub async fn settle<C>(
+pub async fn exchange_all<C>(
     call: &Call<'_, C>,
     link: &mut StatementLink<C>,
     answers: u32,
     until_us: u64,
-) -> Result<Option<Reply>, Lost>
+) -> Result<Option<Reply>, LostReply>
 where
     C: Codec,
 {
@@ -134,7 +134,7 @@
     let mut last = None;
     let mut refused = None;
     for _ in 0..answers {
-        let reply = link.answer(until).await?;
+        let reply = link.next_reply(until).await?;
         if reply.error().is_some() {
             refused.get_or_insert_with(|| reply.clone());
         }
--- a/crates/proxy/src/sessions/request/at_primary.rs
+++ b/crates/proxy/src/sessions/request/at_primary.rs
@@ -23,17 +23,17 @@
 use crate::request::refusal::Refusal;
 use crate::sessions::codec::Codec;
 use crate::sessions::connection::link::StatementLink;
-use crate::sessions::connection::reply::Lost;
+use crate::sessions::connection::reply::LostReply;
 use crate::sessions::connection::reply::Reply;
-use crate::sessions::connection::session::Held;
+use crate::sessions::connection::session::PinnedConnection;
 use crate::sessions::connection::session::Session;
 use crate::sessions::process::latencies::Stage;
 use crate::sessions::process::limits;
 use crate::sessions::process::targets::TargetState;
 use crate::sessions::request::acquire;
-use crate::sessions::request::acquire::NotTaken;
+use crate::sessions::request::acquire::AcquireError;
 use crate::sessions::request::call::Call;
-use crate::sessions::request::call::Work;
+use crate::sessions::request::call::Operation;
 use crate::sessions::request::call::no_primary;
 use crate::sessions::request::prove;
 use crate::sessions::request::prove::Unproved;
@@ -54,7 +54,7 @@
 pub async fn read<C>(
     call: &Call<'_, C>,
     session: &Session<C>,
-    work: &Work<'_>,
+    operation: &Operation<'_>,
 ) -> Result<Reply, Refusal>
 where
     C: Codec,
@@ -62,15 +62,15 @@
     let mut tries = 0;
     loop {
         tries += 1;
-        let guarantee = read::read_guarantee(call, session, work);
-        let held = open(call, session, work, guarantee).await?;
-        match read_once(call, held, work).await {
+        let guarantee = read::read_guarantee(call, session, operation);
+        let pinned = open(call, session, operation, guarantee).await?;
+        match read_once(call, pinned, operation).await {
             Ok(reply) => return Ok(reply),
             Err(lost) => {
                 let may_repeat = tries < limits::MAX_PRIMARY_READS
                     && call.now_us() + limits::PRIMARY_PAUSE_US < call.offer_until_us();
                 if !may_repeat {
-                    return Err(read::lost_read(lost.failure));
+                    return Err(read::lost_read_refusal(lost.failure));
                 }
                 call.gateway.counters.retry(RetryReason::ReadLost);
             }
@@ -79,30 +79,34 @@
 }
 
 /// Runs a read in the transaction whose opening proved the lead.
-async fn read_once<C>(call: &Call<'_, C>, mut held: Held<C>, work: &Work<'_>) -> Result<Reply, Lost>
+async fn read_once<C>(
+    call: &Call<'_, C>,
+    mut pinned: PinnedConnection<C>,
+    operation: &Operation<'_>,
+) -> Result<Reply, LostReply>
 where
     C: Codec,
 {
-    let target = Arc::clone(&held.target);
+    let target = Arc::clone(&pinned.target);
     let sent_us = call.now_us();
     target.started(sent_us);
-    let link = held.lease.connection();
-    work.push(link, call.id, None);
+    let link = pinned.lease.connection();
+    operation.push(link, call.id, None);
     // Sent along: whatever becomes of the read, its transaction ends.
     link.push_own(Statement::Rollback);
     let until = call.gateway.clock.instant_at(read::hedge_at_us(call));
     let answered = link.exchange(until).await;
     target.ended();
-    call.took(Stage::Target, sent_us);
+    call.record_latency(Stage::Target, sent_us);
     let now_us = call.now_us();
     match answered {
         Ok(reply) => {
             target.replied(reply.error(), now_us, Some(now_us.saturating_sub(sent_us)));
             if reply.error() == Some(TargetError::UnknownPrepared) {
-                held.lease.connection().forget_session();
+                pinned.lease.connection().forget_session();
             }
             // The answer to the rollback is awaited while the connection goes back.
-            held.lease.give_back();
+            pinned.lease.give_back();
             Ok(reply)
         }
         Err(lost) => {
@@ -117,53 +121,53 @@
 pub async fn write<C>(
     call: &Call<'_, C>,
     session: &mut Session<C>,
-    work: &Work<'_>,
+    operation: &Operation<'_>,
 ) -> Result<Reply, Refusal>
 where
     C: Codec,
 {
     loop {
-        let (target, mut lease) = take(call).await?;
+        let (target, mut lease) = take_primary(call).await?;
         let until_us = call.deadline_us();
         let link = lease.connection();
-        let owed = link.push_session(&session.values, work.prepared());
-        match acquire::settle(call, link, owed, until_us).await {
+        let pending = link.push_session(&session.values, operation.prepared());
+        match acquire::exchange_all(call, link, pending, until_us).await {
             Ok(Some(reply)) if reply.error().is_some() => {
                 call.gateway.counters.retry(RetryReason::Busy);
                 lease.give_back();
-                pause(call).await?;
+                wait_for_primary(call).await?;
                 continue;
             }
             Ok(_) => (),
             Err(_) => {
                 target.failed(call.now_us());
                 call.gateway.counters.retry(RetryReason::ConnectFailed);
-                pause(call).await?;
+                wait_for_primary(call).await?;
                 continue;
             }
         }
         let sent_us = call.now_us();
         target.started(sent_us);
         target.commit_sent(sent_us);
-        work.push(link, call.id, None);
+        operation.push(link, call.id, None);
         let answered = link.exchange(call.gateway.clock.instant_at(until_us)).await;
         target.ended();
-        call.took(Stage::Target, sent_us);
+        call.record_latency(Stage::Target, sent_us);
         let now_us = call.now_us();
-        target.commit_ended(now_us, answered.as_ref().is_err_and(Lost::timed_out));
+        target.commit_ended(now_us, answered.as_ref().is_err_and(LostReply::timed_out));
         let reply = match answered {
             Ok(reply) => reply,
             Err(lost) => {
                 target.failed(now_us);
                 call.log_lost(&target.record.id, lost.failure);
-                return Err(lost_commit(lost.failure));
+                return Err(lost_commit_refusal(lost.failure));
             }
         };
         target.replied(reply.error(), now_us, None);
         match reply.error() {
             None => {
                 lease.give_back();
-                acknowledged(call, session, &target, sent_us, &reply).await?;
+                finish_commit(call, session, &target, sent_us, &reply).await?;
                 return Ok(reply);
             }
             Some(TargetError::ReadOnly) => call.gateway.refused_lead(&target),
@@ -174,9 +178,9 @@
                 return Ok(reply);
             }
         }
-        call.gateway.counters.retry(reason_of(&reply));
+        call.gateway.counters.retry(retry_reason(&reply));
         lease.give_back();
-        pause(call).await.map_err(|refusal| refused_as(&reply, refusal))?;
+        wait_for_primary(call).await.map_err(|refusal| final_refusal(&reply, refusal))?;
     }
 }
 
@@ -185,9 +189,9 @@
 pub async fn open<C>(
     call: &Call<'_, C>,
     session: &Session<C>,
-    work: &Work<'_>,
+    operation: &Operation<'_>,
     guarantee: ReadGuarantee,
-) -> Result<Held<C>, Refusal>
+) -> Result<PinnedConnection<C>, Refusal>
 where
     C: Codec,
 {
@@ -196,7 +200,7 @@
         ReadGuarantee::Lead | ReadGuarantee::None => None,
     };
     loop {
-        let (target, mut lease) = take(call).await?;
+        let (target, mut lease) = take_primary(call).await?;
         let until_us = read::hedge_at_us(call);
         let sent_us = call.now_us();
         let link = lease.connection();
@@ -205,18 +209,18 @@
         {
             target.failed(call.now_us());
             call.gateway.counters.retry(RetryReason::ConnectFailed);
-            pause(call).await?;
+            wait_for_primary(call).await?;
             continue;
         }
-        let owed = link.push_session(&session.values, work.prepared());
+        let pending = link.push_session(&session.values, operation.prepared());
         link.push_statement(None, at_least, Statement::Begin { read_only: false });
         target.started(sent_us);
         // The other members' words come while the primary answers, so a proof costs hardly any time.
-        let proof = prove_if(guarantee == ReadGuarantee::Lead, call, &target);
-        let settled = acquire::settle(call, link, owed + 1, until_us);
-        let (settled, proof) = tokio::join!(settled, proof);
+        let proof = prove_lead_if(guarantee == ReadGuarantee::Lead, call, &target);
+        let exchanged = acquire::exchange_all(call, link, pending + 1, until_us);
+        let (exchanged, proof) = tokio::join!(exchanged, proof);
         target.ended();
-        let refusal = match settled {
+        let refusal = match exchanged {
             Ok(Some(reply)) if reply.error().is_none() => {
                 target.answered(call.now_us(), None);
                 match (guarantee, proof) {
@@ -229,7 +233,7 @@
                     (ReadGuarantee::Lead, Err(Unproved::Superseded)) => {
                         call.gateway.counters.retry(RetryReason::NotPrimary);
                         lease.give_back();
-                        pause(call).await?;
+                        wait_for_primary(call).await?;
                         continue;
                     }
                     (ReadGuarantee::Lead, Err(Unproved::NoReply)) => {
@@ -237,14 +241,18 @@
                         return Err(ErrorKind::LeadUnproved.into());
                     }
                 }
-                return Ok(Held { lease, target, may_read: guarantee != ReadGuarantee::None });
+                return Ok(PinnedConnection {
+                    lease,
+                    target,
+                    may_read: guarantee != ReadGuarantee::None,
+                });
             }
             Ok(Some(reply)) => {
                 target.replied(reply.error(), call.now_us(), None);
-                if lacks_lead(&reply, at_least) {
+                if shows_lost_lead(&reply, at_least) {
                     call.gateway.refused_lead(&target);
                 }
-                call.gateway.counters.retry(reason_of(&reply));
+                call.gateway.counters.retry(retry_reason(&reply));
                 lease.give_back();
                 Some(reply)
             }
@@ -255,8 +263,8 @@
                 None
             }
         };
-        pause(call).await.map_err(|error| match &refusal {
-            Some(reply) => refused_as(reply, error),
+        wait_for_primary(call).await.map_err(|error| match &refusal {
+            Some(reply) => final_refusal(reply, error),
             None => error,
         })?;
     }
@@ -270,7 +278,7 @@
 /// Where no replica has to receive a commit, a target that was replaced acknowledges as well, and what it
 /// acknowledges is lost when it reaches its successor. So the lead is proved there, or the outcome counts
 /// as unknown.
-pub async fn acknowledged<C>(
+pub async fn finish_commit<C>(
     call: &Call<'_, C>,
     session: &mut Session<C>,
     target: &TargetState<C>,
@@ -291,13 +299,13 @@
     }
     gateway.counters.event(Event::WritesAcknowledged);
     if let Some(position) = reply.position {
-        session.committed(service, position);
+        session.raise_floor(service, position);
     }
     Ok(())
 }
 
 /// Proves the lead of a target at the time when the request had arrived, if that is asked for.
-async fn prove_if<C>(
+async fn prove_lead_if<C>(
     is_needed: bool,
     call: &Call<'_, C>,
     target: &TargetState<C>,
@@ -313,7 +321,7 @@
 
 /// Whether a refusal shows that the target does not lead: it says so, or its log ends in an earlier term
 /// than what was acknowledged.
-fn lacks_lead(reply: &Reply, at_least: Option<LogPosition>) -> bool {
+fn shows_lost_lead(reply: &Reply, at_least: Option<LogPosition>) -> bool {
     let ends_earlier = |at_least: LogPosition| {
         reply.position.is_some_and(|position| position.term < at_least.term)
     };
@@ -325,7 +333,7 @@
 }
 
 /// What a caller is told of a commit without an answer.
-pub fn lost_commit(failure: Failure) -> Refusal {
+pub fn lost_commit_refusal(failure: Failure) -> Refusal {
     match failure {
         Failure::TimedOut => ErrorKind::NotConfirmed.into(),
         _ => ErrorKind::AnswerLost.into(),
@@ -333,7 +341,7 @@
 }
 
 /// Waits for a connection to the primary, whichever target that is meanwhile.
-async fn take<C>(
+async fn take_primary<C>(
     call: &Call<'_, C>,
 ) -> Result<(Arc<TargetState<C>>, Lease<StatementLink<C>>), Refusal>
 where
@@ -344,8 +352,8 @@
         if let Some(target) = call.gateway.primary(&call.route.service) {
             match acquire::take(call, &target, call.offer_until_us()).await {
                 Ok(lease) => return Ok((target, lease)),
-                Err(NotTaken::Queue(refusal)) => return Err(refusal),
-                Err(NotTaken::NotConnected(_)) => {
+                Err(AcquireError::Queue(refusal)) => return Err(refusal),
+                Err(AcquireError::NotConnected(_)) => {
                     call.gateway.counters.retry(RetryReason::ConnectFailed);
                 }
             }
@@ -354,12 +362,12 @@
             waited = true;
             call.gateway.counters.event(Event::PrimaryWaits);
         }
-        pause(call).await?;
+        wait_for_primary(call).await?;
     }
 }
 
 /// Waits for news of the primary, or for a moment; refuses once the request has waited for too long.
-async fn pause<C>(call: &Call<'_, C>) -> Result<(), Refusal>
+async fn wait_for_primary<C>(call: &Call<'_, C>) -> Result<(), Refusal>
 where
     C: Codec,
 {
@@ -374,7 +382,7 @@
     Ok(())
 }
 
-fn reason_of(reply: &Reply) -> RetryReason {
+fn retry_reason(reply: &Reply) -> RetryReason {
     match reply.error() {
         Some(TargetError::ReadOnly) => RetryReason::NotPrimary,
         Some(TargetError::UnknownPrepared) => RetryReason::PreparedLost,
@@ -385,7 +393,7 @@
 }
 
 /// The refusal after the last try, in the words of what the target said.
-fn refused_as(reply: &Reply, otherwise: Refusal) -> Refusal {
+fn final_refusal(reply: &Reply, otherwise: Refusal) -> Refusal {
     match reply.error() {
         Some(TargetError::Busy) => ErrorKind::TargetBusy.into(),
         Some(TargetError::Lagging) => ErrorKind::TooOld.into(),
--- a/crates/proxy/src/sessions/request/call.rs
+++ b/crates/proxy/src/sessions/request/call.rs
@@ -22,7 +22,7 @@
 
 /// What a target is to run.
 #[derive(Clone, Debug)]
-pub enum Work<'a> {
+pub enum Operation<'a> {
     /// A statement as the caller sent it.
     Plain(Statement<'a>),
     /// A prepared statement, which has another name on each connection.
@@ -34,30 +34,30 @@
     },
 }
 
-impl Work<'_> {
+impl Operation<'_> {
     /// What running it would do.
     pub fn effect(&self) -> Effect {
         match self {
-            Work::Plain(Statement::Read { .. }) => Effect::Read,
-            Work::Plain(Statement::Commit) => Effect::Commit,
-            Work::Plain(_) => Effect::Write,
-            Work::Execute { prepared, .. } => prepared.effect,
+            Operation::Plain(Statement::Read { .. }) => Effect::Read,
+            Operation::Plain(Statement::Commit) => Effect::Commit,
+            Operation::Plain(_) => Effect::Write,
+            Operation::Execute { prepared, .. } => prepared.effect,
         }
     }
 
     /// Whether it changes data itself, unlike what only opens or ends a transaction.
     pub fn writes(&self) -> bool {
         match self {
-            Work::Plain(statement) => matches!(statement, Statement::Write { .. }),
-            Work::Execute { prepared, .. } => prepared.effect == Effect::Write,
+            Operation::Plain(statement) => matches!(statement, Statement::Write { .. }),
+            Operation::Execute { prepared, .. } => prepared.effect == Effect::Write,
         }
     }
 
     /// The prepared statement that the connection needs.
     pub fn prepared(&self) -> Option<&Prepared> {
         match self {
-            Work::Plain(_) => None,
-            Work::Execute { prepared, .. } => Some(prepared),
+            Operation::Plain(_) => None,
+            Operation::Execute { prepared, .. } => Some(prepared),
         }
     }
 
@@ -68,8 +68,8 @@
     {
         let id = Some(id);
         match self {
-            Work::Plain(statement) => link.push_statement(id, at_least, *statement),
-            Work::Execute { prepared, arguments } => {
+            Operation::Plain(statement) => link.push_statement(id, at_least, *statement),
+            Operation::Execute { prepared, arguments } => {
                 let name = link.prepared_name(prepared).unwrap_or_default();
                 let statement = Statement::Execute { name: &name, arguments };
                 link.push_statement(id, at_least, statement);
@@ -136,7 +136,7 @@
     }
 
     /// Counts the time that a stage took which began at `since_us`.
-    pub fn took(&self, stage: Stage, since_us: u64) {
+    pub fn record_latency(&self, stage: Stage, since_us: u64) {
         let took_us = self.now_us().saturating_sub(since_us);
         self.gateway.latencies.record(stage, self.class().index(), took_us);
     }
--- a/crates/proxy/src/sessions/request/execute.rs
+++ b/crates/proxy/src/sessions/request/execute.rs
@@ -19,10 +19,10 @@
 use crate::sessions::process::latencies::Stage;
 use crate::sessions::request::at_primary;
 use crate::sessions::request::call::Call;
-use crate::sessions::request::call::Work;
+use crate::sessions::request::call::Operation;
 use crate::sessions::request::read;
 use crate::sessions::request::transaction;
-use crate::sessions::version::holder::Holder;
+use crate::sessions::version::principal::Principal;
 
 /// The answer to one statement.
 #[derive(Debug)]
@@ -51,24 +51,24 @@
         Statement::Begin { read_only } => begin(gateway, session, read_only, arrived_us),
         Statement::Rollback => roll_back(gateway, session),
         Statement::Set { name, value } => {
-            local(gateway, session, |session| session.set(name, value))
+            run_locally(gateway, session, |session| session.set(name, value))
         }
         Statement::Prepare { name, prepared } => {
-            local(gateway, session, |session| session.prepare(name, prepared))
+            run_locally(gateway, session, |session| session.prepare(name, prepared))
         }
-        Statement::Close { name } => local(gateway, session, |session| {
+        Statement::Close { name } => run_locally(gateway, session, |session| {
             session.prepared.remove(name);
             Ok(())
         }),
         Statement::Execute { name, arguments } => match session.prepared.get(name).cloned() {
             Some(prepared) => {
-                let work = Work::Execute { prepared, arguments };
-                remote(gateway, session, id, work, arrived_us).await
+                let operation = Operation::Execute { prepared, arguments };
+                run_at_target(gateway, session, id, operation, arrived_us).await
             }
             None => Err(ErrorKind::UnknownPrepared.into()),
         },
         Statement::Commit | Statement::Read { .. } | Statement::Write { .. } => {
-            remote(gateway, session, id, Work::Plain(statement), arrived_us).await
+            run_at_target(gateway, session, id, Operation::Plain(statement), arrived_us).await
         }
     };
     result.unwrap_or_else(|refusal| {
@@ -91,13 +91,13 @@
     }
     let route = route(gateway, session)?;
     let transaction = Transaction {
-        holder: gateway.holder(session.key, Some(&route))?,
+        principal: gateway.holder(session.key, Some(&route))?,
         route,
-        is_counted: false,
+        is_charged: false,
         read_only,
         began_us: arrived_us,
         wrote: false,
-        held: None,
+        pinned: None,
     };
     session.state = SessionState::Open(Box::new(transaction));
     gateway.counters.event(Event::AnsweredLocally);
@@ -120,13 +120,17 @@
 }
 
 /// A statement that changes the session only.
-fn local<C, F>(gateway: &Gateway<C>, session: &mut Session<C>, change: F) -> Result<Answer, Refusal>
+fn run_locally<C, F>(
+    gateway: &Gateway<C>,
+    session: &mut Session<C>,
+    change: F,
+) -> Result<Answer, Refusal>
 where
     C: Codec,
     F: FnOnce(&mut Session<C>) -> Result<(), ErrorKind>,
 {
     if let SessionState::Failed(kind) = &mut session.state {
-        return Err(tell_failed(kind));
+        return Err(report_failed(kind));
     }
     change(session).map_err(Refusal::from)?;
     gateway.counters.event(Event::AnsweredLocally);
@@ -134,11 +138,11 @@
 }
 
 /// A statement that a target has to run.
-async fn remote<C>(
+async fn run_at_target<C>(
     gateway: &Gateway<C>,
     session: &mut Session<C>,
     id: &str,
-    work: Work<'_>,
+    operation: Operation<'_>,
     arrived_us: u64,
 ) -> Result<Answer, Refusal>
 where
@@ -147,11 +151,11 @@
     let number = session.number;
     match std::mem::take(&mut session.state) {
         SessionState::Failed(mut kind) => {
-            let refusal = match work.effect() {
+            let refusal = match operation.effect() {
                 // Its end is what a failed transaction waits for.
                 Effect::Commit => ErrorKind::TransactionLost.into(),
                 _ => {
-                    let refusal = tell_failed(&mut kind);
+                    let refusal = report_failed(&mut kind);
                     session.state = SessionState::Failed(kind);
                     refusal
                 }
@@ -160,11 +164,11 @@
         }
         SessionState::Open(mut open) => {
             let route = Arc::clone(&open.route);
-            let holder = match holder_of_open(gateway, session, &open) {
-                Ok(holder) => holder,
+            let principal = match principal_of_open(gateway, session, &open) {
+                Ok(principal) => principal,
                 Err(refusal) => {
                     transaction::roll_back(open);
-                    session.state = transaction::after_refusal(&work);
+                    session.state = transaction::after_refusal(&operation);
                     return Err(refusal);
                 }
             };
@@ -172,42 +176,44 @@
                 gateway,
                 id,
                 session: number,
-                user: holder.user(&gateway.vm),
+                user: principal.user(&gateway.vm),
                 route: &route,
                 arrived_us: open.began_us,
                 began_us: arrived_us,
             };
-            if !open.is_counted {
-                if let Err(refusal) = count(&call, &holder).await {
-                    session.state = transaction::after_refusal(&work);
+            if !open.is_charged {
+                if let Err(refusal) = charge_quota(&call, &principal).await {
+                    session.state = transaction::after_refusal(&operation);
                     return Err(refusal);
                 }
-                open.is_counted = true;
+                open.is_charged = true;
             }
-            let result = transaction::run(&call, session, open, &work).await;
+            let result = transaction::run(&call, session, open, &operation).await;
             finish(&call, result)
         }
         SessionState::Idle => {
-            if work.effect() == Effect::Commit {
+            if operation.effect() == Effect::Commit {
                 return Err(ErrorKind::ProtocolViolation.into());
             }
             let route = route(gateway, session)?;
-            let holder = gateway.holder(session.key, Some(&route))?;
+            let principal = gateway.holder(session.key, Some(&route))?;
             let call = Call {
                 gateway,
                 id,
                 session: number,
-                user: holder.user(&gateway.vm),
+                user: principal.user(&gateway.vm),
                 route: &route,
                 arrived_us,
                 began_us: arrived_us,
             };
-            count(&call, &holder).await?;
-            let result = match (work.effect(), route.reads) {
-                (Effect::Read, ReadRule::Primary) => at_primary::read(&call, session, &work).await,
-                (Effect::Read, _) => read::run(&call, session, &work).await,
+            charge_quota(&call, &principal).await?;
+            let result = match (operation.effect(), route.reads) {
+                (Effect::Read, ReadRule::Primary) => {
+                    at_primary::read(&call, session, &operation).await
+                }
+                (Effect::Read, _) => read::run(&call, session, &operation).await,
                 (Effect::Write | Effect::Commit, _) => {
-                    at_primary::write(&call, session, &work).await
+                    at_primary::write(&call, session, &operation).await
                 }
             };
             finish(&call, result)
@@ -221,26 +227,26 @@
 ///
 /// `TransactionLost` if the key was withdrawn or went to another organisation meanwhile: the transaction runs
 /// under a name that the caller may not use any more.
-fn holder_of_open<C>(
+fn principal_of_open<C>(
     gateway: &Gateway<C>,
     session: &Session<C>,
     open: &Transaction<C>,
-) -> Result<Holder, Refusal>
+) -> Result<Principal, Refusal>
 where
     C: Codec,
 {
     match gateway.holder(session.key, Some(&open.route)) {
-        Ok(holder) if holder.is_same(&open.holder) => Ok(holder),
+        Ok(principal) if principal.is_same_user(&open.principal) => Ok(principal),
         _ => Err(ErrorKind::TransactionLost.into()),
     }
 }
 
 /// Counts an operation towards the limit of its organisation.
-async fn count<C>(call: &Call<'_, C>, holder: &Holder) -> Result<(), Refusal>
+async fn charge_quota<C>(call: &Call<'_, C>, principal: &Principal) -> Result<(), Refusal>
 where
     C: Codec,
 {
-    let Holder::Organisation(organisation) = holder else { return Ok(()) };
+    let Principal::Organisation(organisation) = principal else { return Ok(()) };
     let gateway = call.gateway;
     let counted = gateway.quotas.admit(organisation, call.offer_until_us()).await;
     if let Err(refusal) = &counted {
@@ -263,7 +269,7 @@
 where
     C: Codec,
 {
-    call.took(Stage::Whole, call.began_us);
+    call.record_latency(Stage::Whole, call.began_us);
     if let Err(refusal) = &result {
         call.log_refusal(refusal);
     }
@@ -279,6 +285,6 @@
 
 /// The first statement after a failure that the caller doesn't know of is told about it; later
 /// ones break the protocol.
-fn tell_failed(kind: &mut ErrorKind) -> Refusal {
+fn report_failed(kind: &mut ErrorKind) -> Refusal {
     std::mem::replace(kind, ErrorKind::ProtocolViolation).into()
 }
--- a/crates/proxy/src/sessions/request/prove.rs
+++ b/crates/proxy/src/sessions/request/prove.rs
@@ -18,7 +18,7 @@
 use crate::sessions::codec::Query;
 use crate::sessions::connection::link::StatementLink;
 use crate::sessions::connection::reply::End;
-use crate::sessions::connection::reply::Lost;
+use crate::sessions::connection::reply::LostReply;
 use crate::sessions::connection::reply::Reply;
 use crate::sessions::process::gateway::Gateway;
 use crate::sessions::process::limits;
@@ -26,10 +26,10 @@
 use crate::sessions::request::call::Call;
 
 /// The pause after questions that nobody answered.
-const ASK_AGAIN: Duration = Duration::from_millis(10);
+const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
 /// How long the first members asked may take before the others are asked as well. They answer in 2 ms.
-const ASK_OTHERS: Duration = Duration::from_millis(15);
+const HEDGE_DELAY: Duration = Duration::from_millis(15);
 
 /// Why a lead was not proved.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -45,13 +45,13 @@
 pub async fn lead<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
-    moment_us: u64,
+    as_of_us: u64,
     until_us: u64,
 ) -> Result<(), Unproved>
 where
     C: Codec,
 {
-    let result = settle(gateway, target, moment_us, until_us).await;
+    let result = prove_until(gateway, target, as_of_us, until_us).await;
     match result {
         Ok(()) => gateway.counters.event(Event::LeadsProved),
         Err(Unproved::NoReply) => gateway.counters.event(Event::LeadsUnproved),
@@ -60,21 +60,21 @@
     result
 }
 
-async fn settle<C>(
+async fn prove_until<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
-    moment_us: u64,
+    as_of_us: u64,
     until_us: u64,
 ) -> Result<(), Unproved>
 where
     C: Codec,
 {
     let state = gateway.service(&target.record.service);
-    let came_us = gateway.clock.now_us();
+    let entered_us = gateway.clock.now_us();
     let mut was_asked = false;
     loop {
         let asked = state.asking.ended();
-        let verdict = gateway.lead_verdict(target, moment_us);
+        let verdict = gateway.lead_verdict(target, as_of_us);
         match verdict {
             LeadVerdict::Proved => return Ok(()),
             LeadVerdict::Superseded { term } => {
@@ -85,20 +85,20 @@
         }
         let now_us = gateway.clock.now_us();
         // Nobody answered just before it came, or whoever is left can't be reached: it is told so at once.
-        let is_hopeless = was_asked && is_hopeless(gateway, target, verdict, moment_us);
-        if now_us >= until_us || is_hopeless || state.was_asked_in_vain(came_us) {
-            log_unproved(gateway, target, moment_us, verdict);
+        let is_unprovable = was_asked && is_unprovable(gateway, target, verdict, as_of_us);
+        if now_us >= until_us || is_unprovable || state.was_asked_in_vain(entered_us) {
+            log_unproved(gateway, target, as_of_us, verdict);
             return Err(Unproved::NoReply);
         }
         was_asked = true;
         match state.asking.begin() {
             Some(_asking) => {
-                let is_answered = ask(gateway, target, verdict, moment_us, until_us).await?;
+                let is_answered = ask_members(gateway, target, verdict, as_of_us, until_us).await?;
                 if !is_answered {
-                    if nobody_is_reached(gateway, target) {
+                    if no_member_is_reachable(gateway, target) {
                         state.set_asked_in_vain(gateway.clock.now_us());
                     }
-                    time::sleep(ASK_AGAIN).await;
+                    time::sleep(RETRY_PAUSE).await;
                 }
             }
             None => {
@@ -119,11 +119,11 @@
 }
 
 /// Asks whoever can help. Returns whether anybody said anything.
-async fn ask<C>(
+async fn ask_members<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
     verdict: LeadVerdict,
-    moment_us: u64,
+    as_of_us: u64,
     until_us: u64,
 ) -> Result<bool, Unproved>
 where
@@ -133,7 +133,7 @@
         LeadVerdict::Missing(missing) => missing,
         LeadVerdict::TermUnknown => {
             // Nothing can be counted before it is known which term the words are about.
-            let Some(word) = word_of(gateway, target, until_us).await else { return Ok(false) };
+            let Some(word) = fetch_word(gateway, target, until_us).await else { return Ok(false) };
             if !word.leads {
                 gateway.refused_lead(target);
                 return Err(Unproved::Superseded);
@@ -143,16 +143,17 @@
         LeadVerdict::Proved | LeadVerdict::Superseded { .. } => return Ok(true),
     };
     let state = gateway.service(&target.record.service);
-    let has_said = |member: &Arc<TargetState<C>>| {
+    let has_reported = |member: &Arc<TargetState<C>>| {
         let asked_us = state.words.lock().asked_us(&member.record.id);
-        asked_us.is_some_and(|asked_us| asked_us >= moment_us)
+        asked_us.is_some_and(|asked_us| asked_us >= as_of_us)
     };
-    let mut others = witnesses(gateway, target).into_iter().filter(|member| !has_said(member));
-    let ask = async |member: Arc<TargetState<C>>| word_of(gateway, &member, until_us).await;
+    let mut others =
+        other_members(gateway, target).into_iter().filter(|member| !has_reported(member));
+    let ask = async |member: Arc<TargetState<C>>| fetch_word(gateway, &member, until_us).await;
     let mut asked: FuturesUnordered<_> = others.by_ref().take(missing).map(ask).collect();
     let mut is_answered = false;
     while missing > 0 && !asked.is_empty() {
-        match time::timeout(ASK_OTHERS, asked.next()).await {
+        match time::timeout(HEDGE_DELAY, asked.next()).await {
             Ok(Some(word)) if word.is_some() => {
                 missing -= 1;
                 is_answered = true;
@@ -166,11 +167,11 @@
 
 /// Whether so many members were not heard since a moment, and can't be reached, that the words which are
 /// missing can't come: asking the others again brings nothing.
-fn is_hopeless<C>(
+fn is_unprovable<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
     verdict: LeadVerdict,
-    moment_us: u64,
+    as_of_us: u64,
 ) -> bool
 where
     C: Codec,
@@ -178,15 +179,15 @@
     let LeadVerdict::Missing(missing) = verdict else { return false };
     let state = gateway.service(&target.record.service);
     let now_us = gateway.clock.now_us();
-    let may_say = |member: &Arc<TargetState<C>>| {
+    let may_report = |member: &Arc<TargetState<C>>| {
         let asked_us = state.words.lock().asked_us(&member.record.id);
-        asked_us.is_none_or(|asked_us| asked_us < moment_us) && !member.is_ejected(now_us)
+        asked_us.is_none_or(|asked_us| asked_us < as_of_us) && !member.is_ejected(now_us)
     };
-    witnesses(gateway, target).into_iter().filter(may_say).count() < missing
+    other_members(gateway, target).into_iter().filter(may_report).count() < missing
 }
 
 /// Whether no other member can be reached: one that only has no connection free may answer next time.
-fn nobody_is_reached<C>(gateway: &Gateway<C>, target: &TargetState<C>) -> bool
+fn no_member_is_reachable<C>(gateway: &Gateway<C>, target: &TargetState<C>) -> bool
 where
     C: Codec,
 {
@@ -201,24 +202,24 @@
     gateway: &Gateway<C>,
     target: &TargetState<C>,
     link: &mut StatementLink<C>,
-    moment_us: u64,
-) -> Result<(), Lost>
+    as_of_us: u64,
+) -> Result<(), LostReply>
 where
     C: Codec,
 {
-    if gateway.lead_verdict(target, moment_us) != LeadVerdict::TermUnknown {
+    if gateway.lead_verdict(target, as_of_us) != LeadVerdict::TermUnknown {
         return Ok(());
     }
     gateway.counters.event(Event::WordsAsked);
     let asked_us = gateway.clock.now_us();
     let until = gateway.clock.instant_at(asked_us + limits::STATUS_TIMEOUT_US);
     let reply = link.ask(&Query::ImmediateStatus, until).await?;
-    heard(gateway, target, asked_us, &reply);
+    record_word(gateway, target, asked_us, &reply);
     Ok(())
 }
 
 /// Takes in what a member said of itself.
-fn heard<C>(
+fn record_word<C>(
     gateway: &Gateway<C>,
     member: &TargetState<C>,
     asked_us: u64,
@@ -236,7 +237,7 @@
 }
 
 /// The other members, those first that are expected to answer first.
-fn witnesses<C>(gateway: &Gateway<C>, target: &TargetState<C>) -> Vec<Arc<TargetState<C>>>
+fn other_members<C>(gateway: &Gateway<C>, target: &TargetState<C>) -> Vec<Arc<TargetState<C>>>
 where
     C: Codec,
 {
@@ -249,17 +250,17 @@
 }
 
 /// What a member says of itself.
-async fn word_of<C>(gateway: &Gateway<C>, member: &TargetState<C>, until_us: u64) -> Option<Word>
+async fn fetch_word<C>(gateway: &Gateway<C>, member: &TargetState<C>, until_us: u64) -> Option<Word>
 where
     C: Codec,
 {
     let asked_us = gateway.clock.now_us();
-    let reply = status_of(gateway, member, until_us).await.ok()?;
-    heard(gateway, member, asked_us, &reply)
+    let reply = request_status(gateway, member, until_us).await.ok()?;
+    record_word(gateway, member, asked_us, &reply)
 }
 
 /// Asks a member for its standing, past the queue: it takes no slot.
-pub async fn status_of<C>(
+pub async fn request_status<C>(
     gateway: &Gateway<C>,
     member: &TargetState<C>,
     until_us: u64,
@@ -288,7 +289,7 @@
 fn log_unproved<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
-    moment_us: u64,
+    as_of_us: u64,
     verdict: LeadVerdict,
 ) where
     C: Codec,
@@ -297,6 +298,6 @@
     let Some(left_out) = gateway.log_budget.take("unproved", now_us) else { return };
     slog::info!(gateway.log, "the lead is not proved";
         "service" => &*target.record.service, "target" => &*target.record.id,
-        "verdict" => ?verdict, "waited_us" => now_us.saturating_sub(moment_us),
+        "verdict" => ?verdict, "waited_us" => now_us.saturating_sub(as_of_us),
         "left_out" => left_out);
 }
--- a/crates/proxy/src/sessions/request/read.rs
+++ b/crates/proxy/src/sessions/request/read.rs
@@ -29,15 +29,15 @@
 use crate::sessions::process::limits;
 use crate::sessions::process::targets::TargetState;
 use crate::sessions::request::acquire;
-use crate::sessions::request::acquire::NotTaken;
+use crate::sessions::request::acquire::AcquireError;
 use crate::sessions::request::at_primary;
 use crate::sessions::request::at_primary::ReadGuarantee;
 use crate::sessions::request::call::Call;
-use crate::sessions::request::call::Work;
+use crate::sessions::request::call::Operation;
 use crate::sessions::request::sample;
 
 /// What one member did with a read.
-enum Offered {
+enum OfferResult {
     /// This is the caller's answer.
     Answered(Reply),
     /// Another member may do better.
@@ -52,7 +52,7 @@
 pub async fn run<C>(
     call: &Call<'_, C>,
     session: &Session<C>,
-    work: &Work<'_>,
+    operation: &Operation<'_>,
 ) -> Result<Reply, Refusal>
 where
     C: Codec,
@@ -63,17 +63,17 @@
         let Some(at_least) = position(call, session).await else { break };
         let Some(target) = choose(call, &tried) else { break };
         tried.push(Arc::clone(&target.record.id));
-        match offer(call, session, work, &target, at_least).await {
-            Offered::Answered(reply) => return Ok(reply),
-            Offered::TryNext(reason) => call.gateway.counters.retry(reason),
-            Offered::Failed(reply) => {
+        match offer(call, session, operation, &target, at_least).await {
+            OfferResult::Answered(reply) => return Ok(reply),
+            OfferResult::TryNext(reason) => call.gateway.counters.retry(reason),
+            OfferResult::Failed(reply) => {
                 call.gateway.counters.retry(RetryReason::ReadLost);
                 last_failure = Some(reply);
             }
-            Offered::QueueTooLong => call.gateway.counters.retry(RetryReason::NoRoom),
+            OfferResult::QueueTooLong => call.gateway.counters.retry(RetryReason::NoRoom),
         }
     }
-    let at_primary = at_primary::read(call, session, work).await;
+    let at_primary = at_primary::read(call, session, operation).await;
     match (at_primary, last_failure) {
         (Err(_), Some(reply)) => Ok(reply),
         (result, _) => result,
@@ -117,7 +117,7 @@
 pub fn read_guarantee<C>(
     call: &Call<'_, C>,
     session: &Session<C>,
-    first: &Work<'_>,
+    first: &Operation<'_>,
 ) -> ReadGuarantee
 where
     C: Codec,
@@ -137,10 +137,10 @@
 {
     let now_us = call.now_us();
     let members = call.gateway.members(&call.route.service);
-    let fit = members.into_iter().filter(|member| !member.is_leaving());
-    let fit: Vec<_> = fit.filter(|member| !tried.contains(&member.record.id)).collect();
-    let preferred = call.user.and_then(|user| preferred(call, user, &fit));
-    let candidates: Vec<ReadCandidate> = fit
+    let eligible = members.into_iter().filter(|member| !member.is_leaving());
+    let eligible: Vec<_> = eligible.filter(|member| !tried.contains(&member.record.id)).collect();
+    let preferred = call.user.and_then(|user| preferred(call, user, &eligible));
+    let candidates: Vec<ReadCandidate> = eligible
         .iter()
         .map(|member| {
             let health = member.health();
@@ -158,8 +158,8 @@
         .collect();
     let best = read_choice::choose(&candidates)?;
     // A member that fails or lags is no better than the primary that is asked after all.
-    let is_poor = candidates[best].fails || candidates[best].lags;
-    (!is_poor || tried.is_empty()).then(|| Arc::clone(&fit[best]))
+    let is_unhealthy = candidates[best].fails || candidates[best].lags;
+    (!is_unhealthy || tried.is_empty()).then(|| Arc::clone(&eligible[best]))
 }
 
 /// The replica that a user's reads go to unless another answers sooner: each replica holds connections of a part of
@@ -189,73 +189,75 @@
 async fn offer<C>(
     call: &Call<'_, C>,
     session: &Session<C>,
-    work: &Work<'_>,
+    operation: &Operation<'_>,
     target: &Arc<TargetState<C>>,
     at_least: LogPosition,
-) -> Offered
+) -> OfferResult
 where
     C: Codec,
 {
     let until_us = call.next_offer_until_us();
     let mut lease = match acquire::take(call, target, until_us).await {
         Ok(lease) => lease,
-        Err(NotTaken::Queue(_)) => return Offered::QueueTooLong,
-        Err(NotTaken::NotConnected(_)) => return Offered::TryNext(RetryReason::ConnectFailed),
+        Err(AcquireError::Queue(_)) => return OfferResult::QueueTooLong,
+        Err(AcquireError::NotConnected(_)) => {
+            return OfferResult::TryNext(RetryReason::ConnectFailed);
+        }
     };
     let sent_us = call.now_us();
     target.started(sent_us);
     let until_us = hedge_at_us(call);
     let (link, at_least) = (lease.connection(), Some(at_least));
-    let answered = acquire::run(call, link, &session.values, work, at_least, until_us).await;
+    let answered = acquire::run(call, link, &session.values, operation, at_least, until_us).await;
     target.ended();
-    call.took(Stage::Target, sent_us);
+    call.record_latency(Stage::Target, sent_us);
     let now_us = call.now_us();
     let reply = match answered {
         Ok(reply) => reply,
         Err(lost) => {
             target.failed(now_us);
             call.log_lost(&target.record.id, lost.failure);
-            return Offered::TryNext(RetryReason::ReadLost);
+            return OfferResult::TryNext(RetryReason::ReadLost);
         }
     };
-    let offered = judge(target, lease.connection(), reply, sent_us, now_us);
+    let offered = classify_reply(target, lease.connection(), reply, sent_us, now_us);
     lease.give_back();
     offered
 }
 
-fn judge<C>(
+fn classify_reply<C>(
     target: &TargetState<C>,
     link: &mut StatementLink<C>,
     reply: Reply,
     sent_us: u64,
     now_us: u64,
-) -> Offered
+) -> OfferResult
 where
     C: Codec,
 {
     let took_us = now_us.saturating_sub(sent_us);
     let Some(error) = reply.error() else {
         target.answered(now_us, Some(took_us));
-        return Offered::Answered(reply);
+        return OfferResult::Answered(reply);
     };
     target.replied(Some(error), now_us, None);
     match error {
         TargetError::Lagging => {
             target.lagged(now_us);
-            Offered::TryNext(RetryReason::Lagging)
+            OfferResult::TryNext(RetryReason::Lagging)
         }
-        TargetError::Busy => Offered::TryNext(RetryReason::Busy),
-        TargetError::Unreachable => Offered::TryNext(RetryReason::ConnectFailed),
+        TargetError::Busy => OfferResult::TryNext(RetryReason::Busy),
+        TargetError::Unreachable => OfferResult::TryNext(RetryReason::ConnectFailed),
         TargetError::UnknownPrepared => {
             link.forget_session();
-            Offered::TryNext(RetryReason::PreparedLost)
+            OfferResult::TryNext(RetryReason::PreparedLost)
         }
-        _ => Offered::Failed(reply),
+        _ => OfferResult::Failed(reply),
     }
 }
 
 /// What a caller is told of a read that was lost on its way.
-pub fn lost_read(failure: Failure) -> Refusal {
+pub fn lost_read_refusal(failure: Failure) -> Refusal {
     match failure {
         Failure::TimedOut => ErrorKind::AnswerTimedOut.into(),
         _ => ErrorKind::ReadFailed.into(),
--- a/crates/proxy/src/sessions/request/sample.rs
+++ b/crates/proxy/src/sessions/request/sample.rs
@@ -21,7 +21,7 @@
 use crate::sessions::request::prove;
 
 /// The time for the question, in microseconds. Most reads have a position from before meanwhile.
-const LIMIT_US: u64 = 250_000;
+const TIMEOUT_US: u64 = 250_000;
 
 /// Brings a position, one of at most `max_age_us` where another process tells it. None if the primary is not
 /// known, or did not prove its lead.
@@ -30,7 +30,7 @@
     C: Codec,
 {
     let target = gateway.primary(service)?;
-    let until = gateway.clock.instant_at(gateway.clock.now_us() + LIMIT_US);
+    let until = gateway.clock.instant_at(gateway.clock.now_us() + TIMEOUT_US);
     let lease = match target.pool().take(None, None, until).await {
         Ok(lease) => lease,
         Err(failure) => {
@@ -42,12 +42,12 @@
         }
     };
     match target.is_own() {
-        true => by_transaction(gateway, &target, lease).await,
-        false => from_home(gateway, &target, lease, max_age_us).await,
+        true => sample_with_transaction(gateway, &target, lease).await,
+        false => sample_from_home(gateway, &target, lease, max_age_us).await,
     }
 }
 
-async fn by_transaction<C>(
+async fn sample_with_transaction<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
     mut lease: Lease<StatementLink<C>>,
@@ -56,7 +56,7 @@
     C: Codec,
 {
     let sent_us = gateway.clock.now_us();
-    let until = gateway.clock.instant_at(sent_us + LIMIT_US);
+    let until = gateway.clock.instant_at(sent_us + TIMEOUT_US);
     let link = lease.connection();
     if prove::learn_term(gateway, target, link, sent_us).await.is_err() {
         target.failed(gateway.clock.now_us());
@@ -65,7 +65,7 @@
     link.push_own(Statement::Begin { read_only: false });
     // Whether it was opened or refused, it is over.
     link.push_own(Statement::Rollback);
-    let proof = prove::lead(gateway, target, sent_us, sent_us + LIMIT_US);
+    let proof = prove::lead(gateway, target, sent_us, sent_us + TIMEOUT_US);
     let (exchanged, proof) = tokio::join!(link.exchange(until), proof);
     let Ok(reply) = exchanged else {
         target.failed(gateway.clock.now_us());
@@ -87,7 +87,7 @@
     }
 }
 
-async fn from_home<C>(
+async fn sample_from_home<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
     mut lease: Lease<StatementLink<C>>,
@@ -98,7 +98,7 @@
 {
     gateway.counters.event(Event::PositionsAsked);
     let sent_us = gateway.clock.now_us();
-    let until = gateway.clock.instant_at(sent_us + LIMIT_US);
+    let until = gateway.clock.instant_at(sent_us + TIMEOUT_US);
     let reply = lease.connection().ask(&Query::Position { max_age_us }, until).await.ok()?;
     lease.give_back();
     if !matches!(reply.end, End::Complete { .. }) {
--- a/crates/proxy/src/sessions/request/transaction.rs
+++ b/crates/proxy/src/sessions/request/transaction.rs
@@ -16,9 +16,9 @@
 use crate::process::counters::RetryReason;
 use crate::request::refusal::Refusal;
 use crate::sessions::codec::Codec;
-use crate::sessions::connection::reply::Lost;
+use crate::sessions::connection::reply::LostReply;
 use crate::sessions::connection::reply::Reply;
-use crate::sessions::connection::session::Held;
+use crate::sessions::connection::session::PinnedConnection;
 use crate::sessions::connection::session::Session;
 use crate::sessions::connection::session::SessionState;
 use crate::sessions::connection::session::Transaction;
@@ -27,7 +27,7 @@
 use crate::sessions::request::acquire;
 use crate::sessions::request::at_primary;
 use crate::sessions::request::call::Call;
-use crate::sessions::request::call::Work;
+use crate::sessions::request::call::Operation;
 use crate::sessions::request::prove;
 use crate::sessions::request::read;
 
@@ -36,30 +36,30 @@
     call: &Call<'_, C>,
     session: &mut Session<C>,
     mut transaction: Box<Transaction<C>>,
-    work: &Work<'_>,
+    operation: &Operation<'_>,
 ) -> Result<Reply, Refusal>
 where
     C: Codec,
 {
-    let held = match transaction.held.take() {
-        Some(held) => held,
-        None => match open(call, session, &transaction, work).await {
-            Ok(held) => held,
+    let pinned = match transaction.pinned.take() {
+        Some(pinned) => pinned,
+        None => match open(call, session, &transaction, operation).await {
+            Ok(pinned) => pinned,
             Err(refusal) => {
-                session.state = after_refusal(work);
+                session.state = after_refusal(operation);
                 return Err(refusal);
             }
         },
     };
-    statement(call, session, transaction, held, work).await
+    run_statement(call, session, transaction, pinned, operation).await
 }
 
 /// A transaction whose first statement did not come about is over, unless it was ended by it.
-pub fn after_refusal<C>(work: &Work<'_>) -> SessionState<C>
+pub fn after_refusal<C>(operation: &Operation<'_>) -> SessionState<C>
 where
     C: Codec,
 {
-    match work.effect() {
+    match operation.effect() {
         Effect::Commit => SessionState::Idle,
         _ => SessionState::Failed(ErrorKind::ProtocolViolation),
     }
@@ -69,26 +69,26 @@
     call: &Call<'_, C>,
     session: &Session<C>,
     transaction: &Transaction<C>,
-    work: &Work<'_>,
-) -> Result<Held<C>, Refusal>
+    operation: &Operation<'_>,
+) -> Result<PinnedConnection<C>, Refusal>
 where
     C: Codec,
 {
     if transaction.read_only
         && transaction.route.reads != ReadRule::Primary
-        && let Some(held) = open_reading(call, session, work).await
+        && let Some(pinned) = open_read_only(call, session, operation).await
     {
-        return Ok(held);
+        return Ok(pinned);
     }
-    at_primary::open(call, session, work, read::read_guarantee(call, session, work)).await
+    at_primary::open(call, session, operation, read::read_guarantee(call, session, operation)).await
 }
 
 /// Opens a transaction that only reads at a member that has what it must see.
-async fn open_reading<C>(
+async fn open_read_only<C>(
     call: &Call<'_, C>,
     session: &Session<C>,
-    work: &Work<'_>,
-) -> Option<Held<C>>
+    operation: &Operation<'_>,
+) -> Option<PinnedConnection<C>>
 where
     C: Codec,
 {
@@ -103,12 +103,12 @@
             continue;
         };
         let link = lease.connection();
-        let owed = link.push_session(&session.values, work.prepared());
+        let pending = link.push_session(&session.values, operation.prepared());
         link.push_statement(None, Some(at_least), Statement::Begin { read_only: true });
-        match acquire::settle(call, link, owed + 1, read::hedge_at_us(call)).await {
+        match acquire::exchange_all(call, link, pending + 1, read::hedge_at_us(call)).await {
             Ok(Some(reply)) if reply.error().is_none() => {
                 target.answered(call.now_us(), None);
-                return Some(Held { lease, target, may_read: true });
+                return Some(PinnedConnection { lease, target, may_read: true });
             }
             Ok(reply) => {
                 let error = reply.and_then(|reply| reply.error());
@@ -129,86 +129,89 @@
     None
 }
 
-async fn statement<C>(
+async fn run_statement<C>(
     call: &Call<'_, C>,
     session: &mut Session<C>,
     mut transaction: Box<Transaction<C>>,
-    mut held: Held<C>,
-    work: &Work<'_>,
+    mut pinned: PinnedConnection<C>,
+    operation: &Operation<'_>,
 ) -> Result<Reply, Refusal>
 where
     C: Codec,
 {
-    if work.effect() == Effect::Read
-        && !held.may_read
-        && let Err(refusal) = prove_for_reads(call, &mut held).await
+    if operation.effect() == Effect::Read
+        && !pinned.may_read
+        && let Err(refusal) = ensure_may_read(call, &mut pinned).await
     {
         // Its connection rolls back as it goes back.
-        held.lease.give_back();
+        pinned.lease.give_back();
         session.state = SessionState::Failed(ErrorKind::ProtocolViolation);
         return Err(refusal);
     }
-    let is_commit = work.effect() == Effect::Commit;
+    let is_commit = operation.effect() == Effect::Commit;
     let until_us = call.deadline_us();
-    held.lease.statement_started();
+    pinned.lease.statement_started();
     let sent_us = call.now_us();
-    held.target.started(sent_us);
+    pinned.target.started(sent_us);
     let is_durable = is_commit && transaction.wrote;
     if is_durable {
-        held.target.commit_sent(sent_us);
+        pinned.target.commit_sent(sent_us);
     }
-    let link = held.lease.connection();
-    let answered = acquire::run(call, link, &session.values, work, None, until_us).await;
+    let link = pinned.lease.connection();
+    let answered = acquire::run(call, link, &session.values, operation, None, until_us).await;
     if is_durable {
-        let timed_out = answered.as_ref().is_err_and(Lost::timed_out);
-        held.target.commit_ended(call.now_us(), timed_out);
+        let timed_out = answered.as_ref().is_err_and(LostReply::timed_out);
+        pinned.target.commit_ended(call.now_us(), timed_out);
     }
-    held.target.ended();
-    held.lease.statement_ended();
-    call.took(Stage::Target, sent_us);
+    pinned.target.ended();
+    pinned.lease.statement_ended();
+    call.record_latency(Stage::Target, sent_us);
     let now_us = call.now_us();
     let reply = match answered {
         Ok(reply) => reply,
         Err(lost) => {
-            held.target.failed(now_us);
-            call.log_lost(&held.target.record.id, lost.failure);
+            pinned.target.failed(now_us);
+            call.log_lost(&pinned.target.record.id, lost.failure);
             if is_commit {
                 session.state = SessionState::Idle;
-                return Err(at_primary::lost_commit(lost.failure));
+                return Err(at_primary::lost_commit_refusal(lost.failure));
             }
             session.state = SessionState::Failed(ErrorKind::ProtocolViolation);
             return Err(ErrorKind::TransactionLost.into());
         }
     };
-    held.target.answered(now_us, None);
-    transaction.wrote |= work.effect() == Effect::Write;
+    pinned.target.answered(now_us, None);
+    transaction.wrote |= operation.effect() == Effect::Write;
     if is_commit {
         session.state = SessionState::Idle;
-        held.lease.give_back();
+        pinned.lease.give_back();
         if reply.error().is_none() && transaction.wrote {
-            at_primary::acknowledged(call, session, &held.target, sent_us, &reply).await?;
+            at_primary::finish_commit(call, session, &pinned.target, sent_us, &reply).await?;
         }
         return Ok(reply);
     }
     if reply.error().is_some() && reply.status != TransactionStatus::Open {
         session.state = SessionState::Failed(ErrorKind::ProtocolViolation);
-        held.lease.give_back();
+        pinned.lease.give_back();
         return Ok(reply);
     }
-    transaction.held = Some(held);
+    transaction.pinned = Some(pinned);
     session.state = SessionState::Open(transaction);
     Ok(reply)
 }
 
 /// The first read of a transaction that began with a write: what it must see has to be shown now.
-async fn prove_for_reads<C>(call: &Call<'_, C>, held: &mut Held<C>) -> Result<(), Refusal>
+async fn ensure_may_read<C>(
+    call: &Call<'_, C>,
+    pinned: &mut PinnedConnection<C>,
+) -> Result<(), Refusal>
 where
     C: Codec,
 {
-    let proof = prove::lead_for(call, &held.target).await;
+    let proof = prove::lead_for(call, &pinned.target).await;
     // Nothing of the transaction is kept.
     proof.map_err(|_| Refusal::from(ErrorKind::TransactionLost))?;
-    held.may_read = true;
+    pinned.may_read = true;
     Ok(())
 }
 
@@ -217,7 +220,7 @@
 where
     C: Codec,
 {
-    if let Some(held) = transaction.held {
-        held.lease.give_back();
+    if let Some(pinned) = transaction.pinned {
+        pinned.lease.give_back();
     }
 }
--- a/crates/proxy/src/sessions/version/mod.rs
+++ b/crates/proxy/src/sessions/version/mod.rs
@@ -1,4 +1,4 @@
 //! What lives as long as one version of configuration and targets.
 
-pub mod holder;
+pub mod principal;
 pub mod view;
