--- a/crates/proxy/src/sessions/connection/peer.rs
+++ b/crates/proxy/src/sessions/connection/peer.rs
@@ -295,8 +295,8 @@
     /// Forwards a status request to the target.
     async fn immediate_status(&mut self) -> Result<Reply, ForwardError> {
         let until_us = self.gateway.clock.now_us() + limits::STATUS_TIMEOUT_US;
-        let status = prove::request_status(&self.gateway, &self.target, until_us).await;
-        status.map_err(|_| ForwardError::Refused(ErrorKind::TargetUnreachable.into()))
+        let reply = prove::request_status(&self.gateway, &self.target, until_us).await;
+        reply.map_err(|_| ForwardError::Refused(ErrorKind::TargetUnreachable.into()))
     }
 
     /// Runs a statement at the target.
