--- a/crates/proxy/src/sessions/connection/messages.rs
+++ b/crates/proxy/src/sessions/connection/messages.rs
@@ -1,4 +1,4 @@
-//! Waiting for a whole message.
+//! Reading complete messages from a stream.
 
 use std::io;
 
@@ -10,43 +10,43 @@
 use crate::sessions::codec::CodecError;
 use crate::sessions::process::limits;
 
-/// Why no message came.
+/// A failure to read a message.
 #[derive(Debug)]
-pub enum NoMessage {
-    /// What came is no message.
+pub enum ReadError {
+    /// The received bytes are not a valid message.
     Codec(CodecError),
-    /// The stream ended.
+    /// The stream was closed before the message was complete.
     Ended,
-    /// The stream broke.
+    /// The stream failed.
     Broken(io::Error),
 }
 
-impl From<NoMessage> for io::Error {
-    fn from(reason: NoMessage) -> io::Error {
+impl From<ReadError> for io::Error {
+    fn from(reason: ReadError) -> io::Error {
         match reason {
-            NoMessage::Codec(_) => io::ErrorKind::InvalidData.into(),
-            NoMessage::Ended => io::ErrorKind::UnexpectedEof.into(),
-            NoMessage::Broken(error) => error,
+            ReadError::Codec(_) => io::ErrorKind::InvalidData.into(),
+            ReadError::Ended => io::ErrorKind::UnexpectedEof.into(),
+            ReadError::Broken(error) => error,
         }
     }
 }
 
-/// Reads until the input starts with a whole message, and returns its length.
+/// Reads until `input` starts with a complete message, and returns the message's length.
 ///
 /// # Errors
 ///
-/// [`NoMessage`] if none comes.
-pub async fn whole<C>(stream: &TcpStream, input: &mut BytesMut) -> Result<usize, NoMessage>
+/// [`ReadError`] if no valid message can be read.
+pub async fn read_message<C>(stream: &TcpStream, input: &mut BytesMut) -> Result<usize, ReadError>
 where
     C: Codec,
 {
     loop {
         let found = C::message_len(input, limits::MAX_MESSAGE_BYTES);
-        if let Some(length) = found.map_err(NoMessage::Codec)? {
+        if let Some(length) = found.map_err(ReadError::Codec)? {
             return Ok(length);
         }
-        if socket::read_some(stream, input).await.map_err(NoMessage::Broken)? == 0 {
-            return Err(NoMessage::Ended);
+        if socket::read_some(stream, input).await.map_err(ReadError::Broken)? == 0 {
+            return Err(ReadError::Ended);
         }
     }
 }
--- a/crates/proxy/src/sessions/connection/peer.rs
+++ b/crates/proxy/src/sessions/connection/peer.rs
@@ -1,9 +1,10 @@
-//! Another proxy's connection that stands for a connection to a target of which this VM is a home.
+//! A connection from another proxy, on which this proxy forwards statements to one target.
 //!
-//! The other proxy speaks as it would to the target. Its session's values and prepared statements are
-//! kept here; a connection to the target is held only while a statement or a transaction runs. What
-//! the target answers goes back unchanged, with status and position, so that the other proxy judges it
-//! as if it had come straight.
+//! Only a VM that holds connections to a target (a home of the target) forwards to it. The other proxy uses
+//! the protocol of targets. Its session values and prepared statements are kept here, and a connection to the
+//! target is held only while a statement or a transaction runs. Replies, including status and position, are
+//! passed back unchanged, so that the other proxy handles them like replies received directly from the
+//! target.
 
 use std::sync::Arc;
 
@@ -32,7 +33,7 @@
 use crate::sessions::connection::link::StatementLink;
 use crate::sessions::connection::messages;
 use crate::sessions::connection::reply::End;
-use crate::sessions::connection::reply::Lost;
+use crate::sessions::connection::reply::LostReply;
 use crate::sessions::connection::reply::Reply;
 use crate::sessions::process::feed;
 use crate::sessions::process::feed::publisher;
@@ -42,27 +43,27 @@
 use crate::sessions::process::targets::TargetState;
 use crate::sessions::process::zone_reach;
 use crate::sessions::request::acquire;
-use crate::sessions::request::acquire::NotTaken;
+use crate::sessions::request::acquire::AcquireError;
 use crate::sessions::request::call::Call;
-use crate::sessions::request::call::Work;
+use crate::sessions::request::call::Operation;
 use crate::sessions::request::prove;
 use crate::sessions::request::sample;
 
-/// The time limit of a forwarded statement. The other proxy gives up by its own route's limit; this
-/// one only bounds what a connection that was given up can hold.
+/// The time limit of a forwarded statement. The other proxy applies its own route's limit; this one bounds
+/// how long a statement that the other proxy no longer waits for can occupy a connection.
 const TIMEOUT_MS: u64 = 5_000;
 
-/// The objective that bounds how long a forwarded statement waits for a connection.
+/// The latency objective that bounds how long a forwarded statement waits for a connection.
 const OBJECTIVE_MS: u64 = 200;
 
-/// How old a position may always be that another proxy is told, in microseconds: the primary is not asked for
-/// each question.
-const LEAST_POSITION_AGE_US: u64 = 250_000;
+/// The lower bound, in microseconds, of the maximum age that another proxy can request for a position, so
+/// that not every such request reaches the primary.
+const MIN_MAX_AGE_US: u64 = 250_000;
 
-/// The precedence of forwarded statements. The other proxies have sorted theirs already.
+/// The priority class of forwarded statements. The other proxies have already ordered them by priority.
 const PRIORITY: u32 = 1;
 
-/// Another proxy's connection.
+/// A connection from another proxy.
 struct Peer<C>
 where
     C: Codec,
@@ -74,24 +75,26 @@
     number: u64,
     route: Arc<Route>,
     target: Arc<TargetState<C>>,
-    /// For whom the statements run, as the other proxy says; none if it says nothing.
+    /// The user that the other proxy set for its statements; none if it set none.
     user: Option<Arc<str>>,
     values: Vec<(Box<str>, Box<str>)>,
     prepared: FastMap<Box<str>, Prepared>,
     /// The connection of the open transaction.
-    held: Option<Lease<StatementLink<C>>>,
-    /// The transaction's status as the other proxy was told.
+    pinned: Option<Lease<StatementLink<C>>>,
+    /// The transaction status last reported to the other proxy.
     status: TransactionStatus,
-    /// Whether the open transaction wrote something.
+    /// Whether the open transaction has written data.
     wrote: bool,
 }
 
-/// Serves another proxy until it ends.
+/// Serves a connection from another proxy until it closes. The first message selects the purpose: a
+/// subscription to the feed, a quota request, a reachability check of another availability zone, or
+/// forwarding to a target.
 pub async fn serve<C>(gateway: Arc<Gateway<C>>, stream: TcpStream)
 where
     C: Codec,
 {
-    if link::watch_for_silence(&stream).is_err() {
+    if link::set_keepalive(&stream).is_err() {
         return;
     }
     let mut input = BytesMut::new();
@@ -111,10 +114,10 @@
     };
     let mut output = BytesMut::new();
     let known = gateway.target(target_id).filter(|target| &*target.record.service == service);
-    // A proxy that is no home itself would send it on, perhaps in a circle.
+    // A proxy that is not a home of the target itself would forward the statements again, possibly in a loop.
     let Some(target) = known.filter(|target| gateway.connects_directly(target)) else {
         push_refusal::<C>(&Refusal::from(ErrorKind::TargetUnreachable), &mut output);
-        // The other proxy takes a broken connection for the same.
+        // If the refusal can't be sent, the other proxy handles the broken connection in the same way.
         let _ = socket::write_all(&stream, &output, limits::SLOW_READER).await;
         return;
     };
@@ -139,7 +142,7 @@
         user: None,
         values: Vec::new(),
         prepared: FastMap::default(),
-        held: None,
+        pinned: None,
         status: TransactionStatus::Idle,
         wrote: false,
     };
@@ -147,8 +150,8 @@
     if peer.flush().await {
         while peer.serve_one().await {}
     }
-    if let Some(held) = peer.held.take() {
-        held.return_to_pool();
+    if let Some(pinned) = peer.pinned.take() {
+        pinned.return_to_pool();
     }
 }
 
@@ -156,7 +159,7 @@
 where
     C: Codec,
 {
-    let length = messages::whole::<C>(stream, input).await.ok()?;
+    let length = messages::read_message::<C>(stream, input).await.ok()?;
     Some(input.split_to(length))
 }
 
@@ -164,7 +167,7 @@
 where
     C: Codec,
 {
-    /// Answers one request. Returns whether the connection goes on.
+    /// Handles one request. Returns whether the connection continues.
     async fn serve_one(&mut self) -> bool {
         if self.input.is_empty() {
             self.input = BytesMut::new();
@@ -178,7 +181,7 @@
                 self.user = (!organisation.is_empty()).then(|| organisation.into());
                 return true;
             }
-            Ok(TargetRequest::Startup { .. } | TargetRequest::Goodbye) | Err(_) => return false,
+            Ok(TargetRequest::Startup { .. } | TargetRequest::Terminate) | Err(_) => return false,
         };
         self.gateway.counters.event(Event::ForwardsReceived);
         match self.run(&query).await {
@@ -187,25 +190,26 @@
                 C::encode_answer(&TargetMessage::Complete { proof: "-" }, &mut self.output);
                 self.push_ready(None);
             }
-            Err(Forwarded::Refused(refusal)) => {
+            Err(ForwardError::Refused(refusal)) => {
                 self.gateway.counters.refusal(refusal.kind);
                 push_refusal::<C>(&refusal, &mut self.output);
                 self.push_ready(None);
             }
-            // The other proxy can't know how far it came, so it sees what this one saw.
-            Err(Forwarded::Lost) => return false,
+            // The outcome is unknown, so the connection is closed as the target's was.
+            Err(ForwardError::LostReply) => return false,
         }
-        // A batch that came in one piece is answered in one.
+        // The replies to pipelined requests are sent together.
         let has_more =
             matches!(C::message_len(&self.input, limits::MAX_MESSAGE_BYTES), Ok(Some(_)));
         has_more || self.flush().await
     }
 
-    /// Runs one request; none where this proxy answers by itself.
-    async fn run(&mut self, query: &Query<'_>) -> Result<Option<Reply>, Forwarded> {
-        // A fallback may go through another one by now, which could send a statement back here for ever, so it
-        // connects again. One that is no home any more goes through a home, which sends nothing on.
-        if self.held.is_none() {
+    /// Runs one request. Returns no reply for a request that is complete without the target.
+    async fn run(&mut self, query: &Query<'_>) -> Result<Option<Reply>, ForwardError> {
+        // A VM that stood in for the target's homes may by now forward through another VM, which could
+        // forward back to this one without end, so it connects to the target again. A VM that is no longer a
+        // home forwards through a home, which never forwards.
+        if self.pinned.is_none() {
             self.gateway.connects_directly(&self.target);
         }
         let Query::Statement { id, at_least, statement } = query else {
@@ -216,8 +220,8 @@
                     Ok(None)
                 }
                 Query::Position { max_age_us } => self.position(*max_age_us).await.map(Some),
-                Query::Standing => self.standing().await.map(Some),
-                _ => Err(Forwarded::Refused(ErrorKind::Unsupported.into())),
+                Query::ImmediateStatus => self.immediate_status().await.map(Some),
+                _ => Err(ForwardError::Refused(ErrorKind::Unsupported.into())),
             };
         };
         match statement {
@@ -237,46 +241,46 @@
                 Ok(None)
             }
             Statement::Rollback => {
-                if let Some(held) = self.held.take() {
-                    held.return_to_pool();
+                if let Some(pinned) = self.pinned.take() {
+                    pinned.return_to_pool();
                 }
                 (self.status, self.wrote) = (TransactionStatus::Idle, false);
                 Ok(None)
             }
             Statement::Execute { name, arguments } => {
                 let Some(prepared) = self.prepared.get(*name).cloned() else {
-                    return Err(Forwarded::Refused(ErrorKind::UnknownPrepared.into()));
+                    return Err(ForwardError::Refused(ErrorKind::UnknownPrepared.into()));
                 };
-                let work = Work::Execute { prepared, arguments };
-                self.forward(*id, *at_least, &work).await.map(Some)
+                let operation = Operation::Execute { prepared, arguments };
+                self.forward(*id, *at_least, &operation).await.map(Some)
             }
             Statement::Begin { .. }
             | Statement::Commit
             | Statement::Read { .. }
             | Statement::Write { .. } => {
-                self.forward(*id, *at_least, &Work::Plain(*statement)).await.map(Some)
+                self.forward(*id, *at_least, &Operation::Plain(*statement)).await.map(Some)
             }
         }
     }
 
-    /// Tells the oldest position of the service's primary that is young enough.
-    async fn position(&mut self, max_age_us: u64) -> Result<Reply, Forwarded> {
+    /// Returns the oldest position of the service's primary that is at most `max_age_us` old.
+    async fn position(&mut self, max_age_us: u64) -> Result<Reply, ForwardError> {
         let (gateway, service) = (&self.gateway, &self.target.record.service);
         let state = gateway.service(service);
         let now_us = gateway.clock.now_us();
         state.demand.lock().record_need(now_us);
-        let max_age_us = max_age_us.max(LEAST_POSITION_AGE_US);
+        let max_age_us = max_age_us.max(MIN_MAX_AGE_US);
         let first = || state.positions.lock().first_since(now_us.saturating_sub(max_age_us));
         if first().is_none()
             && let Some(_sampling) = state.sampling_flight.begin()
         {
-            // Whatever comes of it, the newest position is told.
+            // If sampling fails, the newest known position is used.
             let _ = sample::sample(gateway, service, max_age_us).await;
         }
-        let told = first().or_else(|| state.positions.lock().newest());
-        let told = told.ok_or(Forwarded::Refused(ErrorKind::NoPrimary.into()))?;
-        let age_us = gateway.clock.now_us().saturating_sub(told.taken_us);
-        let row = C::encode_position(told.position, age_us);
+        let chosen = first().or_else(|| state.positions.lock().newest());
+        let chosen = chosen.ok_or(ForwardError::Refused(ErrorKind::NoPrimary.into()))?;
+        let age_us = gateway.clock.now_us().saturating_sub(chosen.taken_us);
+        let row = C::encode_position(chosen.position, age_us);
         let mut rows = BytesMut::new();
         C::encode_answer(&TargetMessage::Row(&row), &mut rows);
         Ok(Reply {
@@ -288,23 +292,23 @@
         })
     }
 
-    /// Passes on what the target says of itself.
-    async fn standing(&mut self) -> Result<Reply, Forwarded> {
+    /// Forwards a status request to the target.
+    async fn immediate_status(&mut self) -> Result<Reply, ForwardError> {
         let until_us = self.gateway.clock.now_us() + limits::STATUS_TIMEOUT_US;
-        let standing = prove::status_of(&self.gateway, &self.target, until_us).await;
-        standing.map_err(|_| Forwarded::Refused(ErrorKind::TargetUnreachable.into()))
+        let reply = prove::request_status(&self.gateway, &self.target, until_us).await;
+        reply.map_err(|_| ForwardError::Refused(ErrorKind::TargetUnreachable.into()))
     }
 
-    /// Sends a statement to the target.
+    /// Runs a statement at the target.
     async fn forward(
         &mut self,
         id: Option<&str>,
         at_least: Option<LogPosition>,
-        work: &Work<'_>,
-    ) -> Result<Reply, Forwarded> {
+        operation: &Operation<'_>,
+    ) -> Result<Reply, ForwardError> {
         let gateway = Arc::clone(&self.gateway);
         let (route, now_us) = (Arc::clone(&self.route), gateway.clock.now_us());
-        // A proxy that names nobody must not have its statements run on an organisation's connection.
+        // Statements without a user must not run on an organisation's connection.
         let nobody = || gateway.has_organisations().then(|| Arc::clone(&gateway.vm));
         let user = self.user.clone().or_else(nobody);
         let call = Call {
@@ -316,22 +320,26 @@
             arrived_us: now_us,
             began_us: now_us,
         };
-        let mut lease = match self.held.take() {
-            Some(mut held) => {
-                held.statement_started();
-                held
-            }
-            // Whosever the statement is: what was sent on goes no further.
-            None => {
-                acquire::take_on(&call, &self.target, &self.target.path(), call.offer_until_us())
-                    .await
-                    .map_err(|not_taken| self.refused(&not_taken))?
+        let mut lease = match self.pinned.take() {
+            Some(mut pinned) => {
+                pinned.statement_started();
+                pinned
             }
+            // A forwarded statement always takes the direct path to the target, and never one through another
+            // home.
+            None => acquire::take_on_path(
+                &call,
+                &self.target,
+                &self.target.path(),
+                call.offer_until_us(),
+            )
+            .await
+            .map_err(|acquire_error| self.refusal_for(&acquire_error))?,
         };
         let is_durable = match self.status {
-            TransactionStatus::Idle => work.writes(),
+            TransactionStatus::Idle => operation.writes(),
             TransactionStatus::Open | TransactionStatus::Failed => {
-                self.wrote && work.effect() == Effect::Commit
+                self.wrote && operation.effect() == Effect::Commit
             }
         };
         let sent_us = call.now_us();
@@ -340,9 +348,9 @@
             self.target.commit_sent(sent_us);
         }
         let (link, until_us) = (lease.connection(), call.deadline_us());
-        let answered = acquire::run(&call, link, &self.values, work, at_least, until_us).await;
+        let answered = acquire::run(&call, link, &self.values, operation, at_least, until_us).await;
         if is_durable {
-            let timed_out = answered.as_ref().is_err_and(Lost::timed_out);
+            let timed_out = answered.as_ref().is_err_and(LostReply::timed_out);
             self.target.commit_ended(call.now_us(), timed_out);
         }
         self.target.ended();
@@ -351,17 +359,18 @@
                 self.target.answered(call.now_us(), None);
                 let is_done = reply.error().is_none();
                 if is_durable && is_done {
-                    // Far more commits come through a home than from its own callers.
+                    // Most commits at a home are forwarded from other proxies, so they are also the main
+                    // evidence of the target's lead and position.
                     gateway.acknowledged(&self.target, sent_us, reply.position);
                 }
                 self.wrote = reply.status == TransactionStatus::Open
-                    && (self.wrote || (is_done && work.writes()));
+                    && (self.wrote || (is_done && operation.writes()));
                 self.status = reply.status;
                 match reply.status {
                     TransactionStatus::Idle => lease.return_to_pool(),
                     TransactionStatus::Open | TransactionStatus::Failed => {
                         lease.statement_ended();
-                        self.held = Some(lease);
+                        self.pinned = Some(lease);
                     }
                 }
                 Ok(reply)
@@ -369,23 +378,24 @@
             Err(lost) => {
                 self.target.failed(call.now_us());
                 call.log_lost(&self.target.record.id, lost.failure);
-                Err(Forwarded::Lost)
+                Err(ForwardError::LostReply)
             }
         }
     }
 
-    /// What the other proxy is told of a statement for which there was no connection. That the target can't be
-    /// reached has to be said: without it the other one went on sending it reads that another member had
-    /// answered at once.
-    fn refused(&self, not_taken: &NotTaken) -> Forwarded {
-        let kind = match not_taken {
-            NotTaken::Queue(_) => ErrorKind::TargetBusy,
-            NotTaken::NotConnected(_) => match self.target.health().failed_since_us {
+    /// Returns the refusal of a statement for which no connection was available.
+    ///
+    /// An unreachable target is reported as such. If it were reported as busy, the other proxy would keep
+    /// sending it reads that another member could serve.
+    fn refusal_for(&self, acquire_error: &AcquireError) -> ForwardError {
+        let kind = match acquire_error {
+            AcquireError::Queue(_) => ErrorKind::TargetBusy,
+            AcquireError::NotConnected(_) => match self.target.health().failed_since_us {
                 Some(_) => ErrorKind::TargetUnreachable,
                 None => ErrorKind::TargetBusy,
             },
         };
-        Forwarded::Refused(kind.into())
+        ForwardError::Refused(kind.into())
     }
 
     fn push_reply(&mut self, reply: &Reply) {
@@ -415,10 +425,10 @@
     }
 }
 
-/// Why a forwarded statement has no answer of the target.
-enum Forwarded {
-    /// It was not sent.
+/// A forwarded statement without a reply from the target.
+enum ForwardError {
+    /// The statement was not sent.
     Refused(Refusal),
-    /// It was sent, and no whole answer came.
-    Lost,
+    /// The statement was sent, and no complete reply arrived.
+    LostReply,
 }
--- a/crates/proxy/src/sessions/process/counted_store.rs
+++ b/crates/proxy/src/sessions/process/counted_store.rs
@@ -10,7 +10,7 @@
 use crate::process::counters::Counters;
 use crate::process::counters::StoreCall;
 use crate::process::counters::StoreTrouble;
-use crate::sessions::store::At;
+use crate::sessions::store::AtRevision;
 use crate::sessions::store::Freshness;
 use crate::sessions::store::ListedTarget;
 use crate::sessions::store::StateStore;
@@ -61,7 +61,7 @@
 where
     S: StateStore,
 {
-    async fn configuration(&self) -> Result<At<Option<RouteTable>>, StoreError> {
+    async fn configuration(&self) -> Result<AtRevision<Option<RouteTable>>, StoreError> {
         self.counted(StoreCall::ReadConfiguration, self.store.configuration()).await
     }
 
@@ -69,12 +69,12 @@
         &self,
         revision: u64,
         wait: Duration,
-    ) -> Result<At<Option<RouteTable>>, StoreError> {
+    ) -> Result<AtRevision<Option<RouteTable>>, StoreError> {
         let watch = self.store.watch_configuration(revision, wait);
         self.counted(StoreCall::WatchConfiguration, watch).await
     }
 
-    async fn targets(&self) -> Result<At<Vec<ListedTarget>>, StoreError> {
+    async fn targets(&self) -> Result<AtRevision<Vec<ListedTarget>>, StoreError> {
         self.counted(StoreCall::ListTargets, self.store.targets()).await
     }
 
@@ -82,7 +82,7 @@
         &self,
         revision: u64,
         wait: Duration,
-    ) -> Result<At<Vec<TargetChange>>, StoreError> {
+    ) -> Result<AtRevision<Vec<TargetChange>>, StoreError> {
         let watch = self.store.watch_targets(revision, wait);
         self.counted(StoreCall::WatchTargets, watch).await
     }
@@ -91,7 +91,7 @@
         self.counted(StoreCall::RegisterVm, self.store.register_vm(vm)).await
     }
 
-    async fn vms(&self, freshness: Freshness) -> Result<At<Vec<VmAddress>>, StoreError> {
+    async fn vms(&self, freshness: Freshness) -> Result<AtRevision<Vec<VmAddress>>, StoreError> {
         self.counted(StoreCall::ListVms, self.store.vms(freshness)).await
     }
 
@@ -99,7 +99,7 @@
         self.counted(StoreCall::Probe, self.store.probe(vm)).await
     }
 
-    async fn claim(&self, service: &str) -> Result<Option<At<Claim>>, StoreError> {
+    async fn claim(&self, service: &str) -> Result<Option<AtRevision<Claim>>, StoreError> {
         self.counted(StoreCall::ReadClaim, self.store.claim(service)).await
     }
 
--- a/crates/proxy/src/sessions/process/isolation.rs
+++ b/crates/proxy/src/sessions/process/isolation.rs
@@ -101,7 +101,7 @@
                 // If statements take the path through another VM, a direct probe would not show that callers
                 // can be served.
                 let until_us = gateway.clock.now_us() + PROBE_TIMEOUT.as_micros() as u64;
-                let _ = prove::status_of(&gateway, &target, until_us).await;
+                let _ = prove::request_status(&gateway, &target, until_us).await;
                 return;
             }
             let (record, query) = (&target.record, Query::Status);
--- a/crates/proxy/src/sessions/process/replicas.rs
+++ b/crates/proxy/src/sessions/process/replicas.rs
@@ -24,7 +24,7 @@
 where
     C: Codec,
 {
-    let query = Query::Standing;
+    let query = Query::ImmediateStatus;
     let ask = |target| target_calls::ask_with_timeout::<C>(target, vm, &query, RETURN_TIMEOUT);
     let reply = future::join_all(targets.iter().map(|target| ask(target))).await;
     let answered =
--- a/crates/proxy/src/sessions/process/vms.rs
+++ b/crates/proxy/src/sessions/process/vms.rs
@@ -15,7 +15,7 @@
 use crate::sessions::process::feed::listing::VmList;
 use crate::sessions::process::limits;
 use crate::sessions::process::watch::Watcher;
-use crate::sessions::store::At;
+use crate::sessions::store::AtRevision;
 use crate::sessions::store::Freshness;
 use crate::sessions::store::StateStore;
 use crate::sessions::store::StoreError;
@@ -66,13 +66,13 @@
     S: StateStore,
 {
     async fn follow(mut self) {
-        let mut found = self.list(Freshness::MayBeLate).await;
+        let mut found = self.list(Freshness::MayBeStale).await;
         if !found.value.contains(&self.own) {
             self.register().await;
             if found.value.len() <= limits::MAX_DIRECT_WATCHERS {
                 time::sleep(RELIST_DELAY).await;
                 // An outdated list would make each starting VM of a large fleet assume a small one.
-                found = self.list(Freshness::Newest).await;
+                found = self.list(Freshness::Latest).await;
             }
         }
         self.apply(found);
@@ -86,14 +86,14 @@
             store_access.wait_while_away(LIST_INTERVAL).await;
             // A feed may have started meanwhile, or the store may still be unavailable.
             if store_access.lacks_feed() && store_access.may_answer() {
-                let found = self.list(Freshness::MayBeLate).await;
+                let found = self.list(Freshness::MayBeStale).await;
                 self.apply(found);
             }
         }
     }
 
     /// Reads the list of all VMs, with retries until the store answers.
-    async fn list(&mut self, freshness: Freshness) -> At<Vec<VmAddress>> {
+    async fn list(&mut self, freshness: Freshness) -> AtRevision<Vec<VmAddress>> {
         loop {
             match self.store.vms(freshness).await {
                 Ok(found) => {
@@ -122,7 +122,7 @@
         time::sleep(Duration::from_micros(pause_us)).await;
     }
 
-    fn apply(&self, found: At<Vec<VmAddress>>) {
+    fn apply(&self, found: AtRevision<Vec<VmAddress>>) {
         let mut vms = found.value;
         // An outdated list may lack this VM's own entry.
         if !vms.iter().any(|vm| vm.name == self.own.name) {
--- a/crates/proxy/src/sessions/process/zone_reach.rs
+++ b/crates/proxy/src/sessions/process/zone_reach.rs
@@ -197,8 +197,12 @@
         let gateway = Arc::clone(gateway);
         tokio::spawn(async move {
             let vm = &gateway.vm;
-            let reply =
-                target_calls::ask_with_timeout::<C>(&record, vm, &Query::Standing, PROBE_TIMEOUT);
+            let reply = target_calls::ask_with_timeout::<C>(
+                &record,
+                vm,
+                &Query::ImmediateStatus,
+                PROBE_TIMEOUT,
+            );
             if reply.await != CallReply::Nothing {
                 gateway.zone_reach.lock().answered(&zone);
             }
--- a/crates/proxy/src/sessions/request/at_primary.rs
+++ b/crates/proxy/src/sessions/request/at_primary.rs
@@ -1,11 +1,11 @@
-//! Work that only the primary may run: opening a transaction that may write, single writes, and
-//! reads that need a proof of the lead.
+//! Operations that only the primary may run: transactions that may write, single writes, and reads that need
+//! a proof that the target is still the primary (its lead).
 //!
-//! A target that does not lead refuses a write and the opening of a transaction before running
-//! anything, so both may go to the next candidate. A single write whose answer is lost may have run,
-//! so it never does. One that was replaced while it was cut off refuses nothing: its writes stay without
-//! an acknowledgement, and its reads wait until other members' words prove that it still led when the
-//! request came.
+//! A target that is not the primary refuses a write or a `BEGIN` before running anything, so either may be
+//! retried at the next candidate. A single write whose reply is lost may have run, so it is never retried. A
+//! primary that was replaced while it was partitioned refuses nothing: its writes are never acknowledged, and
+//! its reads wait until status reports of other members prove that it was still the primary when the request
+//! arrived.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,38 +23,39 @@
 use crate::request::refusal::Refusal;
 use crate::sessions::codec::Codec;
 use crate::sessions::connection::link::StatementLink;
-use crate::sessions::connection::reply::Lost;
+use crate::sessions::connection::reply::LostReply;
 use crate::sessions::connection::reply::Reply;
-use crate::sessions::connection::session::Held;
+use crate::sessions::connection::session::PinnedConnection;
 use crate::sessions::connection::session::Session;
 use crate::sessions::process::latencies::Stage;
 use crate::sessions::process::limits;
 use crate::sessions::process::targets::TargetState;
 use crate::sessions::request::acquire;
-use crate::sessions::request::acquire::NotTaken;
+use crate::sessions::request::acquire::AcquireError;
 use crate::sessions::request::call::Call;
-use crate::sessions::request::call::Work;
+use crate::sessions::request::call::Operation;
 use crate::sessions::request::call::no_primary;
 use crate::sessions::request::prove;
 use crate::sessions::request::prove::Unproved;
 use crate::sessions::request::read;
 
-/// What shows that a primary has all that the reads of a transaction must see.
+/// The evidence that a primary has everything that the reads of a transaction must see.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ReadGuarantee {
-    /// Its log goes at least to this position, or it refuses.
+    /// The primary refuses the transaction unless its log reaches at least this position.
     Position(LogPosition),
-    /// A proof that it still led when the first byte of the request had arrived.
+    /// A proof that the target was still the primary when the first byte of the request arrived.
     Lead,
-    /// Nothing yet: the first statement is no read.
+    /// No evidence is needed yet, because the first statement is not a read.
     None,
 }
 
-/// Runs a single read at the primary.
+/// Runs a single read at the primary. If its reply is lost, it is retried as long as the number of attempts
+/// and the time allow.
 pub async fn read<C>(
     call: &Call<'_, C>,
     session: &Session<C>,
-    work: &Work<'_>,
+    operation: &Operation<'_>,
 ) -> Result<Reply, Refusal>
 where
     C: Codec,
@@ -62,15 +63,15 @@
     let mut tries = 0;
     loop {
         tries += 1;
-        let guarantee = read::read_guarantee(call, session, work);
-        let held = open(call, session, work, guarantee).await?;
-        match read_once(call, held, work).await {
+        let guarantee = read::read_guarantee(call, session, operation);
+        let pinned = open(call, session, operation, guarantee).await?;
+        match read_once(call, pinned, operation).await {
             Ok(reply) => return Ok(reply),
             Err(lost) => {
                 let may_repeat = tries < limits::MAX_PRIMARY_READS
                     && call.now_us() + limits::PRIMARY_PAUSE_US < call.offer_until_us();
                 if !may_repeat {
-                    return Err(read::lost_read(lost.failure));
+                    return Err(read::lost_read_refusal(lost.failure));
                 }
                 call.gateway.counters.retry(RetryReason::ReadLost);
             }
@@ -78,31 +79,36 @@
     }
 }
 
-/// Runs a read in the transaction whose opening proved the lead.
-async fn read_once<C>(call: &Call<'_, C>, mut held: Held<C>, work: &Work<'_>) -> Result<Reply, Lost>
+/// Runs a read in the open transaction, whose `BEGIN` established the read guarantee.
+async fn read_once<C>(
+    call: &Call<'_, C>,
+    mut pinned: PinnedConnection<C>,
+    operation: &Operation<'_>,
+) -> Result<Reply, LostReply>
 where
     C: Codec,
 {
-    let target = Arc::clone(&held.target);
+    let target = Arc::clone(&pinned.target);
     let sent_us = call.now_us();
     target.started(sent_us);
-    let link = held.lease.connection();
-    work.push(link, call.id, None);
-    // Sent along: whatever becomes of the read, its transaction ends.
+    let link = pinned.lease.connection();
+    operation.push(link, call.id, None);
+    // The rollback is sent together with the read, because the transaction ends whatever the read's result
+    // is.
     link.push_own(Statement::Rollback);
     let until = call.gateway.clock.instant_at(read::hedge_at_us(call));
     let answered = link.exchange(until).await;
     target.ended();
-    call.took(Stage::Target, sent_us);
+    call.record_latency(Stage::Target, sent_us);
     let now_us = call.now_us();
     match answered {
         Ok(reply) => {
             target.replied(reply.error(), now_us, Some(now_us.saturating_sub(sent_us)));
             if reply.error() == Some(TargetError::UnknownPrepared) {
-                held.lease.connection().forget_session();
+                pinned.lease.connection().forget_session();
             }
-            // The answer to the rollback is awaited while the connection goes back.
-            held.lease.return_to_pool();
+            // The pool receives the rollback's reply when the connection is returned.
+            pinned.lease.return_to_pool();
             Ok(reply)
         }
         Err(lost) => {
@@ -113,57 +119,57 @@
     }
 }
 
-/// Runs a single write, which commits by itself.
+/// Runs a single write, which is committed on its own.
 pub async fn write<C>(
     call: &Call<'_, C>,
     session: &mut Session<C>,
-    work: &Work<'_>,
+    operation: &Operation<'_>,
 ) -> Result<Reply, Refusal>
 where
     C: Codec,
 {
     loop {
-        let (target, mut lease) = take(call).await?;
+        let (target, mut lease) = take_primary(call).await?;
         let until_us = call.deadline_us();
         let link = lease.connection();
-        let owed = link.push_session(&session.values, work.prepared());
-        match acquire::settle(call, link, owed, until_us).await {
+        let pending = link.push_session(&session.values, operation.prepared());
+        match acquire::exchange_all(call, link, pending, until_us).await {
             Ok(Some(reply)) if reply.error().is_some() => {
                 call.gateway.counters.retry(RetryReason::Busy);
                 lease.return_to_pool();
-                pause(call).await?;
+                wait_for_primary(call).await?;
                 continue;
             }
             Ok(_) => (),
             Err(_) => {
                 target.failed(call.now_us());
                 call.gateway.counters.retry(RetryReason::ConnectFailed);
-                pause(call).await?;
+                wait_for_primary(call).await?;
                 continue;
             }
         }
         let sent_us = call.now_us();
         target.started(sent_us);
         target.commit_sent(sent_us);
-        work.push(link, call.id, None);
+        operation.push(link, call.id, None);
         let answered = link.exchange(call.gateway.clock.instant_at(until_us)).await;
         target.ended();
-        call.took(Stage::Target, sent_us);
+        call.record_latency(Stage::Target, sent_us);
         let now_us = call.now_us();
-        target.commit_ended(now_us, answered.as_ref().is_err_and(Lost::timed_out));
+        target.commit_ended(now_us, answered.as_ref().is_err_and(LostReply::timed_out));
         let reply = match answered {
             Ok(reply) => reply,
             Err(lost) => {
                 target.failed(now_us);
                 call.log_lost(&target.record.id, lost.failure);
-                return Err(lost_commit(lost.failure));
+                return Err(lost_commit_refusal(lost.failure));
             }
         };
         target.replied(reply.error(), now_us, None);
         match reply.error() {
             None => {
                 lease.return_to_pool();
-                acknowledged(call, session, &target, sent_us, &reply).await?;
+                finish_commit(call, session, &target, sent_us, &reply).await?;
                 return Ok(reply);
             }
             Some(TargetError::ReadOnly) => call.gateway.record_not_primary(&target),
@@ -174,20 +180,20 @@
                 return Ok(reply);
             }
         }
-        call.gateway.counters.retry(reason_of(&reply));
+        call.gateway.counters.retry(retry_reason(&reply));
         lease.return_to_pool();
-        pause(call).await.map_err(|refusal| refused_as(&reply, refusal))?;
+        wait_for_primary(call).await.map_err(|refusal| final_refusal(&reply, refusal))?;
     }
 }
 
-/// Opens a transaction that may write, on the guarantee that its reads need. The connection has the session
-/// and what its first statement needs.
+/// Opens a transaction that may write, with the guarantee that its reads need. The connection has the
+/// session's values and the prepared statement of the first operation.
 pub async fn open<C>(
     call: &Call<'_, C>,
     session: &Session<C>,
-    work: &Work<'_>,
+    operation: &Operation<'_>,
     guarantee: ReadGuarantee,
-) -> Result<Held<C>, Refusal>
+) -> Result<PinnedConnection<C>, Refusal>
 where
     C: Codec,
 {
@@ -196,7 +202,7 @@
         ReadGuarantee::Lead | ReadGuarantee::None => None,
     };
     loop {
-        let (target, mut lease) = take(call).await?;
+        let (target, mut lease) = take_primary(call).await?;
         let until_us = read::hedge_at_us(call);
         let sent_us = call.now_us();
         let link = lease.connection();
@@ -205,18 +211,18 @@
         {
             target.failed(call.now_us());
             call.gateway.counters.retry(RetryReason::ConnectFailed);
-            pause(call).await?;
+            wait_for_primary(call).await?;
             continue;
         }
-        let owed = link.push_session(&session.values, work.prepared());
+        let pending = link.push_session(&session.values, operation.prepared());
         link.push_statement(None, at_least, Statement::Begin { read_only: false });
         target.started(sent_us);
-        // The other members' words come while the primary answers, so a proof costs hardly any time.
-        let proof = prove_if(guarantee == ReadGuarantee::Lead, call, &target);
-        let settled = acquire::settle(call, link, owed + 1, until_us);
-        let (settled, proof) = tokio::join!(settled, proof);
+        // Other members are queried while the primary replies, so that the proof adds hardly any latency.
+        let proof = prove_lead_if(guarantee == ReadGuarantee::Lead, call, &target);
+        let exchanged = acquire::exchange_all(call, link, pending + 1, until_us);
+        let (exchanged, proof) = tokio::join!(exchanged, proof);
         target.ended();
-        let refusal = match settled {
+        let refusal = match exchanged {
             Ok(Some(reply)) if reply.error().is_none() => {
                 target.answered(call.now_us(), None);
                 match (guarantee, proof) {
@@ -229,7 +235,7 @@
                     (ReadGuarantee::Lead, Err(Unproved::Superseded)) => {
                         call.gateway.counters.retry(RetryReason::NotPrimary);
                         lease.return_to_pool();
-                        pause(call).await?;
+                        wait_for_primary(call).await?;
                         continue;
                     }
                     (ReadGuarantee::Lead, Err(Unproved::NoReply)) => {
@@ -237,40 +243,44 @@
                         return Err(ErrorKind::LeadUnproved.into());
                     }
                 }
-                return Ok(Held { lease, target, may_read: guarantee != ReadGuarantee::None });
+                return Ok(PinnedConnection {
+                    lease,
+                    target,
+                    may_read: guarantee != ReadGuarantee::None,
+                });
             }
             Ok(Some(reply)) => {
                 target.replied(reply.error(), call.now_us(), None);
-                if lacks_lead(&reply, at_least) {
+                if shows_lost_lead(&reply, at_least) {
                     call.gateway.record_not_primary(&target);
                 }
-                call.gateway.counters.retry(reason_of(&reply));
+                call.gateway.counters.retry(retry_reason(&reply));
                 lease.return_to_pool();
                 Some(reply)
             }
             Ok(None) | Err(_) => {
-                // Nothing of the transaction had begun.
+                // The transaction was not opened, so nothing ran.
                 target.failed(call.now_us());
                 call.gateway.counters.retry(RetryReason::ConnectFailed);
                 None
             }
         };
-        pause(call).await.map_err(|error| match &refusal {
-            Some(reply) => refused_as(reply, error),
+        wait_for_primary(call).await.map_err(|error| match &refusal {
+            Some(reply) => final_refusal(reply, error),
             None => error,
         })?;
     }
 }
 
-/// A commit was acknowledged: the session has to see it from now on, and the target led when it was
-/// sent, since a replica received it.
+/// Handles the acknowledgement of a commit: raises the session's floor, and records that the target was still
+/// the primary when the commit was sent, because a replica received it.
 ///
 /// # Errors
 ///
-/// Where no replica has to receive a commit, a target that was replaced acknowledges as well, and what it
-/// acknowledges is lost when it reaches its successor. So the lead is proved there, or the outcome counts
-/// as unknown.
-pub async fn acknowledged<C>(
+/// Without synchronous replicas a target that was replaced acknowledges commits too, and these are lost when
+/// it rejoins as a replica of its successor. In this case the lead is proved, and `NotConfirmed` is returned
+/// if that fails, because the outcome is unknown.
+pub async fn finish_commit<C>(
     call: &Call<'_, C>,
     session: &mut Session<C>,
     target: &TargetState<C>,
@@ -291,13 +301,13 @@
     }
     gateway.counters.event(Event::WritesAcknowledged);
     if let Some(position) = reply.position {
-        session.committed(service, position);
+        session.raise_floor(service, position);
     }
     Ok(())
 }
 
-/// Proves the lead of a target at the time when the request had arrived, if that is asked for.
-async fn prove_if<C>(
+/// Proves that the target was still the primary when the request arrived, if a proof is needed.
+async fn prove_lead_if<C>(
     is_needed: bool,
     call: &Call<'_, C>,
     target: &TargetState<C>,
@@ -311,9 +321,9 @@
     prove::lead_for(call, target).await
 }
 
-/// Whether a refusal shows that the target does not lead: it says so, or its log ends in an earlier term
-/// than what was acknowledged.
-fn lacks_lead(reply: &Reply, at_least: Option<LogPosition>) -> bool {
+/// Returns whether a refusal shows that the target is not the primary: it says so, or its log ends in an
+/// earlier term than an acknowledged position.
+fn shows_lost_lead(reply: &Reply, at_least: Option<LogPosition>) -> bool {
     let ends_earlier = |at_least: LogPosition| {
         reply.position.is_some_and(|position| position.term < at_least.term)
     };
@@ -324,16 +334,16 @@
     }
 }
 
-/// What a caller is told of a commit without an answer.
-pub fn lost_commit(failure: Failure) -> Refusal {
+/// Returns the refusal for a commit without a reply.
+pub fn lost_commit_refusal(failure: Failure) -> Refusal {
     match failure {
         Failure::TimedOut => ErrorKind::NotConfirmed.into(),
         _ => ErrorKind::AnswerLost.into(),
     }
 }
 
-/// Waits for a connection to the primary, whichever target that is meanwhile.
-async fn take<C>(
+/// Waits for a connection to the primary. The primary may change during the wait.
+async fn take_primary<C>(
     call: &Call<'_, C>,
 ) -> Result<(Arc<TargetState<C>>, Lease<StatementLink<C>>), Refusal>
 where
@@ -344,8 +354,8 @@
         if let Some(target) = call.gateway.primary(&call.route.service) {
             match acquire::take(call, &target, call.offer_until_us()).await {
                 Ok(lease) => return Ok((target, lease)),
-                Err(NotTaken::Queue(refusal)) => return Err(refusal),
-                Err(NotTaken::NotConnected(_)) => {
+                Err(AcquireError::Queue(refusal)) => return Err(refusal),
+                Err(AcquireError::NotConnected(_)) => {
                     call.gateway.counters.retry(RetryReason::ConnectFailed);
                 }
             }
@@ -354,12 +364,13 @@
             waited = true;
             call.gateway.counters.event(Event::PrimaryWaits);
         }
-        pause(call).await?;
+        wait_for_primary(call).await?;
     }
 }
 
-/// Waits for news of the primary, or for a moment; refuses once the request has waited for too long.
-async fn pause<C>(call: &Call<'_, C>) -> Result<(), Refusal>
+/// Waits until the process's view changes or a short pause is over. Refuses once the request can't be offered
+/// to a target in time.
+async fn wait_for_primary<C>(call: &Call<'_, C>) -> Result<(), Refusal>
 where
     C: Codec,
 {
@@ -369,12 +380,12 @@
     let mut changes = call.gateway.changes();
     changes.mark_unchanged();
     let moment = Duration::from_micros(limits::PRIMARY_PAUSE_US);
-    // The sender lives as long as the process's state, so only news or the time ends this.
+    // The sender is never dropped while requests run, so only a change or the timeout ends the wait.
     let _ = time::timeout(moment, changes.changed()).await;
     Ok(())
 }
 
-fn reason_of(reply: &Reply) -> RetryReason {
+fn retry_reason(reply: &Reply) -> RetryReason {
     match reply.error() {
         Some(TargetError::ReadOnly) => RetryReason::NotPrimary,
         Some(TargetError::UnknownPrepared) => RetryReason::PreparedLost,
@@ -384,8 +395,8 @@
     }
 }
 
-/// The refusal after the last try, in the words of what the target said.
-fn refused_as(reply: &Reply, otherwise: Refusal) -> Refusal {
+/// Returns the refusal after the last attempt: the target's own reason if it has one, otherwise `otherwise`.
+fn final_refusal(reply: &Reply, otherwise: Refusal) -> Refusal {
     match reply.error() {
         Some(TargetError::Busy) => ErrorKind::TargetBusy.into(),
         Some(TargetError::Lagging) => ErrorKind::TooOld.into(),
--- a/crates/proxy/src/sessions/request/prove.rs
+++ b/crates/proxy/src/sessions/request/prove.rs
@@ -1,7 +1,7 @@
-//! Bringing the words of other members that prove a target's lead.
+//! Proofs that a target is still the primary (its lead), based on the status reports of other members.
 //!
-//! One round of questions serves all who wait: words that are asked for after a request arrived prove
-//! the lead for it and for all that arrived before.
+//! One round of status queries serves all waiting requests: reports that were requested after a request
+//! arrived prove the lead for it and for every earlier request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,40 +18,40 @@
 use crate::sessions::codec::Query;
 use crate::sessions::connection::link::StatementLink;
 use crate::sessions::connection::reply::End;
-use crate::sessions::connection::reply::Lost;
+use crate::sessions::connection::reply::LostReply;
 use crate::sessions::connection::reply::Reply;
 use crate::sessions::process::gateway::Gateway;
 use crate::sessions::process::limits;
 use crate::sessions::process::targets::TargetState;
 use crate::sessions::request::call::Call;
 
-/// The pause after questions that nobody answered.
-const ASK_AGAIN: Duration = Duration::from_millis(10);
+/// The pause after a round of queries without a reply.
+const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// How long the first members asked may take before the others are asked as well. They answer in 2 ms.
-const ASK_OTHERS: Duration = Duration::from_millis(15);
+/// How long the first queried members may take before the others are queried as well. A reply usually takes 2
+/// ms.
+const HEDGE_DELAY: Duration = Duration::from_millis(15);
 
-/// Why a lead was not proved.
+/// A failure to prove that a target is the primary.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Unproved {
-    /// It was lost to another target.
+    /// Another target has replaced it as primary.
     Superseded,
-    /// Too few other members could be asked.
+    /// Too few other members replied.
     NoReply,
 }
 
-/// Proves that by `moment_us` nobody but `target` had acknowledged anything, or gives up at
-/// `until_us`.
+/// Proves that by `as_of_us` no target other than `target` had acknowledged a commit. Fails at `until_us`.
 pub async fn lead<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
-    moment_us: u64,
+    as_of_us: u64,
     until_us: u64,
 ) -> Result<(), Unproved>
 where
     C: Codec,
 {
-    let result = settle(gateway, target, moment_us, until_us).await;
+    let result = prove_until(gateway, target, as_of_us, until_us).await;
     match result {
         Ok(()) => gateway.counters.event(Event::LeadsProved),
         Err(Unproved::NoReply) => gateway.counters.event(Event::LeadsUnproved),
@@ -60,21 +60,21 @@
     result
 }
 
-async fn settle<C>(
+async fn prove_until<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
-    moment_us: u64,
+    as_of_us: u64,
     until_us: u64,
 ) -> Result<(), Unproved>
 where
     C: Codec,
 {
     let state = gateway.service(&target.record.service);
-    let came_us = gateway.clock.now_us();
+    let entered_us = gateway.clock.now_us();
     let mut was_asked = false;
     loop {
         let asked = state.proof_flight.ended();
-        let verdict = gateway.lead_verdict(target, moment_us);
+        let verdict = gateway.lead_verdict(target, as_of_us);
         match verdict {
             LeadVerdict::Proved => return Ok(()),
             LeadVerdict::Superseded { term } => {
@@ -84,33 +84,34 @@
             LeadVerdict::TermUnknown | LeadVerdict::Missing(_) => (),
         }
         let now_us = gateway.clock.now_us();
-        // Nobody answered just before it came, or whoever is left can't be reached: it is told so at once.
-        let is_hopeless = was_asked && is_hopeless(gateway, target, verdict, moment_us);
-        if now_us >= until_us || is_hopeless || state.has_recent_unanswered_round(came_us) {
-            log_unproved(gateway, target, moment_us, verdict);
+        // A recent round reached no other member, or the members whose reports are missing can't be reached:
+        // the request fails without waiting for `until_us`.
+        let is_unprovable = was_asked && is_unprovable(gateway, target, verdict, as_of_us);
+        if now_us >= until_us || is_unprovable || state.has_recent_unanswered_round(entered_us) {
+            log_unproved(gateway, target, as_of_us, verdict);
             return Err(Unproved::NoReply);
         }
         was_asked = true;
         match state.proof_flight.begin() {
             Some(_asking) => {
-                let is_answered = ask(gateway, target, verdict, moment_us, until_us).await?;
+                let is_answered = ask_members(gateway, target, verdict, as_of_us, until_us).await?;
                 if !is_answered {
-                    if nobody_is_reached(gateway, target) {
+                    if no_member_is_reachable(gateway, target) {
                         state.record_unanswered_round(gateway.clock.now_us());
                     }
-                    time::sleep(ASK_AGAIN).await;
+                    time::sleep(RETRY_PAUSE).await;
                 }
             }
             None => {
                 let left = Duration::from_micros(until_us - now_us);
-                // Whatever ends the wait, the verdict is looked at again.
+                // After a timeout as after the end of a round, the verdict is evaluated again.
                 let _ = time::timeout(left, asked).await;
             }
         }
     }
 }
 
-/// Proves the lead of the target of a call for when the call's first byte had arrived.
+/// Proves the lead of `target` as of the arrival of the call's first byte.
 pub async fn lead_for<C>(call: &Call<'_, C>, target: &TargetState<C>) -> Result<(), Unproved>
 where
     C: Codec,
@@ -118,12 +119,12 @@
     lead(call.gateway, target, call.arrived_us, call.next_offer_until_us()).await
 }
 
-/// Asks whoever can help. Returns whether anybody said anything.
-async fn ask<C>(
+/// Queries the members whose reports may complete the proof. Returns whether any of them replied.
+async fn ask_members<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
     verdict: LeadVerdict,
-    moment_us: u64,
+    as_of_us: u64,
     until_us: u64,
 ) -> Result<bool, Unproved>
 where
@@ -132,8 +133,8 @@
     let mut missing = match verdict {
         LeadVerdict::Missing(missing) => missing,
         LeadVerdict::TermUnknown => {
-            // Nothing can be counted before it is known which term the words are about.
-            let Some(word) = word_of(gateway, target, until_us).await else { return Ok(false) };
+            // Reports of other members can't be evaluated before the target's term is known.
+            let Some(word) = fetch_word(gateway, target, until_us).await else { return Ok(false) };
             if !word.leads {
                 gateway.record_not_primary(target);
                 return Err(Unproved::Superseded);
@@ -143,34 +144,35 @@
         LeadVerdict::Proved | LeadVerdict::Superseded { .. } => return Ok(true),
     };
     let state = gateway.service(&target.record.service);
-    let has_said = |member: &Arc<TargetState<C>>| {
+    let has_reported = |member: &Arc<TargetState<C>>| {
         let asked_us = state.lead_reports.lock().asked_us(&member.record.id);
-        asked_us.is_some_and(|asked_us| asked_us >= moment_us)
+        asked_us.is_some_and(|asked_us| asked_us >= as_of_us)
     };
-    let mut others = witnesses(gateway, target).into_iter().filter(|member| !has_said(member));
-    let ask = async |member: Arc<TargetState<C>>| word_of(gateway, &member, until_us).await;
+    let mut others =
+        other_members(gateway, target).into_iter().filter(|member| !has_reported(member));
+    let ask = async |member: Arc<TargetState<C>>| fetch_word(gateway, &member, until_us).await;
     let mut asked: FuturesUnordered<_> = others.by_ref().take(missing).map(ask).collect();
     let mut is_answered = false;
     while missing > 0 && !asked.is_empty() {
-        match time::timeout(ASK_OTHERS, asked.next()).await {
+        match time::timeout(HEDGE_DELAY, asked.next()).await {
             Ok(Some(word)) if word.is_some() => {
                 missing -= 1;
                 is_answered = true;
             }
-            // It can't be asked, or takes long: whoever else there is may be faster.
+            // The member can't be queried or is slow; the others may be faster.
             Ok(_) | Err(_) => asked.extend(others.by_ref().map(ask)),
         }
     }
     Ok(is_answered)
 }
 
-/// Whether so many members were not heard since a moment, and can't be reached, that the words which are
-/// missing can't come: asking the others again brings nothing.
-fn is_hopeless<C>(
+/// Returns whether a proof is impossible for now: of the members that have not reported since `as_of_us`, too
+/// few can be reached to provide the missing reports, so that querying them again is useless.
+fn is_unprovable<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
     verdict: LeadVerdict,
-    moment_us: u64,
+    as_of_us: u64,
 ) -> bool
 where
     C: Codec,
@@ -178,15 +180,16 @@
     let LeadVerdict::Missing(missing) = verdict else { return false };
     let state = gateway.service(&target.record.service);
     let now_us = gateway.clock.now_us();
-    let may_say = |member: &Arc<TargetState<C>>| {
+    let may_report = |member: &Arc<TargetState<C>>| {
         let asked_us = state.lead_reports.lock().asked_us(&member.record.id);
-        asked_us.is_none_or(|asked_us| asked_us < moment_us) && !member.is_ejected(now_us)
+        asked_us.is_none_or(|asked_us| asked_us < as_of_us) && !member.is_ejected(now_us)
     };
-    witnesses(gateway, target).into_iter().filter(may_say).count() < missing
+    other_members(gateway, target).into_iter().filter(may_report).count() < missing
 }
 
-/// Whether no other member can be reached: one that only has no connection free may answer next time.
-fn nobody_is_reached<C>(gateway: &Gateway<C>, target: &TargetState<C>) -> bool
+/// Returns whether no other member can be reached. A member that only has no free connection counts as
+/// reachable.
+fn no_member_is_reachable<C>(gateway: &Gateway<C>, target: &TargetState<C>) -> bool
 where
     C: Codec,
 {
@@ -195,30 +198,30 @@
     others.all(|member| member.pool().is_failing() || member.health().failed_since_us.is_some())
 }
 
-/// Asks a target over a connection that a request has taken anyway which term it leads, if that is not
-/// known: after a start all connections are taken, and a question of its own would wait for one.
+/// Queries the target's term, if it is unknown, on a connection that the request already holds. After a start
+/// all connections are in use, and a separate query would wait for one.
 pub async fn learn_term<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
     link: &mut StatementLink<C>,
-    moment_us: u64,
-) -> Result<(), Lost>
+    as_of_us: u64,
+) -> Result<(), LostReply>
 where
     C: Codec,
 {
-    if gateway.lead_verdict(target, moment_us) != LeadVerdict::TermUnknown {
+    if gateway.lead_verdict(target, as_of_us) != LeadVerdict::TermUnknown {
         return Ok(());
     }
     gateway.counters.event(Event::WordsAsked);
     let asked_us = gateway.clock.now_us();
     let until = gateway.clock.instant_at(asked_us + limits::STATUS_TIMEOUT_US);
-    let reply = link.ask(&Query::Standing, until).await?;
-    heard(gateway, target, asked_us, &reply);
+    let reply = link.ask(&Query::ImmediateStatus, until).await?;
+    record_word(gateway, target, asked_us, &reply);
     Ok(())
 }
 
-/// Takes in what a member said of itself.
-fn heard<C>(
+/// Records the status that a member reported.
+fn record_word<C>(
     gateway: &Gateway<C>,
     member: &TargetState<C>,
     asked_us: u64,
@@ -239,8 +242,8 @@
     Some(word)
 }
 
-/// The other members, those first that are expected to answer first.
-fn witnesses<C>(gateway: &Gateway<C>, target: &TargetState<C>) -> Vec<Arc<TargetState<C>>>
+/// Returns the other members, in the order in which they are expected to reply.
+fn other_members<C>(gateway: &Gateway<C>, target: &TargetState<C>) -> Vec<Arc<TargetState<C>>>
 where
     C: Codec,
 {
@@ -252,8 +255,8 @@
     others
 }
 
-/// What a member says of itself.
-async fn word_of<C>(
+/// Queries a member's status and records it.
+async fn fetch_word<C>(
     gateway: &Gateway<C>,
     member: &TargetState<C>,
     until_us: u64,
@@ -262,12 +265,12 @@
     C: Codec,
 {
     let asked_us = gateway.clock.now_us();
-    let reply = status_of(gateway, member, until_us).await.ok()?;
-    heard(gateway, member, asked_us, &reply)
+    let reply = request_status(gateway, member, until_us).await.ok()?;
+    record_word(gateway, member, asked_us, &reply)
 }
 
-/// Asks a member for its standing, past the queue: it takes no slot.
-pub async fn status_of<C>(
+/// Queries a member's status, bypassing the admission queue because the query takes no execution slot.
+pub async fn request_status<C>(
     gateway: &Gateway<C>,
     member: &TargetState<C>,
     until_us: u64,
@@ -280,7 +283,7 @@
     let until = gateway.clock.instant_at(until_us.min(now_us + limits::STATUS_TIMEOUT_US));
     let path = member.path();
     let mut lease = path.pool.take(None, None, until).await?;
-    match lease.connection().ask(&Query::Standing, until).await {
+    match lease.connection().ask(&Query::ImmediateStatus, until).await {
         Ok(reply) => {
             lease.return_to_pool();
             member.replied(reply.error(), gateway.clock.now_us(), None);
@@ -296,15 +299,15 @@
 fn log_unproved<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
-    moment_us: u64,
+    as_of_us: u64,
     verdict: LeadVerdict,
 ) where
     C: Codec,
 {
     let now_us = gateway.clock.now_us();
     let Some(left_out) = gateway.log_budget.take("unproved", now_us) else { return };
-    slog::info!(gateway.log, "the lead is not proved";
+    slog::info!(gateway.log, "could not prove that the target is still the primary";
         "service" => &*target.record.service, "target" => &*target.record.id,
-        "verdict" => ?verdict, "waited_us" => now_us.saturating_sub(moment_us),
+        "verdict" => ?verdict, "waited_us" => now_us.saturating_sub(as_of_us),
         "left_out" => left_out);
 }
--- a/crates/proxy/src/sessions/request/read.rs
+++ b/crates/proxy/src/sessions/request/read.rs
@@ -1,9 +1,9 @@
-//! A single read: at any member that has what the read must see, otherwise at the primary.
+//! Single reads: at any member that has what the read must see, otherwise at the primary.
 //!
-//! A read may be offered to several members, one after the other: it has no effect. The last one is
-//! the primary. A target that was replaced while it was cut off would answer a bare read from a log that
-//! lacks what its successor acknowledged, so the primary as well is asked for a position that the read must
-//! see, and where none is known its lead is proved first.
+//! A read has no side effects, so it may be offered to several members in turn; the last one is the primary.
+//! A target that was replaced while it was partitioned would answer a plain read from a log that lacks its
+//! successor's commits. Reads at the primary therefore require a log position as well, and if none is known,
+//! a proof that the target is still the primary.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,22 +29,22 @@
 use crate::sessions::process::limits;
 use crate::sessions::process::targets::TargetState;
 use crate::sessions::request::acquire;
-use crate::sessions::request::acquire::NotTaken;
+use crate::sessions::request::acquire::AcquireError;
 use crate::sessions::request::at_primary;
 use crate::sessions::request::at_primary::ReadGuarantee;
 use crate::sessions::request::call::Call;
-use crate::sessions::request::call::Work;
+use crate::sessions::request::call::Operation;
 use crate::sessions::request::sample;
 
-/// What one member did with a read.
-enum Offered {
-    /// This is the caller's answer.
+/// The result of offering a read to one member.
+enum OfferResult {
+    /// The member's reply is the caller's answer.
     Answered(Reply),
-    /// Another member may do better.
+    /// Another member may succeed.
     TryNext(RetryReason),
-    /// It failed in a way that the caller is told if no other member does better.
+    /// The read failed. This reply is the caller's answer unless another member succeeds.
     Failed(Reply),
-    /// The queue in front of it is too long.
+    /// The member's admission queue refused the read.
     QueueTooLong,
 }
 
@@ -52,7 +52,7 @@
 pub async fn run<C>(
     call: &Call<'_, C>,
     session: &Session<C>,
-    work: &Work<'_>,
+    operation: &Operation<'_>,
 ) -> Result<Reply, Refusal>
 where
     C: Codec,
@@ -63,26 +63,27 @@
         let Some(at_least) = position(call, session).await else { break };
         let Some(target) = choose(call, &tried) else { break };
         tried.push(Arc::clone(&target.record.id));
-        match offer(call, session, work, &target, at_least).await {
-            Offered::Answered(reply) => return Ok(reply),
-            Offered::TryNext(reason) => call.gateway.counters.retry(reason),
-            Offered::Failed(reply) => {
+        match offer(call, session, operation, &target, at_least).await {
+            OfferResult::Answered(reply) => return Ok(reply),
+            OfferResult::TryNext(reason) => call.gateway.counters.retry(reason),
+            OfferResult::Failed(reply) => {
                 call.gateway.counters.retry(RetryReason::ReadLost);
                 last_failure = Some(reply);
             }
-            Offered::QueueTooLong => call.gateway.counters.retry(RetryReason::NoRoom),
+            OfferResult::QueueTooLong => call.gateway.counters.retry(RetryReason::NoRoom),
         }
     }
-    let at_primary = at_primary::read(call, session, work).await;
+    let at_primary = at_primary::read(call, session, operation).await;
     match (at_primary, last_failure) {
         (Err(_), Some(reply)) => Ok(reply),
         (result, _) => result,
     }
 }
 
-/// The position that the read must see. Where none is young enough one request goes to the primary
-/// for it and the others wait: all of them together would overrun the primary's few connections,
-/// as after a start of all processes.
+/// Returns the position that the read must see; none if no sufficiently recent position can be obtained.
+///
+/// If there is none, one request samples the primary's position while the others wait. Sampling by all of
+/// them, as after a start of all processes, would overload the primary's few connections.
 pub async fn position<C>(call: &Call<'_, C>, session: &Session<C>) -> Option<LogPosition>
 where
     C: Codec,
@@ -106,18 +107,18 @@
             }
             continue;
         };
-        // One from some time ago is one that more replicas have reached.
+        // An older position is preferred, because more replicas have reached it.
         let max_age_us = call.route.reads.max_age_ms() * 1_000 / 4 * 3;
         let sampled = sample::sample(call.gateway, &call.route.service, max_age_us).await;
         return sampled.and_then(|()| known());
     }
 }
 
-/// What shows that a primary has all that the reads of this call's transaction must see.
+/// Returns the evidence that the primary has everything that the reads of this call's transaction must see.
 pub fn read_guarantee<C>(
     call: &Call<'_, C>,
     session: &Session<C>,
-    first: &Work<'_>,
+    first: &Operation<'_>,
 ) -> ReadGuarantee
 where
     C: Codec,
@@ -130,17 +131,17 @@
     }
 }
 
-/// The member that is expected to answer first, out of those not tried yet.
+/// Returns the member that is expected to reply first, out of those not yet tried.
 pub fn choose<C>(call: &Call<'_, C>, tried: &[Arc<str>]) -> Option<Arc<TargetState<C>>>
 where
     C: Codec,
 {
     let now_us = call.now_us();
     let members = call.gateway.members(&call.route.service);
-    let fit = members.into_iter().filter(|member| !member.is_leaving());
-    let fit: Vec<_> = fit.filter(|member| !tried.contains(&member.record.id)).collect();
-    let preferred = call.user.and_then(|user| preferred(call, user, &fit));
-    let candidates: Vec<ReadCandidate> = fit
+    let eligible = members.into_iter().filter(|member| !member.is_leaving());
+    let eligible: Vec<_> = eligible.filter(|member| !tried.contains(&member.record.id)).collect();
+    let preferred = call.user.and_then(|user| preferred(call, user, &eligible));
+    let candidates: Vec<ReadCandidate> = eligible
         .iter()
         .map(|member| {
             let health = member.health();
@@ -157,13 +158,13 @@
         })
         .collect();
     let best = read_choice::choose(&candidates)?;
-    // A member that fails or lags is no better than the primary that is asked after all.
-    let is_poor = candidates[best].is_failing || candidates[best].is_lagging;
-    (!is_poor || tried.is_empty()).then(|| Arc::clone(&fit[best]))
+    // The primary, which is asked last, is preferred over a member that fails or lags.
+    let is_unhealthy = candidates[best].is_failing || candidates[best].is_lagging;
+    (!is_unhealthy || tried.is_empty()).then(|| Arc::clone(&eligible[best]))
 }
 
-/// The replica that a user's reads go to unless another answers sooner: each replica holds connections of a part of
-/// the users then, instead of all replicas those of all.
+/// Returns the replica that serves a user's reads unless another is expected to reply sooner. This way each
+/// replica holds connections of some users instead of all of them.
 fn preferred<'a, C>(
     call: &Call<'_, C>,
     user: &str,
@@ -176,7 +177,7 @@
     replicas.max_by_key(|member| homes::user_score(&call.route.service, user, &member.record.id))
 }
 
-/// How long a read may go without an answer before another member is asked.
+/// Returns the time at which a read without a reply is offered to another member.
 pub fn hedge_at_us<C>(call: &Call<'_, C>) -> u64
 where
     C: Codec,
@@ -189,73 +190,75 @@
 async fn offer<C>(
     call: &Call<'_, C>,
     session: &Session<C>,
-    work: &Work<'_>,
+    operation: &Operation<'_>,
     target: &Arc<TargetState<C>>,
     at_least: LogPosition,
-) -> Offered
+) -> OfferResult
 where
     C: Codec,
 {
     let until_us = call.next_offer_until_us();
     let mut lease = match acquire::take(call, target, until_us).await {
         Ok(lease) => lease,
-        Err(NotTaken::Queue(_)) => return Offered::QueueTooLong,
-        Err(NotTaken::NotConnected(_)) => return Offered::TryNext(RetryReason::ConnectFailed),
+        Err(AcquireError::Queue(_)) => return OfferResult::QueueTooLong,
+        Err(AcquireError::NotConnected(_)) => {
+            return OfferResult::TryNext(RetryReason::ConnectFailed);
+        }
     };
     let sent_us = call.now_us();
     target.started(sent_us);
     let until_us = hedge_at_us(call);
     let (link, at_least) = (lease.connection(), Some(at_least));
-    let answered = acquire::run(call, link, &session.values, work, at_least, until_us).await;
+    let answered = acquire::run(call, link, &session.values, operation, at_least, until_us).await;
     target.ended();
-    call.took(Stage::Target, sent_us);
+    call.record_latency(Stage::Target, sent_us);
     let now_us = call.now_us();
     let reply = match answered {
         Ok(reply) => reply,
         Err(lost) => {
             target.failed(now_us);
             call.log_lost(&target.record.id, lost.failure);
-            return Offered::TryNext(RetryReason::ReadLost);
+            return OfferResult::TryNext(RetryReason::ReadLost);
         }
     };
-    let offered = judge(target, lease.connection(), reply, sent_us, now_us);
+    let offered = classify_reply(target, lease.connection(), reply, sent_us, now_us);
     lease.return_to_pool();
     offered
 }
 
-fn judge<C>(
+fn classify_reply<C>(
     target: &TargetState<C>,
     link: &mut StatementLink<C>,
     reply: Reply,
     sent_us: u64,
     now_us: u64,
-) -> Offered
+) -> OfferResult
 where
     C: Codec,
 {
     let took_us = now_us.saturating_sub(sent_us);
     let Some(error) = reply.error() else {
         target.answered(now_us, Some(took_us));
-        return Offered::Answered(reply);
+        return OfferResult::Answered(reply);
     };
     target.replied(Some(error), now_us, None);
     match error {
         TargetError::Lagging => {
             target.lagged(now_us);
-            Offered::TryNext(RetryReason::Lagging)
+            OfferResult::TryNext(RetryReason::Lagging)
         }
-        TargetError::Busy => Offered::TryNext(RetryReason::Busy),
-        TargetError::Unreachable => Offered::TryNext(RetryReason::ConnectFailed),
+        TargetError::Busy => OfferResult::TryNext(RetryReason::Busy),
+        TargetError::Unreachable => OfferResult::TryNext(RetryReason::ConnectFailed),
         TargetError::UnknownPrepared => {
             link.forget_session();
-            Offered::TryNext(RetryReason::PreparedLost)
+            OfferResult::TryNext(RetryReason::PreparedLost)
         }
-        _ => Offered::Failed(reply),
+        _ => OfferResult::Failed(reply),
     }
 }
 
-/// What a caller is told of a read that was lost on its way.
-pub fn lost_read(failure: Failure) -> Refusal {
+/// Returns the refusal for a read without a reply.
+pub fn lost_read_refusal(failure: Failure) -> Refusal {
     match failure {
         Failure::TimedOut => ErrorKind::AnswerTimedOut.into(),
         _ => ErrorKind::ReadFailed.into(),
--- a/crates/proxy/src/sessions/request/sample.rs
+++ b/crates/proxy/src/sessions/request/sample.rs
@@ -1,9 +1,10 @@
-//! Bringing a position of a service's primary.
+//! Sampling a log position of a service's primary.
 //!
-//! A process with connections of its own opens a transaction at the primary and ends it at once, which
-//! takes no slot and tells a position; meanwhile other members are asked for the proof that it still
-//! led. Another process asks a home of the primary, which tells what it has and how old that is. The question passes the queue by: when a primary is
-//! overrun, reads without a position that replicas have reached would go to it as well.
+//! A process with its own connections opens a transaction at the primary and rolls it back, which takes no
+//! execution slot and returns a position, while other members are queried for the proof that the target is
+//! still the primary. Other processes ask a home of the primary (a VM with its own connections to it) for a
+//! position and its age. Sampling bypasses the admission queue: with an overloaded primary no positions would
+//! be sampled otherwise, and reads that replicas could serve would go to the primary as well.
 
 use std::sync::Arc;
 
@@ -20,34 +21,36 @@
 use crate::sessions::process::targets::TargetState;
 use crate::sessions::request::prove;
 
-/// The time for the question, in microseconds. Most reads have a position from before meanwhile.
-const LIMIT_US: u64 = 250_000;
+/// The time limit of sampling, in microseconds. Most reads use an earlier position in the meantime.
+const TIMEOUT_US: u64 = 250_000;
 
-/// Brings a position, one of at most `max_age_us` where another process tells it. None if the primary is not
-/// known, or did not prove its lead.
+/// Samples a position. If another process provides it, it is at most `max_age_us` old. Returns `None` if the
+/// primary is unknown or its lead was not proved.
 pub async fn sample<C>(gateway: &Gateway<C>, service: &Arc<str>, max_age_us: u64) -> Option<()>
 where
     C: Codec,
 {
     let target = gateway.primary(service)?;
-    let until = gateway.clock.instant_at(gateway.clock.now_us() + LIMIT_US);
+    let until = gateway.clock.instant_at(gateway.clock.now_us() + TIMEOUT_US);
     let lease = match target.pool().take(None, None, until).await {
         Ok(lease) => lease,
         Err(failure) => {
-            if let Some(left_out) = gateway.log_budget.take("no way", gateway.clock.now_us()) {
-                slog::debug!(gateway.log, "no connection for a position";
+            if let Some(left_out) =
+                gateway.log_budget.take("sample_connection", gateway.clock.now_us())
+            {
+                slog::debug!(gateway.log, "no connection to sample the primary's position";
                     "target" => &*target.record.id, "failure" => ?failure, "left_out" => left_out);
             }
             return None;
         }
     };
     match target.is_direct() {
-        true => by_transaction(gateway, &target, lease).await,
-        false => from_home(gateway, &target, lease, max_age_us).await,
+        true => sample_with_transaction(gateway, &target, lease).await,
+        false => sample_from_home(gateway, &target, lease, max_age_us).await,
     }
 }
 
-async fn by_transaction<C>(
+async fn sample_with_transaction<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
     mut lease: Lease<StatementLink<C>>,
@@ -56,16 +59,16 @@
     C: Codec,
 {
     let sent_us = gateway.clock.now_us();
-    let until = gateway.clock.instant_at(sent_us + LIMIT_US);
+    let until = gateway.clock.instant_at(sent_us + TIMEOUT_US);
     let link = lease.connection();
     if prove::learn_term(gateway, target, link, sent_us).await.is_err() {
         target.failed(gateway.clock.now_us());
         return None;
     }
     link.push_own(Statement::Begin { read_only: false });
-    // Whether it was opened or refused, it is over.
+    // The transaction is over, whether it was opened or refused.
     link.push_own(Statement::Rollback);
-    let proof = prove::lead(gateway, target, sent_us, sent_us + LIMIT_US);
+    let proof = prove::lead(gateway, target, sent_us, sent_us + TIMEOUT_US);
     let (exchanged, proof) = tokio::join!(link.exchange(until), proof);
     let Ok(reply) = exchanged else {
         target.failed(gateway.clock.now_us());
@@ -87,7 +90,7 @@
     }
 }
 
-async fn from_home<C>(
+async fn sample_from_home<C>(
     gateway: &Gateway<C>,
     target: &TargetState<C>,
     mut lease: Lease<StatementLink<C>>,
@@ -98,7 +101,7 @@
 {
     gateway.counters.event(Event::PositionsAsked);
     let sent_us = gateway.clock.now_us();
-    let until = gateway.clock.instant_at(sent_us + LIMIT_US);
+    let until = gateway.clock.instant_at(sent_us + TIMEOUT_US);
     let reply = lease.connection().ask(&Query::Position { max_age_us }, until).await.ok()?;
     lease.return_to_pool();
     if !matches!(reply.end, End::Complete { .. }) {
@@ -109,8 +112,8 @@
     let Err(error) = gateway.record_position(service, sent_us, age_us, position) else {
         return Some(());
     };
-    if let Some(left_out) = gateway.log_budget.take("not taken", gateway.clock.now_us()) {
-        slog::debug!(gateway.log, "a position was not taken";
+    if let Some(left_out) = gateway.log_budget.take("sample_rejected", gateway.clock.now_us()) {
+        slog::debug!(gateway.log, "rejected a position received from a home";
             "service" => &**service, "home" => target.via().as_deref(), "error" => ?error,
             "position" => position.to_string(), "age_us" => age_us, "left_out" => left_out);
     }
