--- a/crates/bench/src/slopes/versions.rs
+++ b/crates/bench/src/slopes/versions.rs
@@ -10,7 +10,7 @@
 use skylark_core::process::membership::MembershipPolicy;
 use skylark_core::version::objects::Snapshot;
 use skylark_core::version::topology::Topology;
-use skylark_objects::WatchAnswer;
+use skylark_objects::WatchResponse;
 
 use crate::slopes::case::Case;
 use crate::slopes::case::Unit;
@@ -192,10 +192,10 @@
     serde_json::from_slice(text).expect("the text was written from a snapshot")
 }
 
-fn watch_answer(changed: u64) -> WatchAnswer {
+fn watch_answer(changed: u64) -> WatchResponse {
     let snapshot = fleet::snapshot(550);
     let groups = snapshot.objects.into_iter().filter(|object| object.name.starts_with("group"));
-    WatchAnswer {
+    WatchResponse {
         revision: snapshot.revision,
         objects: groups.step_by(2).take(changed as usize).collect(),
     }
--- a/crates/ctl/tests/operators.rs
+++ b/crates/ctl/tests/operators.rs
@@ -17,9 +17,9 @@
 use skylark_ctl::confirm;
 use skylark_ctl::exit::Exit;
 use skylark_objects::ObjectStore;
-use skylark_objects::PutAnswer;
+use skylark_objects::PutResponse;
 use skylark_objects::StoreError;
-use skylark_objects::WatchAnswer;
+use skylark_objects::WatchResponse;
 use skylark_objects::http::HttpStore;
 use skylark_settings::deployment::DeploymentSettings;
 use skylark_standin::platform::PlatformServer;
@@ -285,7 +285,7 @@
         name: &str,
         expected_version: u64,
         body: Value,
-    ) -> Result<PutAnswer, StoreError> {
+    ) -> Result<PutResponse, StoreError> {
         let answer = self.store.put(kind, name, expected_version, body).await;
         self.silent.fetch_or(kind == ObjectKind::Service, Ordering::Relaxed);
         self.answer(answer)
@@ -296,11 +296,11 @@
         kind: ObjectKind,
         name: &str,
         expected_version: u64,
-    ) -> Result<PutAnswer, StoreError> {
+    ) -> Result<PutResponse, StoreError> {
         self.answer(self.store.delete(kind, name, expected_version).await)
     }
 
-    async fn watch(&self, after: u64, wait: Duration) -> Result<WatchAnswer, StoreError> {
+    async fn watch(&self, after: u64, wait: Duration) -> Result<WatchResponse, StoreError> {
         self.answer(self.store.watch(after, wait).await)
     }
 
--- a/crates/objects/src/http.rs
+++ b/crates/objects/src/http.rs
@@ -11,23 +11,23 @@
 use tokio::time;
 
 use crate::ObjectStore;
-use crate::PutAnswer;
 use crate::PutRequest;
+use crate::PutResponse;
 use crate::StoreError;
-use crate::WatchAnswer;
+use crate::WatchResponse;
 
 /// The header that names the availability zone of the calling VM.
 pub const ZONE_HEADER: &str = "x-availability-zone";
 
 /// How long a call may stay without an answer that begins, on top of what a watch waits.
-const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+const HEADERS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// After which silence in the middle of an answer it counts as lost. With a limit for the whole, a
 /// snapshot of 600 KB over a link of 200 KB/s was given up each time and asked for anew.
-const SILENCE: Duration = Duration::from_secs(1);
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long an answer may take to arrive once it has begun.
-const ANSWER_LIMIT: Duration = Duration::from_secs(30);
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A client of one platform endpoint.
 #[derive(Clone, Debug)]
@@ -60,17 +60,17 @@
         T: de::DeserializeOwned,
     {
         let request = request.header(ZONE_HEADER, &self.zone);
-        let begun = time::timeout(timeout, request.send()).await.map_err(no_answer)?;
-        let response = begun.map_err(no_answer)?;
+        let sent = time::timeout(timeout, request.send()).await.map_err(no_answer)?;
+        let response = sent.map_err(no_answer)?;
         match response.status() {
             reqwest::StatusCode::OK => decode(response).await,
             reqwest::StatusCode::NOT_FOUND => Err(StoreError::NotFound),
             reqwest::StatusCode::CONFLICT => {
-                let current: PutAnswer = decode(response).await?;
+                let current: PutResponse = decode(response).await?;
                 Err(StoreError::Conflict { actual: current.version })
             }
             status if status.is_client_error() => {
-                let body = whole_body(response).await.unwrap_or_default();
+                let body = read_body(response).await.unwrap_or_default();
                 let reason = String::from_utf8_lossy(&body);
                 Err(StoreError::Refused(format!("{status}: {reason}")))
             }
@@ -81,11 +81,11 @@
 
 impl ObjectStore for HttpStore {
     async fn get(&self, kind: ObjectKind, name: &str) -> Result<StoredObject, StoreError> {
-        self.call(self.client.get(self.object_url(kind, name)), CALL_TIMEOUT).await
+        self.call(self.client.get(self.object_url(kind, name)), HEADERS_TIMEOUT).await
     }
 
     async fn snapshot(&self) -> Result<Snapshot, StoreError> {
-        self.snapshot_within(CALL_TIMEOUT).await
+        self.snapshot_within(HEADERS_TIMEOUT).await
     }
 
     async fn snapshot_within(&self, limit: Duration) -> Result<Snapshot, StoreError> {
@@ -99,9 +99,10 @@
         name: &str,
         expected_version: u64,
         body: serde_json::Value,
-    ) -> Result<PutAnswer, StoreError> {
+    ) -> Result<PutResponse, StoreError> {
         let request = PutRequest { expected_version, body };
-        self.call(self.client.put(self.object_url(kind, name)).json(&request), CALL_TIMEOUT).await
+        self.call(self.client.put(self.object_url(kind, name)).json(&request), HEADERS_TIMEOUT)
+            .await
     }
 
     async fn delete(
@@ -109,32 +110,36 @@
         kind: ObjectKind,
         name: &str,
         expected_version: u64,
-    ) -> Result<PutAnswer, StoreError> {
+    ) -> Result<PutResponse, StoreError> {
         let request = self.client.delete(self.object_url(kind, name));
         let request = request.query(&[("expected_version", expected_version)]);
-        self.call(request, CALL_TIMEOUT).await
+        self.call(request, HEADERS_TIMEOUT).await
     }
 
-    async fn watch(&self, after_revision: u64, wait: Duration) -> Result<WatchAnswer, StoreError> {
+    async fn watch(
+        &self,
+        after_revision: u64,
+        wait: Duration,
+    ) -> Result<WatchResponse, StoreError> {
         let url = format!("{}/watch", self.base_url);
         let wait_ms = wait.as_millis() as u64;
         let request =
             self.client.get(url).query(&[("after", after_revision), ("wait_ms", wait_ms)]);
-        self.call(request, CALL_TIMEOUT + wait).await
+        self.call(request, HEADERS_TIMEOUT + wait).await
     }
 
     async fn vms(&self) -> Result<Vec<VmRecord>, StoreError> {
-        self.call(self.client.get(format!("{}/vms", self.base_url)), CALL_TIMEOUT).await
+        self.call(self.client.get(format!("{}/vms", self.base_url)), HEADERS_TIMEOUT).await
     }
 }
 
 /// Reads an answer to its end, however slowly it comes, for as long as some of it comes.
-async fn whole_body(mut response: reqwest::Response) -> Result<Vec<u8>, StoreError> {
-    let until = time::Instant::now() + ANSWER_LIMIT;
+async fn read_body(mut response: reqwest::Response) -> Result<Vec<u8>, StoreError> {
+    let body_deadline = time::Instant::now() + BODY_TIMEOUT;
     let mut body = Vec::new();
     loop {
-        let silent_at = until.min(time::Instant::now() + SILENCE);
-        let next = time::timeout_at(silent_at, response.chunk()).await.map_err(no_answer)?;
+        let chunk_deadline = body_deadline.min(time::Instant::now() + CHUNK_TIMEOUT);
+        let next = time::timeout_at(chunk_deadline, response.chunk()).await.map_err(no_answer)?;
         match next.map_err(no_answer)? {
             Some(chunk) => body.extend_from_slice(&chunk),
             None => return Ok(body),
@@ -146,7 +151,7 @@
 where
     T: de::DeserializeOwned,
 {
-    let body = whole_body(response).await?;
+    let body = read_body(response).await?;
     serde_json::from_slice(&body).map_err(no_answer)
 }
 
--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -28,14 +28,14 @@
 
 /// The answer to a conditional update that took.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub struct PutAnswer {
+pub struct PutResponse {
     /// The object's new version, which is also the store's revision of the change.
     pub version: u64,
 }
 
 /// The answer to a watch: every object that changed after the revision asked for.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
-pub struct WatchAnswer {
+pub struct WatchResponse {
     /// The store's revision up to which changes are included.
     pub revision: u64,
     /// The changed objects in their latest version; deleted ones are marked.
@@ -97,7 +97,7 @@
         name: &str,
         expected_version: u64,
         body: serde_json::Value,
-    ) -> impl Future<Output = Result<PutAnswer, StoreError>> + Send;
+    ) -> impl Future<Output = Result<PutResponse, StoreError>> + Send;
 
     /// Removes one object if it still has `expected_version`.
     fn delete(
@@ -105,7 +105,7 @@
         kind: ObjectKind,
         name: &str,
         expected_version: u64,
-    ) -> impl Future<Output = Result<PutAnswer, StoreError>> + Send;
+    ) -> impl Future<Output = Result<PutResponse, StoreError>> + Send;
 
     /// Waits up to `wait` for changes after `after_revision`; an answer without objects means that
     /// none came.
@@ -113,7 +113,7 @@
         &self,
         after_revision: u64,
         wait: Duration,
-    ) -> impl Future<Output = Result<WatchAnswer, StoreError>> + Send;
+    ) -> impl Future<Output = Result<WatchResponse, StoreError>> + Send;
 
     /// Reads the lagging list of live and leaving VMs.
     fn vms(&self) -> impl Future<Output = Result<Vec<VmRecord>, StoreError>> + Send;
--- a/crates/proxy/src/process/control/input.rs
+++ b/crates/proxy/src/process/control/input.rs
@@ -6,7 +6,7 @@
 use skylark_core::version::objects::VmRecord;
 use skylark_core::version::spreading::Source;
 use skylark_objects::StoreError;
-use skylark_objects::WatchAnswer;
+use skylark_objects::WatchResponse;
 
 use crate::process::peer::api;
 
@@ -27,7 +27,7 @@
         /// The revision that it started from.
         after_revision: u64,
         /// The changes, or why there is no answer.
-        result: Result<WatchAnswer, StoreError>,
+        result: Result<WatchResponse, StoreError>,
     },
     /// The platform answered with its list of VMs, or did not.
     VmList(Result<Vec<VmRecord>, StoreError>),
--- a/crates/proxy/src/process/control/spread.rs
+++ b/crates/proxy/src/process/control/spread.rs
@@ -10,7 +10,7 @@
 use skylark_core::version::spreading::Source;
 use skylark_objects::ObjectStore;
 use skylark_objects::StoreError;
-use skylark_objects::WatchAnswer;
+use skylark_objects::WatchResponse;
 
 use crate::process::control::Control;
 use crate::process::control::input::Input;
@@ -213,9 +213,9 @@
         }
     }
 
-    fn watched(&mut self, after_revision: u64, result: Result<WatchAnswer, StoreError>) {
+    fn watched(&mut self, after_revision: u64, result: Result<WatchResponse, StoreError>) {
         self.note_platform(&result);
-        let Ok(WatchAnswer { revision, objects }) = result else { return };
+        let Ok(WatchResponse { revision, objects }) = result else { return };
         if objects.is_empty() {
             return;
         }
--- a/crates/standin/src/platform/api.rs
+++ b/crates/standin/src/platform/api.rs
@@ -20,8 +20,8 @@
 use axum::routing;
 use serde::Deserialize;
 use skylark_core::version::objects::ObjectKind;
-use skylark_objects::PutAnswer;
 use skylark_objects::PutRequest;
+use skylark_objects::PutResponse;
 use skylark_objects::http::ZONE_HEADER;
 
 use super::Platform;
@@ -155,10 +155,10 @@
 
 fn changed(platform: &Platform, result: Result<u64, Conflict>) -> Response {
     match result {
-        Ok(version) => Json(PutAnswer { version }).into_response(),
+        Ok(version) => Json(PutResponse { version }).into_response(),
         Err(conflict) => {
             platform.counters.conflicts.add();
-            let answer = PutAnswer { version: conflict.actual };
+            let answer = PutResponse { version: conflict.actual };
             (StatusCode::CONFLICT, Json(answer)).into_response()
         }
     }
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -9,7 +9,7 @@
 use skylark_core::version::objects::Snapshot;
 use skylark_core::version::objects::StoredObject;
 use skylark_core::version::objects::VmRecord;
-use skylark_objects::WatchAnswer;
+use skylark_objects::WatchResponse;
 use tokio::sync::watch;
 
 /// Another version than the one expected: the object has this one, zero for none.
@@ -110,10 +110,10 @@
     }
 
     /// What changed after a revision.
-    pub fn changes_after(&self, revision: u64) -> WatchAnswer {
+    pub fn changes_after(&self, revision: u64) -> WatchResponse {
         let content = self.content.lock();
         let changed = content.objects.values().filter(|object| object.version > revision);
-        WatchAnswer { revision: content.revision, objects: changed.cloned().collect() }
+        WatchResponse { revision: content.revision, objects: changed.cloned().collect() }
     }
 
     /// The revisions from now on.
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -10,7 +10,7 @@
 use skylark_core::version::objects::VmState;
 use skylark_core::version::topology::Topology;
 use skylark_objects::ObjectStore;
-use skylark_objects::PutAnswer;
+use skylark_objects::PutResponse;
 use skylark_objects::StoreError;
 use skylark_objects::http::HttpStore;
 use skylark_standin::deployment::Deployment;
@@ -248,15 +248,15 @@
         };
         let conflict = delete(created.version + 1).await.expect("answered");
         assert_eq!(conflict.status(), reqwest::StatusCode::CONFLICT);
-        let answer: PutAnswer = conflict.json().await.expect("an answer");
+        let answer: PutResponse = conflict.json().await.expect("an answer");
         assert_eq!(answer, created);
         let deleted = delete(created.version).await.expect("answered");
         assert_eq!(deleted.status(), reqwest::StatusCode::OK);
-        let answer: PutAnswer = deleted.json().await.expect("an answer");
+        let answer: PutResponse = deleted.json().await.expect("an answer");
         assert_eq!(answer.version, created.version + 1);
         let again = delete(answer.version).await.expect("answered");
         assert_eq!(again.status(), reqwest::StatusCode::CONFLICT);
-        assert_eq!(again.json::<PutAnswer>().await.expect("an answer").version, 0);
+        assert_eq!(again.json::<PutResponse>().await.expect("an answer").version, 0);
     }
 
     /// Faults, VMs, counters and statuses over the deployment's own endpoint.
