--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -10,12 +10,12 @@
 use skylark_core::version::objects::ObjectKind;
 
 use crate::Settings;
-use crate::relations::Relations;
+use crate::cross_key::CrossKeyChecker;
+use crate::schema::Key;
+use crate::schema::Schema;
 use crate::section::section;
-use crate::shape::Key;
-use crate::shape::Shape;
 
-const ADDRESS: Shape = Shape::Address { any_port: true };
+const ADDRESS: Schema = Schema::Address { allow_port_zero: true };
 const MAX_DELAY_US: u64 = 10_000_000;
 const MAX_DELAY_MS: u64 = 60_000;
 
@@ -24,21 +24,21 @@
     DeploymentSettings {
         /// The availability zones.
         zones: Vec<Zone>, required,
-            Shape::List { of: &Shape::Section(Zone::KEYS), min_len: 1 };
+            Schema::List { item: &Schema::Section(Zone::KEYS), min_len: 1 };
         /// The delay one way between two availability zones.
-        zone_one_way_us: u64, default(0), Shape::Integer { min: 0, max: MAX_DELAY_US };
+        zone_one_way_us: u64, default(0), Schema::Integer { min: 0, max: MAX_DELAY_US };
         /// The delay one way between callers and entry VMs.
-        caller_one_way_us: u64, default(0), Shape::Integer { min: 0, max: MAX_DELAY_US };
+        caller_one_way_us: u64, default(0), Schema::Integer { min: 0, max: MAX_DELAY_US };
         /// Where the stand-in of the platform listens.
         platform_address: SocketAddr, required, ADDRESS;
         /// The entry VMs.
-        vms: Vec<Vm>, required, Shape::List { of: &Shape::Section(Vm::KEYS), min_len: 1 };
+        vms: Vec<Vm>, required, Schema::List { item: &Schema::Section(Vm::KEYS), min_len: 1 };
         /// The services.
         services: Vec<Service>, required,
-            Shape::List { of: &Shape::Section(Service::KEYS), min_len: 1 };
+            Schema::List { item: &Schema::Section(Service::KEYS), min_len: 1 };
         /// The database groups.
         groups: Vec<Group>, required,
-            Shape::List { of: &Shape::Section(Group::KEYS), min_len: 1 };
+            Schema::List { item: &Schema::Section(Group::KEYS), min_len: 1 };
     }
 }
 
@@ -46,7 +46,7 @@
     /// An availability zone.
     Zone {
         /// The name.
-        zone: String, required, Shape::Name;
+        zone: String, required, Schema::Name;
     }
 }
 
@@ -54,9 +54,9 @@
     /// An entry VM.
     Vm {
         /// The name.
-        vm: String, required, Shape::Name;
+        vm: String, required, Schema::Name;
         /// The availability zone.
-        zone: String, required, Shape::Name;
+        zone: String, required, Schema::Name;
         /// Where its proxy serves callers.
         listen_address: SocketAddr, required, ADDRESS;
         /// Where its proxy serves control.
@@ -68,13 +68,13 @@
     /// A service.
     Service {
         /// The name.
-        name: String, required, Shape::Name;
+        name: String, required, Schema::Name;
         /// The kinds of reads that callers can declare.
         read_kinds: Vec<ReadKind>, default(Vec::new()),
-            Shape::List { of: &Shape::Section(ReadKind::KEYS), min_len: 0 };
+            Schema::List { item: &Schema::Section(ReadKind::KEYS), min_len: 0 };
         /// The classes that share connections; the first one is the default.
         classes: Vec<Class>, required,
-            Shape::List { of: &Shape::Section(Class::KEYS), min_len: 1 };
+            Schema::List { item: &Schema::Section(Class::KEYS), min_len: 1 };
     }
 }
 
@@ -82,11 +82,11 @@
     /// A kind of read.
     ReadKind {
         /// The name that callers declare.
-        name: String, required, Shape::Name;
+        name: String, required, Schema::Name;
         /// The oldest age of the data.
-        max_age_ms: u64, required, Shape::Integer { min: 0, max: objects::ReadKindSpec::HIGHEST_MAX_AGE_MS };
+        max_age_ms: u64, required, Schema::Integer { min: 0, max: objects::ReadKindSpec::HIGHEST_MAX_AGE_MS };
         /// The class of requests of this kind, unless the caller names one.
-        class: Option<String>, optional, Shape::Name;
+        class: Option<String>, optional, Schema::Name;
     }
 }
 
@@ -94,12 +94,12 @@
     /// A class of requests.
     Class {
         /// The name that callers and read kinds refer to.
-        name: String, required, Shape::Name;
+        name: String, required, Schema::Name;
         /// The share of connections relative to the other classes.
         weight: u32, required,
-            Shape::Integer { min: 1, max: objects::ClassSpec::HIGHEST_WEIGHT as u64 };
+            Schema::Integer { min: 1, max: objects::ClassSpec::HIGHEST_WEIGHT as u64 };
         /// The response time that the class aims at.
-        goal_ms: u64, required, Shape::Integer { min: 1, max: MAX_DELAY_MS };
+        goal_ms: u64, required, Schema::Integer { min: 1, max: MAX_DELAY_MS };
     }
 }
 
@@ -107,12 +107,12 @@
     /// A database group.
     Group {
         /// The name, which callers give as their database.
-        name: String, required, Shape::Name;
+        name: String, required, Schema::Name;
         /// The service that the group belongs to.
-        service: String, required, Shape::Name;
+        service: String, required, Schema::Name;
         /// The members; the first one is the primary at the start.
         members: Vec<Member>, required,
-            Shape::List { of: &Shape::Section(Member::KEYS), min_len: 1 };
+            Schema::List { item: &Schema::Section(Member::KEYS), min_len: 1 };
     }
 }
 
@@ -120,21 +120,21 @@
     /// A database of a group.
     Member {
         /// The target's name, unique over all groups.
-        target: String, required, Shape::Name;
+        target: String, required, Schema::Name;
         /// The availability zone.
-        zone: String, required, Shape::Name;
+        zone: String, required, Schema::Name;
         /// Where the target listens.
         address: SocketAddr, required, ADDRESS;
         /// How many statements it runs at once.
-        slots: u32, required, Shape::Integer { min: 1, max: 10_000 };
+        slots: u32, required, Schema::Integer { min: 1, max: 10_000 };
         /// How many caller connections it accepts in all.
-        connections: u32, required, Shape::Integer { min: 1, max: 100_000 };
+        connections: u32, required, Schema::Integer { min: 1, max: 100_000 };
         /// What a new connection costs at the stand-in.
-        connect_cost_ms: u64, default(0), Shape::Integer { min: 0, max: MAX_DELAY_MS };
+        connect_cost_ms: u64, default(0), Schema::Integer { min: 0, max: MAX_DELAY_MS };
         /// The service time of each statement at the stand-in, on top of what its engine takes.
-        statement_cost_us: u64, default(0), Shape::Integer { min: 0, max: MAX_DELAY_US };
+        statement_cost_us: u64, default(0), Schema::Integer { min: 0, max: MAX_DELAY_US };
         /// How long the stand-in takes to replicate a record to this member.
-        lag_ms: u64, default(0), Shape::Integer { min: 0, max: MAX_DELAY_MS };
+        lag_ms: u64, default(0), Schema::Integer { min: 0, max: MAX_DELAY_MS };
     }
 }
 
@@ -223,38 +223,38 @@
         self.vms.iter().map(record).collect()
     }
 
-    fn check_names(&self, relations: &mut Relations) {
+    fn check_names(&self, checker: &mut CrossKeyChecker) {
         let path = |list: &str, index, key: &str| format!("{list}[{index}].{key}");
         let zones = self.zones.iter().enumerate();
-        relations.refuse_repeated(zones.map(|(i, zone)| (path("zones", i, "zone"), &*zone.zone)));
+        checker.check_unique(zones.map(|(i, zone)| (path("zones", i, "zone"), &*zone.zone)));
         let vms = self.vms.iter().enumerate();
-        relations.refuse_repeated(vms.map(|(i, vm)| (path("vms", i, "vm"), &*vm.vm)));
+        checker.check_unique(vms.map(|(i, vm)| (path("vms", i, "vm"), &*vm.vm)));
         let services = self.services.iter().enumerate();
-        relations.refuse_repeated(services.map(|(i, it)| (path("services", i, "name"), &*it.name)));
+        checker.check_unique(services.map(|(i, it)| (path("services", i, "name"), &*it.name)));
         let groups = self.groups.iter().enumerate();
-        relations.refuse_repeated(groups.map(|(i, it)| (path("groups", i, "name"), &*it.name)));
+        checker.check_unique(groups.map(|(i, it)| (path("groups", i, "name"), &*it.name)));
         let targets = self.members().map(|(path, member)| (path + ".target", &*member.target));
-        relations.refuse_repeated(targets);
+        checker.check_unique(targets);
     }
 
-    fn check_references(&self, relations: &mut Relations) {
+    fn check_references(&self, checker: &mut CrossKeyChecker) {
         let zones: Vec<&str> = self.zones.iter().map(|zone| &*zone.zone).collect();
         let services: Vec<&str> = self.services.iter().map(|service| &*service.name).collect();
         for (index, vm) in self.vms.iter().enumerate() {
-            relations.refuse_unknown(format!("vms[{index}].zone"), &vm.zone, &zones);
+            checker.check_known(format!("vms[{index}].zone"), &vm.zone, &zones);
         }
         for (path, member) in self.members() {
-            relations.refuse_unknown(path + ".zone", &member.zone, &zones);
+            checker.check_known(path + ".zone", &member.zone, &zones);
         }
         for (index, group) in self.groups.iter().enumerate() {
-            relations.refuse_unknown(format!("groups[{index}].service"), &group.service, &services);
+            checker.check_known(format!("groups[{index}].service"), &group.service, &services);
         }
         for (index, service) in self.services.iter().enumerate() {
-            service.check(&format!("services[{index}]"), relations);
+            service.check(&format!("services[{index}]"), checker);
         }
     }
 
-    fn check_addresses(&self, relations: &mut Relations) {
+    fn check_addresses(&self, checker: &mut CrossKeyChecker) {
         let mut taken = vec![("platform_address".to_owned(), self.platform_address)];
         for (index, vm) in self.vms.iter().enumerate() {
             taken.push((format!("vms[{index}].listen_address"), vm.listen_address));
@@ -264,7 +264,7 @@
         taken.retain(|(_, address)| address.port() != 0);
         let texts: Vec<String> = taken.iter().map(|(_, address)| address.to_string()).collect();
         let paths = taken.into_iter().map(|(path, _)| path);
-        relations.refuse_repeated(paths.zip(texts.iter().map(String::as_str)));
+        checker.check_unique(paths.zip(texts.iter().map(String::as_str)));
     }
 
     /// Every member with its path.
@@ -277,19 +277,19 @@
 }
 
 impl Service {
-    fn check(&self, path: &str, relations: &mut Relations) {
+    fn check(&self, path: &str, checker: &mut CrossKeyChecker) {
         let kinds = self.read_kinds.iter().enumerate();
-        relations.refuse_repeated(
+        checker.check_unique(
             kinds.map(|(i, kind)| (format!("{path}.read_kinds[{i}].name"), &*kind.name)),
         );
         let classes = self.classes.iter().enumerate();
-        relations.refuse_repeated(
+        checker.check_unique(
             classes.map(|(i, class)| (format!("{path}.classes[{i}].name"), &*class.name)),
         );
         let known: Vec<&str> = self.classes.iter().map(|class| &*class.name).collect();
         for (index, kind) in self.read_kinds.iter().enumerate() {
             let Some(class) = &kind.class else { continue };
-            relations.refuse_unknown(format!("{path}.read_kinds[{index}].class"), class, &known);
+            checker.check_known(format!("{path}.read_kinds[{index}].class"), class, &known);
         }
     }
 }
@@ -297,10 +297,10 @@
 impl Settings for DeploymentSettings {
     const KEYS: &'static [Key] = DeploymentSettings::KEYS;
 
-    fn check_relations(&self, relations: &mut Relations) {
-        self.check_names(relations);
-        self.check_references(relations);
-        self.check_addresses(relations);
+    fn check_cross_key_rules(&self, checker: &mut CrossKeyChecker) {
+        self.check_names(checker);
+        self.check_references(checker);
+        self.check_addresses(checker);
     }
 }
 
@@ -308,14 +308,13 @@
 impl Settings for Group {
     const KEYS: &'static [Key] = Group::KEYS;
 
-    fn check_relations(&self, relations: &mut Relations) {
+    fn check_cross_key_rules(&self, checker: &mut CrossKeyChecker) {
         let targets = self.members.iter().enumerate();
-        relations
-            .refuse_repeated(targets.map(|(i, it)| (format!("members[{i}].target"), &*it.target)));
+        checker.check_unique(targets.map(|(i, it)| (format!("members[{i}].target"), &*it.target)));
         let addresses = self.members.iter().map(|it| it.address.to_string());
         let addresses: Vec<String> = addresses.collect();
         let addresses = addresses.iter().enumerate();
-        relations.refuse_repeated(
+        checker.check_unique(
             addresses.map(|(i, address)| (format!("members[{i}].address"), &**address)),
         );
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -16,19 +16,19 @@
 
 use serde::de::DeserializeOwned;
 
+use crate::cross_key::CrossKeyChecker;
 use crate::mistake::Mistake;
 use crate::mistake::Mistakes;
-use crate::relations::Relations;
-use crate::shape::Key;
+use crate::schema::Key;
 
 mod check;
+pub mod cross_key;
 pub mod deployment;
 pub mod mistake;
 pub mod proxy;
 pub mod reference;
-pub mod relations;
+pub mod schema;
 mod section;
-pub mod shape;
 
 /// A structure that a settings file is read into.
 pub trait Settings: DeserializeOwned {
@@ -36,7 +36,7 @@
     const KEYS: &'static [Key];
 
     /// Checks the rules between several keys, once every key by itself has a readable value.
-    fn check_relations(&self, relations: &mut Relations);
+    fn check_cross_key_rules(&self, checker: &mut CrossKeyChecker);
 }
 
 /// Reads settings from a text, or lists every mistake in it.
@@ -48,14 +48,14 @@
     let mut mistakes = checked.mistakes;
     match check::read::<S>(checked.accepted) {
         Ok(settings) => {
-            let mut relations = Relations::default();
-            settings.check_relations(&mut relations);
-            relations.mistakes.retain(|mistake| !stands_for(&mistakes, &mistake.path));
-            let placed = relations.mistakes.into_iter().map(|mistake| Mistake {
-                place: checked.places.get(&mistake.path).copied(),
+            let mut checker = CrossKeyChecker::default();
+            settings.check_cross_key_rules(&mut checker);
+            checker.mistakes.retain(|mistake| !is_within_mistake(&mistakes, &mistake.path));
+            let located = checker.mistakes.into_iter().map(|mistake| Mistake {
+                position: checked.positions.get(&mistake.path).copied(),
                 ..mistake
             });
-            mistakes.extend(placed);
+            mistakes.extend(located);
             if mistakes.is_empty() { Ok(settings) } else { Err(Mistakes(mistakes)) }
         }
         Err(mistake) => {
@@ -67,7 +67,7 @@
 
 /// Whether the value at `path` is a blank or a default that stands for a refused one, so that what
 /// it breaks follows from a mistake already listed.
-fn stands_for(mistakes: &[Mistake], path: &str) -> bool {
+fn is_within_mistake(mistakes: &[Mistake], path: &str) -> bool {
     mistakes.iter().any(|mistake| {
         path.strip_prefix(&*mistake.path)
             .is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', '[']))
--- a/crates/settings/src/mistake.rs
+++ b/crates/settings/src/mistake.rs
@@ -6,7 +6,7 @@
 
 /// A place in the text, counted from 1.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize)]
-pub struct Place {
+pub struct SourcePosition {
     /// The line.
     pub line: usize,
     /// The column, in characters.
@@ -19,7 +19,8 @@
     /// The path of the key, as `groups[1].members[0].zone`; empty for the whole file.
     pub path: String,
     /// Where it stands in the text, if known.
-    pub place: Option<Place>,
+    #[serde(rename = "place")]
+    pub position: Option<SourcePosition>,
     /// What is wrong, with the value found.
     pub problem: String,
     /// What is accepted there; empty where the problem says it.
@@ -28,8 +29,8 @@
 
 impl fmt::Display for Mistake {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if let Some(place) = self.place {
-            write!(f, "{}:{}: ", place.line, place.column)?;
+        if let Some(position) = self.position {
+            write!(f, "{}:{}: ", position.line, position.column)?;
         }
         if !self.path.is_empty() {
             write!(f, "{}: ", self.path)?;
--- a/crates/settings/src/reference.rs
+++ b/crates/settings/src/reference.rs
@@ -4,9 +4,9 @@
 
 use crate::deployment::DeploymentSettings;
 use crate::proxy::ProxySettings;
-use crate::shape::Key;
-use crate::shape::Presence;
-use crate::shape::Shape;
+use crate::schema::Key;
+use crate::schema::Presence;
+use crate::schema::Schema;
 
 /// The reference of every file as Markdown, as it stands in the operators' pages.
 pub fn all() -> String {
@@ -30,7 +30,7 @@
     }
     page.push('\n');
     for key in keys {
-        if let Some((suffix, nested)) = nested_section(&key.shape) {
+        if let Some((suffix, nested)) = subsection_of(&key.schema) {
             write_section(page, &format!("{title}: `{}{suffix}`", key.name), nested);
         }
     }
@@ -38,24 +38,24 @@
 
 fn write_key(page: &mut String, key: &Key) {
     let doc: Vec<&str> = key.doc.iter().map(|line| line.trim()).collect();
-    let accepted = match nested_section(&key.shape) {
+    let accepted = match subsection_of(&key.schema) {
         Some(("", _)) => "a section, see below".to_owned(),
         Some(_) => "a list, see below".to_owned(),
-        None => key.shape.accepted(),
+        None => key.schema.accepted(),
     };
     let default = match key.presence {
         Presence::Required => "required".to_owned(),
         Presence::Optional => "none".to_owned(),
-        Presence::Default(_) if matches!(key.shape, Shape::Section(_)) => "see below".to_owned(),
+        Presence::Default(_) if matches!(key.schema, Schema::Section(_)) => "see below".to_owned(),
         Presence::Default(value) => format!("`{}`", value()),
     };
     let _ = writeln!(page, "| `{}` | {} | {accepted} | {default} |", key.name, doc.join(" "));
 }
 
-fn nested_section(shape: &Shape) -> Option<(&'static str, &'static [Key])> {
-    match shape {
-        Shape::Section(keys) => Some(("", keys)),
-        Shape::List { of: Shape::Section(keys), .. } => Some(("[]", keys)),
+fn subsection_of(schema: &Schema) -> Option<(&'static str, &'static [Key])> {
+    match schema {
+        Schema::Section(keys) => Some(("", keys)),
+        Schema::List { item: Schema::Section(keys), .. } => Some(("[]", keys)),
         _ => None,
     }
 }
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/schema.rs
@@ -24,7 +24,7 @@
     /// The documentation, one string a line.
     pub doc: &'static [&'static str],
     /// The values that it accepts.
-    pub shape: Shape,
+    pub schema: Schema,
     /// What stands for it where it is left out.
     pub presence: Presence,
 }
@@ -37,7 +37,7 @@
 
 /// The values that a key accepts.
 #[derive(Clone, Copy)]
-pub enum Shape {
+pub enum Schema {
     /// A whole number within bounds, both included.
     Integer {
         /// The lowest.
@@ -50,7 +50,7 @@
     /// An IP address and a port.
     Address {
         /// Whether port 0 (any free port) is accepted.
-        any_port: bool,
+        allow_port_zero: bool,
     },
     /// `true` or `false`.
     Flag,
@@ -59,7 +59,7 @@
     /// A list.
     List {
         /// What its entries accept.
-        of: &'static Shape,
+        item: &'static Schema,
         /// The least number of entries.
         min_len: usize,
     },
@@ -67,27 +67,27 @@
     Section(&'static [Key]),
 }
 
-impl Shape {
+impl Schema {
     /// The accepted values in words.
     pub fn accepted(&self) -> String {
         match self {
-            Shape::Integer { min, max } => format!("a whole number from {min} to {max}"),
-            Shape::Name => {
+            Schema::Integer { min, max } => format!("a whole number from {min} to {max}"),
+            Schema::Name => {
                 format!("a name of 1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` or `.`")
             }
-            Shape::Address { any_port: true } => {
+            Schema::Address { allow_port_zero: true } => {
                 "an IP address and a port, as `127.0.0.1:6432` (port 0 takes a free one)".to_owned()
             }
-            Shape::Address { any_port: false } => {
+            Schema::Address { allow_port_zero: false } => {
                 "an IP address and a port, as `127.0.0.1:6432`".to_owned()
             }
-            Shape::Flag => one_of(&["true", "false"]),
-            Shape::Choice(words) => one_of(words),
-            Shape::List { of, min_len: 0 } => format!("a list of: {}", of.accepted()),
-            Shape::List { of, min_len } => {
-                format!("a list of at least {min_len} of: {}", of.accepted())
+            Schema::Flag => one_of(&["true", "false"]),
+            Schema::Choice(words) => one_of(words),
+            Schema::List { item, min_len: 0 } => format!("a list of: {}", item.accepted()),
+            Schema::List { item, min_len } => {
+                format!("a list of at least {min_len} of: {}", item.accepted())
             }
-            Shape::Section(keys) => {
+            Schema::Section(keys) => {
                 let names: Vec<&str> = keys.iter().map(|key| key.name).collect();
                 format!("an object with the keys {}", quoted(&names))
             }
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -3,13 +3,13 @@
 /// How a key that is left out is treated, from the words of its declaration.
 macro_rules! key_presence {
     (required $type:ty) => {
-        $crate::shape::Presence::Required
+        $crate::schema::Presence::Required
     };
     (optional $type:ty) => {
-        $crate::shape::Presence::Optional
+        $crate::schema::Presence::Optional
     };
     (default($value:expr) $type:ty) => {
-        $crate::shape::Presence::Default(|| {
+        $crate::schema::Presence::Default(|| {
             let value: $type = $value;
             serde_json::to_value(value).expect("a default is plain data")
         })
@@ -17,9 +17,9 @@
 }
 
 /// The value of a field in the structure's `Default`.
-macro_rules! key_value {
+macro_rules! field_default {
     (required $type:ty) => {
-        <$type as $crate::section::Blank>::blank()
+        <$type as $crate::section::Placeholder>::placeholder()
     };
     (optional $type:ty) => {
         None
@@ -34,7 +34,7 @@
 macro_rules! section {
     ($(#[doc = $section_doc:literal])+ $section:ident {
         $($(#[doc = $doc:literal])+
-        $key:ident: $type:ty, $presence:ident $(($value:expr))?, $shape:expr;)+
+        $key:ident: $type:ty, $presence:ident $(($value:expr))?, $schema:expr;)+
     }) => {
         $(#[doc = $section_doc])+
         #[derive(Clone, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
@@ -47,18 +47,18 @@
             /// The defaults; a required key is blank and its owner has to set it.
             fn default() -> $section {
                 $section {
-                    $($key: $crate::section::key_value!($presence $(($value))? $type),)+
+                    $($key: $crate::section::field_default!($presence $(($value))? $type),)+
                 }
             }
         }
 
         impl $section {
             /// The section's keys.
-            pub const KEYS: &'static [$crate::shape::Key] = &[
-                $($crate::shape::Key {
+            pub const KEYS: &'static [$crate::schema::Key] = &[
+                $($crate::schema::Key {
                     name: stringify!($key),
                     doc: &[$($doc),+],
-                    shape: $shape,
+                    schema: $schema,
                     presence: $crate::section::key_presence!($presence $(($value))? $type),
                 },)+
             ];
@@ -66,43 +66,43 @@
     };
 }
 
+pub(crate) use field_default;
 pub(crate) use key_presence;
-pub(crate) use key_value;
 pub(crate) use section;
 
 /// The value of a required key before its owner sets it.
-pub(crate) trait Blank {
+pub(crate) trait Placeholder {
     /// The blank value.
-    fn blank() -> Self;
+    fn placeholder() -> Self;
 }
 
-impl Blank for String {
-    fn blank() -> String {
+impl Placeholder for String {
+    fn placeholder() -> String {
         String::new()
     }
 }
 
-impl Blank for u64 {
-    fn blank() -> u64 {
+impl Placeholder for u64 {
+    fn placeholder() -> u64 {
         0
     }
 }
 
-impl Blank for u32 {
-    fn blank() -> u32 {
+impl Placeholder for u32 {
+    fn placeholder() -> u32 {
         0
     }
 }
 
-impl<T> Blank for Vec<T> {
-    fn blank() -> Vec<T> {
+impl<T> Placeholder for Vec<T> {
+    fn placeholder() -> Vec<T> {
         Vec::new()
     }
 }
 
-impl Blank for std::net::SocketAddr {
+impl Placeholder for std::net::SocketAddr {
     /// Any free port of loopback.
-    fn blank() -> std::net::SocketAddr {
+    fn placeholder() -> std::net::SocketAddr {
         std::net::SocketAddr::from((std::net::Ipv4Addr::LOCALHOST, 0))
     }
 }
