--- a/crates/ctl/tests/operators.rs
+++ b/crates/ctl/tests/operators.rs
@@ -275,8 +275,8 @@
         self.answer(self.store.snapshot().await)
     }
 
-    async fn snapshot_within(&self, limit: Duration) -> Result<Snapshot, StoreError> {
-        self.answer(self.store.snapshot_within(limit).await)
+    async fn snapshot_with_timeout(&self, limit: Duration) -> Result<Snapshot, StoreError> {
+        self.answer(self.store.snapshot_with_timeout(limit).await)
     }
 
     async fn put(
--- a/crates/objects/src/http.rs
+++ b/crates/objects/src/http.rs
@@ -85,10 +85,10 @@
     }
 
     async fn snapshot(&self) -> Result<Snapshot, StoreError> {
-        self.snapshot_within(HEADERS_TIMEOUT).await
+        self.snapshot_with_timeout(HEADERS_TIMEOUT).await
     }
 
-    async fn snapshot_within(&self, limit: Duration) -> Result<Snapshot, StoreError> {
+    async fn snapshot_with_timeout(&self, limit: Duration) -> Result<Snapshot, StoreError> {
         let url = format!("{}/snapshot", self.base_url);
         self.call(self.client.get(url), limit).await
     }
--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -85,7 +85,7 @@
     fn snapshot(&self) -> impl Future<Output = Result<Snapshot, StoreError>> + Send;
 
     /// The same with a time limit of the caller's, for a platform that is slow but does answer.
-    fn snapshot_within(
+    fn snapshot_with_timeout(
         &self,
         limit: Duration,
     ) -> impl Future<Output = Result<Snapshot, StoreError>> + Send;
--- a/crates/proxy/src/process/control/first_version.rs
+++ b/crates/proxy/src/process/control/first_version.rs
@@ -110,7 +110,7 @@
 
     async fn ask_platform(&self, pace: &StartPace) -> Option<Snapshot> {
         let limit = Duration::from_millis(pace.limit_ms());
-        self.store.snapshot_within(limit).await.ok()
+        self.store.snapshot_with_timeout(limit).await.ok()
     }
 
     async fn go_on_asking_the_platform(
