--- a/crates/objects/src/http.rs
+++ b/crates/objects/src/http.rs
@@ -1,4 +1,4 @@
-//! [`ObjectStore`] over HTTP.
+//! Implementation of [`ObjectStore`] over HTTP with JSON bodies.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -16,20 +16,21 @@
 use crate::StoreError;
 use crate::WatchResponse;
 
-/// The header that names the availability zone of the calling VM.
+/// The request header that carries the availability zone of the calling VM.
 pub const ZONE_HEADER: &str = "x-availability-zone";
 
-/// How long a call may stay without an answer that begins, on top of what a watch waits.
+/// The time limit for connecting and receiving the response headers, in addition to a watch's wait.
 const HEADERS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// After which silence in the middle of an answer it counts as lost. With a limit for the whole, a
-/// snapshot of 600 KB over a link of 200 KB/s was given up each time and asked for anew.
+/// The time without data after which a response body counts as lost. Limiting the gaps instead of the
+/// whole body lets large responses pass over slow links: with an overall limit this short, a snapshot of
+/// 600 KB over a link of 200 KB/s would time out on every attempt and be requested again.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an answer may take to arrive once it has begun.
+/// The time limit for receiving a whole response body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A client of one platform endpoint.
+/// A client of one platform endpoint. Clones share its connections.
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     client: reqwest::Client,
@@ -38,7 +39,7 @@
 }
 
 impl HttpStore {
-    /// A client of the platform at `address` (IP address and port), for a VM of `zone`.
+    /// Creates a client of the platform at `address` (IP address and port) for a VM in `zone`.
     pub fn new(address: &str, zone: &str) -> HttpStore {
         HttpStore {
             client: reqwest::Client::new(),
@@ -51,6 +52,9 @@
         format!("{}/objects/{}/{name}", self.base_url, kind.name())
     }
 
+    /// Sends a request and decodes the response. `timeout` limits the time up to the response headers.
+    ///
+    /// A server error (5xx) leaves open whether an update was applied.
     async fn call<T>(
         &self,
         request: reqwest::RequestBuilder,
@@ -133,7 +137,7 @@
     }
 }
 
-/// Reads an answer to its end, however slowly it comes, for as long as some of it comes.
+/// Reads a response body to its end, within `BODY_TIMEOUT` in all and `CHUNK_TIMEOUT` between chunks.
 async fn read_body(mut response: reqwest::Response) -> Result<Vec<u8>, StoreError> {
     let body_deadline = time::Instant::now() + BODY_TIMEOUT;
     let mut body = Vec::new();
--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -1,8 +1,8 @@
 //! Client of the platform's object API.
 //!
-//! The API is HTTP with JSON bodies, described in `docs/INTERFACES.md`. [`ObjectStore`] is the
-//! small trait that the programs use, so that another platform can take its place;
-//! [`http::HttpStore`] is the implementation for the documented API.
+//! The API is HTTP with JSON bodies and is described in `docs/INTERFACES.md`. The programs depend only
+//! on the trait [`ObjectStore`], so that another platform can be supported by another implementation.
+//! [`http::HttpStore`] implements the trait for the documented API.
 
 use std::fmt;
 use std::future::Future;
@@ -20,42 +20,43 @@
 /// The body of a conditional update.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct PutRequest {
-    /// The version that the object must have now; zero when it must not exist.
+    /// The version that the stored object must have for the update to apply; zero if it must not exist.
     pub expected_version: u64,
     /// The new body.
     pub body: serde_json::Value,
 }
 
-/// The answer to a conditional update that took.
+/// The response to a successful conditional update or deletion.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct PutResponse {
-    /// The object's new version, which is also the store's revision of the change.
+    /// The object's new version, which is also the store's revision of the change. In the body of a
+    /// conflict response, the object's current version.
     pub version: u64,
 }
 
-/// The answer to a watch: every object that changed after the revision asked for.
+/// The response to a watch: every object that changed after the requested revision.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct WatchResponse {
     /// The store's revision up to which changes are included.
     pub revision: u64,
-    /// The changed objects in their latest version; deleted ones are marked.
+    /// The changed objects in their latest version. Deleted objects have their `deleted` flag set.
     pub objects: Vec<StoredObject>,
 }
 
-/// Why a call to the platform gave no result.
+/// The reason why a call to the platform failed.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum StoreError {
-    /// The object has another version than the update expected. `actual` is zero for no object.
+    /// The version that the update expected is not the object's current version.
     Conflict {
-        /// The version that the object has.
+        /// The object's current version; zero if the object does not exist.
         actual: u64,
     },
-    /// There is no such object.
+    /// The object does not exist.
     NotFound,
-    /// The platform refused the call; repeating it can't help.
+    /// The platform rejected the call, and a retry would be rejected as well.
     Refused(String),
-    /// No answer: the platform is down or slow, or the answer was lost. An update may have taken
-    /// effect, and only reading the object back tells.
+    /// The platform is down or slow, or its response was lost or could not be decoded. An update may
+    /// have been applied; reading the object back shows whether it was.
     NoAnswer(String),
 }
 
@@ -72,7 +73,7 @@
     }
 }
 
-/// The calls that the system makes to the platform. Each call counts once, a waiting watch too.
+/// The calls that the system makes to the platform. A watch counts as one call, however long it waits.
 pub trait ObjectStore: Clone + Send + Sync + 'static {
     /// Reads one object.
     fn get(
@@ -84,13 +85,14 @@
     /// Reads all objects of the system and the list of VMs.
     fn snapshot(&self) -> impl Future<Output = Result<Snapshot, StoreError>> + Send;
 
-    /// The same with a time limit of the caller's, for a platform that is slow but does answer.
+    /// Like [`snapshot`](Self::snapshot), with an explicit time limit for the start of the response, so
+    /// that a slow platform can still be read.
     fn snapshot_with_timeout(
         &self,
         limit: Duration,
     ) -> impl Future<Output = Result<Snapshot, StoreError>> + Send;
 
-    /// Changes one object if it still has `expected_version` (zero creates it).
+    /// Replaces the body of an object if its current version is `expected_version`. Zero creates the object.
     fn put(
         &self,
         kind: ObjectKind,
@@ -99,7 +101,7 @@
         body: serde_json::Value,
     ) -> impl Future<Output = Result<PutResponse, StoreError>> + Send;
 
-    /// Removes one object if it still has `expected_version`.
+    /// Deletes an object if its current version is `expected_version`.
     fn delete(
         &self,
         kind: ObjectKind,
@@ -107,14 +109,14 @@
         expected_version: u64,
     ) -> impl Future<Output = Result<PutResponse, StoreError>> + Send;
 
-    /// Waits up to `wait` for changes after `after_revision`; an answer without objects means that
-    /// none came.
+    /// Waits up to `wait` for changes after `after_revision`. A response without objects means that
+    /// nothing changed in that time.
     fn watch(
         &self,
         after_revision: u64,
         wait: Duration,
     ) -> impl Future<Output = Result<WatchResponse, StoreError>> + Send;
 
-    /// Reads the lagging list of live and leaving VMs.
+    /// Reads the list of live and leaving VMs, which is eventually consistent.
     fn vms(&self) -> impl Future<Output = Result<Vec<VmRecord>, StoreError>> + Send;
 }
