--- a/crates/settings/examples/settings_reference.rs
+++ b/crates/settings/examples/settings_reference.rs
@@ -1,5 +1,6 @@
-//! Prints the tables of `docs/operators/settings.md`: `cargo run -p skylark-settings --example
-//! settings_reference`.
+//! Prints the tables of `docs/operators/settings.md`.
+//!
+//! Usage: `cargo run -p skylark-settings --example settings_reference`
 
 use std::io;
 use std::io::Write;
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,7 +1,8 @@
-//! Checks a file's value tree against the known keys and lists every mistake.
+//! Validates the value tree of a file against its schema and collects every mistake.
 //!
-//! The check also returns the tree without the values that it refused. Every section has defaults,
-//! so what is left can be read, and the rules between keys are checked in the same run.
+//! The check also returns the tree without the rejected values. Because every section has defaults, the
+//! remaining tree can be deserialized even if there are mistakes, so that the rules between keys are
+//! checked in the same run.
 
 use std::net::SocketAddr;
 
@@ -22,17 +23,17 @@
 use crate::schema::Presence;
 use crate::schema::Schema;
 
-/// How alike an unknown key must be to a known one to be taken for a slip, from 0 to 1.
+/// The minimum Jaro-Winkler similarity, from 0 to 1, at which a known key is suggested for an unknown one.
 const MIN_SIMILARITY: f64 = 0.8;
-/// The longest value that a mistake repeats in full, in characters.
+/// The maximum length of a value that a mistake quotes in full, in characters.
 const MAX_SHOWN_CHARS: usize = 60;
 
-/// What the check by keys found.
+/// The result of checking every key by itself.
 pub(crate) struct Checked {
     pub(crate) mistakes: Vec<Mistake>,
-    /// The accepted part of the file.
+    /// The value tree of the file without the rejected values.
     pub(crate) accepted: Value,
-    /// Where the value at each path stands.
+    /// The position in the text of the value at each path.
     pub(crate) positions: FastMap<String, SourcePosition>,
 }
 
@@ -51,17 +52,15 @@
     }
 }
 
-/// Checks every key by itself. A text that is not JSON has one mistake and no more can be said.
+/// Checks every key by itself. Fails with one mistake if the text is not valid JSON with comments.
 pub(crate) fn check(text: &str, keys: &'static [Key]) -> Result<Checked, Mistakes> {
     let parsed = jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &parse_options());
     let value = match parsed {
         Ok(parsed) => parsed.value,
-        Err(error) => {
-            return Err(syntax_error(text, error.range().start, error.kind().to_string()));
-        }
+        Err(error) => return Err(json_error(text, error.range().start, error.kind().to_string())),
     };
     let Some(value) = value else {
-        return Err(syntax_error(text, 0, "the file is empty".to_owned()));
+        return Err(json_error(text, 0, "the file is empty".to_owned()));
     };
     let mut checker = Checker { text, mistakes: Vec::new(), positions: FastMap::default() };
     let accepted = checker.check_value("", &value, &Schema::Section(keys));
@@ -69,7 +68,7 @@
     Ok(Checked { mistakes: checker.mistakes, accepted, positions: checker.positions })
 }
 
-/// Reads an accepted tree into its structure.
+/// Deserializes a tree of accepted values.
 pub(crate) fn read<S>(accepted: Value) -> Result<S, Mistake>
 where
     S: DeserializeOwned,
@@ -82,7 +81,7 @@
     })
 }
 
-fn syntax_error(text: &str, offset: usize, problem: String) -> Mistakes {
+fn json_error(text: &str, offset: usize, problem: String) -> Mistakes {
     Mistakes(vec![Mistake {
         path: String::new(),
         position: Some(position_at(text, offset)),
@@ -91,6 +90,7 @@
     }])
 }
 
+/// Converts a byte offset into a line and column.
 fn position_at(text: &str, offset: usize) -> SourcePosition {
     let before = &text[..offset.min(text.len())];
     let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
@@ -116,7 +116,7 @@
         self.mistakes.push(Mistake { path: path.to_owned(), position, problem, accepted });
     }
 
-    /// The value as it stands in the text, cut short.
+    /// Returns the value as written in the text, truncated to `MAX_SHOWN_CHARS`.
     fn excerpt(&self, value: &ast::Value<'_>) -> String {
         match value {
             ast::Value::Object(_) => "an object".to_owned(),
@@ -131,7 +131,8 @@
         }
     }
 
-    /// The accepted part of a value; none where the value itself is refused.
+    /// Checks a value and reports its mistakes. Returns its accepted part, or `None` if the value itself is
+    /// rejected.
     fn check_value(
         &mut self,
         path: &str,
@@ -178,8 +179,8 @@
         for (index, element) in array.elements.iter().enumerate() {
             let element = self.check_value(&format!("{path}[{index}]"), element, item);
             match item {
-                // A refused section leaves an empty one behind, so that the next ones keep their
-                // place in the list and with it their path.
+                // An empty section replaces a rejected one, so that the sections after it keep their
+                // index and thereby their path.
                 Schema::Section(_) => accepted.push(element.unwrap_or(Value::Object(Map::new()))),
                 _ => accepted.extend(element),
             }
@@ -194,7 +195,7 @@
             let name = property.name.as_str();
             let key_path = join_path(path, name);
             if seen.contains(&name) {
-                let problem = "the key stands twice".to_owned();
+                let problem = "duplicate key".to_owned();
                 self.report(&key_path, property.range.start, problem, "one value".to_owned());
                 continue;
             }
@@ -203,7 +204,7 @@
                 self.report_unknown_key(&key_path, property, keys);
                 continue;
             };
-            // `null` reads as left out where a key may be left out.
+            // For an optional key, `null` means that the key is omitted.
             if is_omitted(key, &property.value) {
                 continue;
             }
--- a/crates/settings/src/cross_key.rs
+++ b/crates/settings/src/cross_key.rs
@@ -1,21 +1,22 @@
-//! Collects mistakes in the rules between keys.
+//! Checks of rules that involve several keys of a settings file.
 
 use crate::mistake::Mistake;
 use crate::schema;
 
-/// The mistakes found so far.
+/// Collects the mistakes that the checks find.
 #[derive(Debug, Default)]
 pub struct CrossKeyChecker {
     pub(crate) mistakes: Vec<Mistake>,
 }
 
 impl CrossKeyChecker {
-    /// Notes that the value at `path` does not fit the others.
+    /// Reports that the value at `path` is inconsistent with other values. `accepted` describes the values
+    /// that would be consistent.
     pub fn report(&mut self, path: String, problem: String, accepted: String) {
         self.mistakes.push(Mistake { path, position: None, problem, accepted });
     }
 
-    /// Notes every name that stands a second time. `names` holds each name with its path.
+    /// Reports every repetition of a name or address. `names` yields each one with its path.
     pub fn check_unique<'a, I>(&mut self, names: I)
     where
         I: IntoIterator<Item = (String, &'a str)>,
@@ -24,15 +25,15 @@
         for (path, name) in names {
             match seen.iter().find(|(_, known)| *known == name) {
                 Some((first, _)) => {
-                    let problem = format!("`{name}` already stands at {first}");
-                    self.report(path, problem, "one that is used once".to_owned());
+                    let problem = format!("`{name}` is already used at {first}");
+                    self.report(path, problem, "a unique value".to_owned());
                 }
                 None => seen.push((path, name)),
             }
         }
     }
 
-    /// Notes a name that is none of the known ones.
+    /// Reports a reference to a `name` that is not one of the `known` names.
     pub fn check_known(&mut self, path: String, name: &str, known: &[&str]) {
         if known.contains(&name) {
             return;
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -1,7 +1,7 @@
 //! Settings of a whole deployment: its zones, VMs, services and groups.
 //!
-//! The stand-ins and the quick start read them, and operators keep them as the description from
-//! which a platform is filled for the first time.
+//! The stand-ins and the quick start use these settings to run a deployment. Operators use them to create
+//! the objects of a new platform.
 
 use std::net::SocketAddr;
 
@@ -25,11 +25,11 @@
         /// The availability zones.
         zones: Vec<Zone>, required,
             Schema::List { item: &Schema::Section(Zone::KEYS), min_len: 1 };
-        /// The delay one way between two availability zones.
+        /// The simulated one-way delay between two availability zones.
         zone_one_way_us: u64, default(0), Schema::Integer { min: 0, max: MAX_DELAY_US };
-        /// The delay one way between callers and entry VMs.
+        /// The simulated one-way delay between callers and entry VMs.
         caller_one_way_us: u64, default(0), Schema::Integer { min: 0, max: MAX_DELAY_US };
-        /// Where the stand-in of the platform listens.
+        /// The address that the platform stand-in listens on.
         platform_address: SocketAddr, required, ADDRESS;
         /// The entry VMs.
         vms: Vec<Vm>, required, Schema::List { item: &Schema::Section(Vm::KEYS), min_len: 1 };
@@ -45,7 +45,7 @@
 section! {
     /// An availability zone.
     Zone {
-        /// The name.
+        /// The name of the availability zone.
         zone: String, required, Schema::Name;
     }
 }
@@ -53,13 +53,13 @@
 section! {
     /// An entry VM.
     Vm {
-        /// The name.
+        /// The name of the VM.
         vm: String, required, Schema::Name;
         /// The availability zone.
         zone: String, required, Schema::Name;
-        /// Where its proxy serves callers.
+        /// The address at which the VM's proxy serves callers and requests forwarded by other proxies.
         listen_address: SocketAddr, required, ADDRESS;
-        /// Where its proxy serves control.
+        /// The control address of the VM's proxy.
         control_address: SocketAddr, required, ADDRESS;
     }
 }
@@ -67,38 +67,38 @@
 section! {
     /// A service.
     Service {
-        /// The name.
+        /// The name of the service.
         name: String, required, Schema::Name;
-        /// The kinds of reads that callers can declare.
+        /// The kinds of reads that callers can select.
         read_kinds: Vec<ReadKind>, default(Vec::new()),
             Schema::List { item: &Schema::Section(ReadKind::KEYS), min_len: 0 };
-        /// The classes that share connections; the first one is the default.
+        /// The classes of requests that share the connections. The first one is the default.
         classes: Vec<Class>, required,
             Schema::List { item: &Schema::Section(Class::KEYS), min_len: 1 };
     }
 }
 
 section! {
-    /// A kind of read.
+    /// A kind of read, which accepts data of a limited age.
     ReadKind {
-        /// The name that callers declare.
+        /// The name by which callers select the kind.
         name: String, required, Schema::Name;
-        /// The oldest age of the data.
+        /// The maximum age of the data.
         max_age_ms: u64, required, Schema::Integer { min: 0, max: objects::ReadKindSpec::HIGHEST_MAX_AGE_MS };
-        /// The class of requests of this kind, unless the caller names one.
+        /// The default class of requests of this kind, for callers that select none.
         class: Option<String>, optional, Schema::Name;
     }
 }
 
 section! {
-    /// A class of requests.
+    /// A class of requests with a weighted share of the connections.
     Class {
-        /// The name that callers and read kinds refer to.
+        /// The name by which callers and read kinds refer to the class.
         name: String, required, Schema::Name;
         /// The share of connections relative to the other classes.
         weight: u32, required,
             Schema::Integer { min: 1, max: objects::ClassSpec::HIGHEST_WEIGHT as u64 };
-        /// The response time that the class aims at.
+        /// The target response time of the class.
         goal_ms: u64, required, Schema::Integer { min: 1, max: MAX_DELAY_MS };
     }
 }
@@ -106,51 +106,51 @@
 section! {
     /// A database group.
     Group {
-        /// The name, which callers give as their database.
+        /// The name of the group, which callers use as the name of their database.
         name: String, required, Schema::Name;
         /// The service that the group belongs to.
         service: String, required, Schema::Name;
-        /// The members; the first one is the primary at the start.
+        /// The members. The first one is the initial primary.
         members: Vec<Member>, required,
             Schema::List { item: &Schema::Section(Member::KEYS), min_len: 1 };
     }
 }
 
 section! {
-    /// A database of a group.
+    /// A member of a group: one target.
     Member {
         /// The target's name, unique over all groups.
         target: String, required, Schema::Name;
         /// The availability zone.
         zone: String, required, Schema::Name;
-        /// Where the target listens.
+        /// The address that the target listens on.
         address: SocketAddr, required, ADDRESS;
-        /// How many statements it runs at once.
+        /// The maximum number of statements that the target runs concurrently.
         slots: u32, required, Schema::Integer { min: 1, max: 10_000 };
-        /// How many caller connections it accepts in all.
+        /// The maximum number of caller connections that the target accepts.
         connections: u32, required, Schema::Integer { min: 1, max: 100_000 };
-        /// What a new connection costs at the stand-in.
+        /// The simulated time that a new connection takes at the stand-in.
         connect_cost_ms: u64, default(0), Schema::Integer { min: 0, max: MAX_DELAY_MS };
-        /// The service time of each statement at the stand-in, on top of what its engine takes.
+        /// The simulated service time of each statement at the stand-in, in addition to the engine's time.
         statement_cost_us: u64, default(0), Schema::Integer { min: 0, max: MAX_DELAY_US };
-        /// How long the stand-in takes to replicate a record to this member.
+        /// The simulated delay of replicating a record to this member at the stand-in.
         lag_ms: u64, default(0), Schema::Integer { min: 0, max: MAX_DELAY_MS };
     }
 }
 
-/// An object that a platform is filled with.
+/// An object of the initial content of a platform.
 #[derive(Clone, PartialEq, Debug)]
 pub struct SeedObject {
-    /// The kind.
+    /// The kind of the object.
     pub kind: ObjectKind,
-    /// The name.
+    /// The name of the object, unique within its kind.
     pub name: String,
-    /// The body.
+    /// The body, serialized as the kind requires.
     pub body: Value,
 }
 
 impl Service {
-    /// The service as it is stored.
+    /// Returns the service in its stored form.
     pub fn spec(&self) -> objects::ServiceSpec {
         let read_kinds = self.read_kinds.iter().map(|kind| objects::ReadKindSpec {
             name: kind.name.clone(),
@@ -171,7 +171,7 @@
 }
 
 impl Member {
-    /// The member as it is stored.
+    /// Returns the member in its stored form.
     pub fn spec(&self) -> objects::MemberSpec {
         objects::MemberSpec {
             target: self.target.clone(),
@@ -185,7 +185,7 @@
 }
 
 impl Group {
-    /// The group as it is stored.
+    /// Returns the group in its stored form.
     pub fn spec(&self) -> objects::GroupSpec {
         objects::GroupSpec {
             service: self.service.clone(),
@@ -196,7 +196,7 @@
 }
 
 impl DeploymentSettings {
-    /// The services and groups as objects that a platform is filled with.
+    /// Returns the services and groups as the initial objects of a platform.
     pub fn seed_objects(&self) -> Vec<SeedObject> {
         let services = self.services.iter().map(|service| SeedObject {
             kind: ObjectKind::Service,
@@ -211,7 +211,7 @@
         services.chain(groups).collect()
     }
 
-    /// The list of VMs that a platform starts with, all live.
+    /// Returns the initial list of VMs of a platform. All VMs are live.
     pub fn vm_records(&self) -> Vec<objects::VmRecord> {
         let record = |vm: &Vm| objects::VmRecord {
             vm: vm.vm.clone(),
@@ -267,7 +267,7 @@
         checker.check_unique(paths.zip(texts.iter().map(String::as_str)));
     }
 
-    /// Every member with its path.
+    /// Returns every member of every group with its path.
     fn members(&self) -> impl Iterator<Item = (String, &Member)> {
         self.groups.iter().enumerate().flat_map(|(group, spec)| {
             let members = spec.members.iter().enumerate();
@@ -304,7 +304,7 @@
     }
 }
 
-/// A group in a file of its own, which operators add to a running deployment.
+/// A file with a single group, which operators add to a running deployment.
 impl Settings for Group {
     const KEYS: &'static [Key] = Group::KEYS;
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,13 +1,14 @@
-//! Checked settings of the skylarklb programs.
+//! Settings files of the skylarklb programs: typed structures, validation and defaults.
 //!
-//! A settings file is JSON with comments and trailing commas. Each file has one typed structure
-//! with defaults: [`proxy::ProxySettings`] and [`deployment::DeploymentSettings`]. [`parse`] checks
-//! a file as a whole and lists every [`mistake::Mistake`] with its path, place, value and what is
-//! accepted there.
+//! A settings file is JSON with comments and trailing commas. Each kind of file is deserialized into
+//! a typed structure with defaults, such as [`proxy::ProxySettings`] or
+//! [`deployment::DeploymentSettings`]. [`parse`] validates the whole file and reports every
+//! [`mistake::Mistake`] with its path, its position in the text, the value found and the accepted
+//! values.
 //!
-//! The check works on the parsed value tree against the structure's [`shape::Key`]s, which the
-//! macro that declares a structure derives from the same lines as its fields: a key can't be known
-//! to one and not to the other. Rules between keys follow in [`Settings::check_relations`].
+//! The parsed value tree is validated against the structure's [`schema::Key`]s. One macro generates
+//! both the keys and the fields of a structure, so they always agree.
+//! [`Settings::check_cross_key_rules`] then checks the rules that involve several keys.
 
 use std::fmt;
 use std::fs;
@@ -30,16 +31,19 @@
 pub mod schema;
 mod section;
 
-/// A structure that a settings file is read into.
+/// A structure that a settings file is deserialized into.
 pub trait Settings: DeserializeOwned {
-    /// The keys at the top of the file.
+    /// The keys at the top level of the file.
     const KEYS: &'static [Key];
 
-    /// Checks the rules between several keys, once every key by itself has a readable value.
+    /// Checks the rules that involve several keys. Mistakes are added to `checker`.
+    ///
+    /// Runs after every key was checked by itself. Rejected and missing values are replaced by defaults
+    /// or placeholders.
     fn check_cross_key_rules(&self, checker: &mut CrossKeyChecker);
 }
 
-/// Reads settings from a text, or lists every mistake in it.
+/// Parses and validates the text of a settings file. Returns all mistakes if there are any.
 pub fn parse<S>(text: &str) -> Result<S, Mistakes>
 where
     S: Settings,
@@ -65,8 +69,9 @@
     }
 }
 
-/// Whether the value at `path` is a blank or a default that stands for a refused one, so that what
-/// it breaks follows from a mistake already listed.
+/// Returns whether `path` is the path of one of the mistakes or lies below it. The value at such a
+/// path is a placeholder or default that replaces a rejected value, so a cross-key mistake there is
+/// only a consequence of the reported one.
 fn is_within_mistake(mistakes: &[Mistake], path: &str) -> bool {
     mistakes.iter().any(|mistake| {
         path.strip_prefix(&*mistake.path)
@@ -74,12 +79,12 @@
     })
 }
 
-/// Why a settings file could not be loaded.
+/// The reason why a settings file could not be loaded.
 #[derive(Debug)]
 pub enum LoadError {
     /// The file could not be read.
     Unreadable(io::Error),
-    /// The file has mistakes.
+    /// The content of the file is not valid.
     Mistakes(Mistakes),
 }
 
@@ -92,7 +97,7 @@
     }
 }
 
-/// Reads settings from a file.
+/// Reads, parses and validates a settings file.
 pub fn load<S>(path: &Path) -> Result<S, LoadError>
 where
     S: Settings,
--- a/crates/settings/src/mistake.rs
+++ b/crates/settings/src/mistake.rs
@@ -1,29 +1,29 @@
-//! What is wrong in a settings file.
+//! Mistakes in a settings file.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// A place in the text, counted from 1.
+/// A position in the text of the file. Lines and columns start at 1.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize)]
 pub struct SourcePosition {
-    /// The line.
+    /// The line number.
     pub line: usize,
-    /// The column, in characters.
+    /// The column number, in characters.
     pub column: usize,
 }
 
-/// One mistake.
+/// One mistake in a settings file.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize)]
 pub struct Mistake {
-    /// The path of the key, as `groups[1].members[0].zone`; empty for the whole file.
+    /// The path of the key, such as `groups[1].members[0].zone`; empty for the whole file.
     pub path: String,
-    /// Where it stands in the text, if known.
+    /// The position in the text, if known.
     #[serde(rename = "place")]
     pub position: Option<SourcePosition>,
-    /// What is wrong, with the value found.
+    /// A description of the mistake that includes the value found.
     pub problem: String,
-    /// What is accepted there; empty where the problem says it.
+    /// The accepted values; empty if `problem` already states them.
     pub accepted: String,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Every mistake of a file, in the order of the text within each stage of the check.
+/// All mistakes of a file. Mistakes of single keys come first, then those of rules between keys.
 #[derive(Clone, PartialEq, Eq, Debug, Default, Serialize)]
 pub struct Mistakes(pub Vec<Mistake>);
 
--- a/crates/settings/src/proxy.rs
+++ b/crates/settings/src/proxy.rs
@@ -14,91 +14,91 @@
 const GIB: u64 = 1 << 30;
 const MIB: u64 = 1 << 20;
 
-/// A duration that may not be zero.
+/// Returns the schema of a duration in milliseconds, from 1 to `max`.
 const fn positive_duration_ms(max: u64) -> Schema {
     Schema::Integer { min: 1, max }
 }
 
 section! {
-    /// Settings of one proxy.
+    /// Settings of one proxy process.
     ProxySettings {
         /// The name of the VM that the proxy runs on, as in the platform's list of VMs.
         vm: String, required, Schema::Name;
         /// The availability zone of the VM.
         zone: String, required, Schema::Name;
-        /// Where callers and the statements of other proxies arrive.
+        /// The address that accepts connections of callers and requests forwarded by other proxies.
         listen_address: SocketAddr, required, Schema::Address { allow_port_zero: true };
-        /// Where other proxies, operators and the balancer's health checks arrive.
+        /// The control address for other proxies, operators and the balancer's health checks.
         control_address: SocketAddr, required, Schema::Address { allow_port_zero: true };
-        /// The platform's object API.
+        /// The address of the platform's object API.
         platform_address: SocketAddr, required, Schema::Address { allow_port_zero: false };
-        /// Control addresses of other proxies, asked for the configuration where the platform does
-        /// not answer at the start.
+        /// Control addresses of other proxies, which are asked for the configuration if the platform does
+        /// not answer at startup.
         peers: Vec<SocketAddr>, default(Vec::new()),
             Schema::List { item: &Schema::Address { allow_port_zero: false }, min_len: 0 };
-        /// The number of threads that serve traffic, besides the control thread.
+        /// The number of threads that serve traffic, in addition to the control thread.
         traffic_threads: u32, default(2), Schema::Integer { min: 1, max: 256 };
-        /// How many proxies of a target's zone divide its connections among them.
+        /// The number of proxies in a target's zone that share the target's connections.
         homes_per_target: u32, default(2), Schema::Integer { min: 1, max: 8 };
-        /// The least severe level of messages in the log.
+        /// The least severe level that is logged.
         log_level: LogLevel, default(LogLevel::Info), Schema::Choice(LogLevel::NAMES);
-        /// Bounds on what callers can use up.
+        /// Limits on the resources that callers can use.
         limits: Limits, default(Limits::default()), Schema::Section(Limits::KEYS);
         /// Intervals and timeouts of the control thread.
         timing: Timing, default(Timing::default()), Schema::Section(Timing::KEYS);
-        /// Where counters are sent.
+        /// The export of metrics.
         metrics: Metrics, default(Metrics::default()), Schema::Section(Metrics::KEYS);
     }
 }
 
 section! {
-    /// Bounds on what callers can use up.
+    /// Limits on the resources that callers can use.
     Limits {
-        /// Connections of callers that the proxy accepts in all.
+        /// The maximum number of caller connections.
         max_callers: u32, default(20_000), Schema::Integer { min: 1, max: 1_000_000 };
-        /// Connections that one user of callers may hold.
+        /// The maximum number of caller connections per user name.
         max_callers_per_user: u32, default(10_000), Schema::Integer { min: 1, max: 1_000_000 };
-        /// Connections whose start-up is not finished.
+        /// The maximum number of caller connections whose start-up is not complete.
         max_starting: u32, default(1_000), Schema::Integer { min: 1, max: 1_000_000 };
-        /// The largest message of a caller.
+        /// The maximum size of a message from a caller, and of a batch of messages up to a Sync.
         max_message_bytes: u64, default(16 * MIB), Schema::Integer { min: 1024, max: GIB };
-        /// The time in which a caller has to finish its start-up.
+        /// The time limit for a caller's start-up.
         startup_timeout_ms: u64, default(5_000), positive_duration_ms(MINUTE_MS);
-        /// The time that a caller may leave a transaction open and idle.
+        /// The maximum time that a caller may leave a transaction idle.
         idle_in_transaction_ms: u64, default(30_000), positive_duration_ms(HOUR_MS);
-        /// The time that a caller may take without reading any of an answer that waits for it.
+        /// The maximum time that a caller may read no byte of a pending response.
         slow_reader_ms: u64, default(10_000), positive_duration_ms(HOUR_MS);
-        /// The time that a caller may take to finish a message that it began.
+        /// The maximum time that a caller may pause within a message.
         slow_sender_ms: u64, default(10_000), positive_duration_ms(HOUR_MS);
-        /// The time limit of a statement whose caller states none.
+        /// The default time limit of a statement.
         default_deadline_ms: u64, default(5_000), positive_duration_ms(HOUR_MS);
-        /// Requests that may wait for connections of one target.
+        /// The maximum number of requests that wait for a connection to one target.
         max_queue_per_target: u32, default(1_000), Schema::Integer { min: 1, max: 1_000_000 };
-        /// The time that a commit may wait for the confirmation of a majority.
+        /// The maximum time that a commit waits for confirmation by a majority.
         confirm_timeout_ms: u64, default(2_000), positive_duration_ms(MINUTE_MS);
-        /// The time that a request may wait for a primary that holds its session's own writes.
+        /// The maximum time that a request waits for a primary that has its session's own writes.
         floor_wait_ms: u64, default(250), Schema::Integer { min: ZERO_MS, max: MINUTE_MS };
-        /// The time that a request that did not run may wait for a primary that moves or changes.
+        /// The maximum time that a request that has not run waits for a primary during a move or failover.
         primary_wait_ms: u64, default(250), Schema::Integer { min: ZERO_MS, max: MINUTE_MS };
-        /// How often a request may be passed on between proxies.
+        /// The maximum number of times that a request is forwarded between proxies.
         max_hops: u32, default(2), Schema::Integer { min: 1, max: 8 };
-        /// Retries that a group may spend for every hundred requests.
+        /// The retry budget of a group, in retries per hundred requests.
         retry_budget_percent: u32, default(10), Schema::Integer { min: 0, max: 100 };
-        /// Connections to one other proxy for one group.
+        /// The maximum number of connections to one other proxy per group.
         peer_connections: u32, default(256), Schema::Integer { min: 1, max: 100_000 };
-        /// The time that an abandoned answer has to end before its connection is closed.
+        /// The time limit for draining an abandoned response before its connection is closed.
         drain_timeout_ms: u64, default(1_000), positive_duration_ms(MINUTE_MS);
-        /// Prepared statements that one connection to a target remembers.
+        /// The maximum number of prepared statements per connection to a target.
         max_prepared_per_connection: u32, default(256), Schema::Integer { min: 1, max: 100_000 };
-        /// Prepared statements that one caller may hold.
+        /// The maximum number of named prepared statements per caller.
         max_prepared_per_caller: u32, default(1_024), Schema::Integer { min: 1, max: 100_000 };
-        /// Whether connections are reset after every transaction, for callers whose functions
-        /// change session state where the statement's text does not show it.
+        /// Whether connections are reset after every transaction, for callers whose SQL functions
+        /// change session state in a way that the statement's text does not show.
         reset_always: bool, default(false), Schema::Flag;
-        /// The time between the health answer that tells the balancer of a stop and the first
-        /// refusal of a new caller.
+        /// The time between the health check response that announces a stop to the balancer and the
+        /// first rejection of a new caller.
         stop_notice_ms: u64, default(1_000), Schema::Integer { min: ZERO_MS, max: MINUTE_MS };
-        /// The time that a stopping proxy gives to requests and transactions in flight.
+        /// The time that a stopping proxy allows requests and transactions in flight to finish.
         stop_grace_ms: u64, default(30_000), positive_duration_ms(HOUR_MS);
     }
 }
@@ -106,21 +106,21 @@
 section! {
     /// Intervals and timeouts of the control thread.
     Timing {
-        /// The time between two probes of a member.
+        /// The interval between probes of a member.
         probe_interval_ms: u64, default(100), positive_duration_ms(MINUTE_MS);
-        /// The time after which a probe counts as failed.
+        /// The time limit of a probe.
         probe_timeout_ms: u64, default(200), positive_duration_ms(MINUTE_MS);
-        /// The time without an answer after which a primary counts as gone.
+        /// The time without a probe response after which a primary is suspected to have failed.
         suspect_after_ms: u64, default(300), positive_duration_ms(MINUTE_MS);
-        /// The time limit of a connection to a target or to another proxy.
+        /// The time limit for opening a connection to a target or another proxy.
         connect_timeout_ms: u64, default(1_000), positive_duration_ms(MINUTE_MS);
-        /// How long the platform holds a watch without changes.
+        /// The maximum time that the platform holds a watch while nothing changes.
         watch_wait_ms: u64, default(10_000), positive_duration_ms(MINUTE_MS);
-        /// The pause after a call that the platform did not answer.
+        /// The delay before a call that the platform did not answer is retried.
         platform_retry_ms: u64, default(500), positive_duration_ms(MINUTE_MS);
-        /// The time between two readings of the platform's list of VMs.
+        /// The interval between reads of the platform's list of VMs.
         vm_list_interval_ms: u64, default(2_000), positive_duration_ms(MINUTE_MS);
-        /// The time between two exchanges of versions with a peer.
+        /// The interval between exchanges of configuration versions with peers.
         peer_interval_ms: u64, default(1_000), positive_duration_ms(MINUTE_MS);
         /// The time limit of a call to another proxy.
         peer_timeout_ms: u64, default(500), positive_duration_ms(MINUTE_MS);
@@ -128,37 +128,37 @@
 }
 
 section! {
-    /// Where counters are sent.
+    /// The export of metrics.
     Metrics {
-        /// The statsd server, by UDP; without it counters are only shown by `skylarkctl status`.
+        /// The UDP address of the statsd server. Without it, counters are only shown by `skylarkctl status`.
         statsd_address: Option<SocketAddr>, optional, Schema::Address { allow_port_zero: false };
-        /// The first part of each metric's name.
+        /// The first component of each metric's name.
         prefix: String, default("skylark".to_owned()), Schema::Name;
-        /// The time between two sendings.
+        /// The interval between reports to the statsd server.
         interval_ms: u64, default(1_000), positive_duration_ms(HOUR_MS);
     }
 }
 
-/// A level of messages in the log.
+/// The severity of a log message, most severe first.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Something that must not happen happened.
+    /// An invariant is violated.
     Critical,
-    /// Something failed.
+    /// An operation failed.
     Error,
-    /// Something is out of the ordinary.
+    /// An unusual condition that the proxy handles.
     Warning,
     /// Changes of state.
     Info,
     /// Decisions with their reasons.
     Debug,
-    /// Everything.
+    /// All details.
     Trace,
 }
 
 impl LogLevel {
-    /// The levels' names in a settings file.
+    /// The names of the levels in a settings file.
     pub const NAMES: &'static [&'static str] =
         &["critical", "error", "warning", "info", "debug", "trace"];
 }
@@ -168,7 +168,7 @@
 
     fn check_cross_key_rules(&self, checker: &mut CrossKeyChecker) {
         if self.timing.suspect_after_ms < self.timing.probe_interval_ms {
-            // A primary would be suspected between two probes although both were answered.
+            // Otherwise a primary would be suspected between two probes although both succeed.
             checker.report(
                 "timing.suspect_after_ms".to_owned(),
                 format!("{} is below timing.probe_interval_ms", self.timing.suspect_after_ms),
--- a/crates/settings/src/reference.rs
+++ b/crates/settings/src/reference.rs
@@ -1,4 +1,5 @@
-//! The settings reference: one table a section, written from the same keys as the check.
+//! The settings reference in Markdown, with one table per section. It is generated from the same keys as
+//! the validation.
 
 use std::fmt::Write;
 
@@ -8,14 +9,14 @@
 use crate::schema::Presence;
 use crate::schema::Schema;
 
-/// The reference of every file as Markdown, as it stands in the operators' pages.
+/// Returns the tables for proxy and deployment settings, as included in the operators' documentation.
 pub fn all() -> String {
     let proxy = markdown("Proxy", ProxySettings::KEYS);
     let deployment = markdown("Deployment", DeploymentSettings::KEYS);
     format!("{proxy}{deployment}").trim_end().to_owned() + "\n"
 }
 
-/// The reference of a file as Markdown. `title` heads the keys at the top of the file.
+/// Returns the tables for one kind of file. `title` is the heading of the table of top-level keys.
 pub fn markdown(title: &str, keys: &[Key]) -> String {
     let mut page = String::new();
     write_section(&mut page, title, keys);
@@ -52,6 +53,7 @@
     let _ = writeln!(page, "| `{}` | {} | {accepted} | {default} |", key.name, doc.join(" "));
 }
 
+/// Returns the keys of a nested section and the suffix of its heading: `[]` for a list of sections.
 fn subsection_of(schema: &Schema) -> Option<(&'static str, &'static [Key])> {
     match schema {
         Schema::Section(keys) => Some(("", keys)),
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,31 +1,31 @@
-//! What a settings file may hold: the keys of each section and the values that each accepts.
+//! The schema of settings files: the keys of each section and the values that each key accepts.
 
 use std::fmt;
 
-/// The longest name of an object, a zone or a VM, in bytes.
+/// The maximum length of the name of an object, a zone or a VM, in bytes.
 const MAX_NAME_BYTES: usize = 63;
 
-/// What stands for a key that is not in the file.
+/// Whether a key may be omitted, and the value that it then has.
 #[derive(Clone, Copy)]
 pub enum Presence {
-    /// Nothing: the key must be there.
+    /// The key must be present.
     Required,
-    /// The key may be left out and then has no value.
+    /// The key may be omitted and then has no value.
     Optional,
-    /// This value.
+    /// The key may be omitted and then has the returned value.
     Default(fn() -> serde_json::Value),
 }
 
 /// A key of a section.
 #[derive(Clone, Copy)]
 pub struct Key {
-    /// The name.
+    /// The name of the key in the file.
     pub name: &'static str,
-    /// The documentation, one string a line.
+    /// The documentation, one string per line. The settings reference prints it.
     pub doc: &'static [&'static str],
-    /// The values that it accepts.
+    /// The values that the key accepts.
     pub schema: Schema,
-    /// What stands for it where it is left out.
+    /// Whether the key may be omitted, and its default.
     pub presence: Presence,
 }
 
@@ -38,37 +38,37 @@
 /// The values that a key accepts.
 #[derive(Clone, Copy)]
 pub enum Schema {
-    /// A whole number within bounds, both included.
+    /// An integer between two bounds, inclusive.
     Integer {
-        /// The lowest.
+        /// The lowest accepted value.
         min: u64,
-        /// The highest.
+        /// The highest accepted value.
         max: u64,
     },
-    /// A name that is safe in paths and on the wire.
+    /// A name that needs no escaping in paths and protocols, see [`is_name`].
     Name,
     /// An IP address and a port.
     Address {
-        /// Whether port 0 (any free port) is accepted.
+        /// Whether port 0 is accepted, which lets the operating system choose a free port.
         allow_port_zero: bool,
     },
     /// `true` or `false`.
     Flag,
-    /// One of several words.
+    /// One of several keywords.
     Choice(&'static [&'static str]),
     /// A list.
     List {
-        /// What its entries accept.
+        /// The schema of the entries.
         item: &'static Schema,
-        /// The least number of entries.
+        /// The minimum number of entries.
         min_len: usize,
     },
-    /// An object with keys.
+    /// An object with the given keys.
     Section(&'static [Key]),
 }
 
 impl Schema {
-    /// The accepted values in words.
+    /// Describes the accepted values in English, for error messages and the settings reference.
     pub fn accepted(&self) -> String {
         match self {
             Schema::Integer { min, max } => format!("a whole number from {min} to {max}"),
@@ -95,23 +95,23 @@
     }
 }
 
-/// Whether a text is a name: such names need no escaping in the platform's paths, in tokens, in
-/// metrics, or as a caller's `database`.
+/// Returns whether a text is a valid name. Valid names need no escaping in URL paths of the platform, in
+/// tokens, in metrics, or as the `database` parameter of a caller.
 pub fn is_name(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte);
     (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(allowed)
 }
 
-/// The words in backquotes, with commas.
+/// Joins words with commas, each in backquotes.
 fn quoted(words: &[&str]) -> String {
     let words: Vec<String> = words.iter().map(|word| format!("`{word}`")).collect();
     words.join(", ")
 }
 
-/// The accepted words in words.
+/// Describes a choice between words in English.
 pub(crate) fn one_of(words: &[&str]) -> String {
     match words {
-        [] => "nothing, for none is known".to_owned(),
+        [] => "nothing, because none is defined".to_owned(),
         [word] => format!("`{word}`"),
         words => format!("one of {}", quoted(words)),
     }
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -1,6 +1,6 @@
-//! The macro that declares a section's structure, its defaults and its keys in one place.
+//! The macro `section!`, which declares the structure, the defaults and the keys of a section together.
 
-/// How a key that is left out is treated, from the words of its declaration.
+/// Expands the presence keyword of a key's declaration to its [`Presence`](crate::schema::Presence).
 macro_rules! key_presence {
     (required $type:ty) => {
         $crate::schema::Presence::Required
@@ -16,7 +16,7 @@
     };
 }
 
-/// The value of a field in the structure's `Default`.
+/// Expands the presence keyword of a key's declaration to the field's value in the structure's `Default`.
 macro_rules! field_default {
     (required $type:ty) => {
         <$type as $crate::section::Placeholder>::placeholder()
@@ -29,8 +29,9 @@
     };
 }
 
-/// Declares a section: each field with its documentation, its type, whether it is `required`,
-/// `optional` or has a `default(VALUE)`, and the [`Shape`](crate::shape::Shape) of its values.
+/// Declares a section as a structure. Each field has doc comments, which also go into the settings
+/// reference, a type, one of the presence keywords `required`, `optional` and `default(VALUE)`, and the
+/// [`Schema`](crate::schema::Schema) of its values.
 macro_rules! section {
     ($(#[doc = $section_doc:literal])+ $section:ident {
         $($(#[doc = $doc:literal])+
@@ -44,7 +45,7 @@
         }
 
         impl Default for $section {
-            /// The defaults; a required key is blank and its owner has to set it.
+            /// Returns the defaults, with a placeholder for each required key, which has to be set before use.
             fn default() -> $section {
                 $section {
                     $($key: $crate::section::field_default!($presence $(($value))? $type),)+
@@ -53,7 +54,7 @@
         }
 
         impl $section {
-            /// The section's keys.
+            /// The keys of the section, in the order of their declaration.
             pub const KEYS: &'static [$crate::schema::Key] = &[
                 $($crate::schema::Key {
                     name: stringify!($key),
@@ -70,9 +71,10 @@
 pub(crate) use key_presence;
 pub(crate) use section;
 
-/// The value of a required key before its owner sets it.
+/// A type of required keys. `Default` of a section needs a value for them, although a valid settings
+/// file always sets them.
 pub(crate) trait Placeholder {
-    /// The blank value.
+    /// Returns the value that stands in for a missing one.
     fn placeholder() -> Self;
 }
 
@@ -101,7 +103,7 @@
 }
 
 impl Placeholder for std::net::SocketAddr {
-    /// Any free port of loopback.
+    /// Returns port 0 of the loopback address.
     fn placeholder() -> std::net::SocketAddr {
         std::net::SocketAddr::from((std::net::Ipv4Addr::LOCALHOST, 0))
     }
--- a/crates/settings/tests/examples.rs
+++ b/crates/settings/tests/examples.rs
@@ -1,4 +1,5 @@
-//! The files under `examples/` are accepted and hold what the deployments need.
+//! Checks that the files under `examples/` are valid and that their deployments have the expected size.
+//! Guards against changes of the schema that break the files that operators copy.
 
 use std::path::Path;
 
@@ -17,7 +18,7 @@
     skylark_settings::load(&path).unwrap_or_else(|error| panic!("{name}:\n{error}"))
 }
 
-/// The topology that a platform filled from the deployment gives to every proxy.
+/// Returns the topology that every proxy builds from a platform with the deployment's initial objects.
 fn topology(settings: &DeploymentSettings) -> Topology {
     let stored = settings.seed_objects().into_iter().zip(1..).map(|(object, version)| {
         let (kind, name, body) = (object.kind, object.name, object.body);
@@ -55,12 +56,12 @@
     mittelland: "mittelland.jsonc", 8 VMs, 32 connections, 30 ms;
 }
 
-/// The settings of a proxy are those of one VM of Sfax.
+/// Checks that the settings of a proxy agree with those of its VM in the deployment of Sfax.
 fn check_proxy(file: &str, vm: &str) {
     let proxy: ProxySettings = load(file);
     let sfax: DeploymentSettings = load("sfax.jsonc");
     assert_eq!(proxy.vm, vm);
-    let vm = sfax.vms.iter().find(|vm| vm.vm == proxy.vm).expect("the VM is one of Sfax");
+    let vm = sfax.vms.iter().find(|vm| vm.vm == proxy.vm).expect("the VM belongs to Sfax");
     assert_eq!(vm.zone, proxy.zone);
     assert_eq!(vm.listen_address, proxy.listen_address);
     assert_eq!(vm.control_address, proxy.control_address);
--- a/crates/settings/tests/reference_page.rs
+++ b/crates/settings/tests/reference_page.rs
@@ -1,11 +1,12 @@
-//! The operators' settings page says what the settings accept.
+//! Checks that the tables in the operators' settings page match the keys that the settings accept. They
+//! differ if a key or its documentation changes and the page is not generated again.
 
 use std::fs;
 use std::path::Path;
 
 use skylark_settings::reference;
 
-/// The line after which the page holds the tables.
+/// The line before the tables in the page.
 const MARKER: &str = "<!-- tables -->\n";
 
 #[test]
--- a/crates/settings/tests/settings_cases.rs
+++ b/crates/settings/tests/settings_cases.rs
@@ -1,7 +1,7 @@
-//! Runs the text cases under `tests/cases`: a settings file in, its mistakes out.
+//! Runs the text cases under `tests/cases`, each with a settings file and the expected mistakes.
 //!
-//! A case is a file `KIND-NAME.case`: the settings, a line `---- mistakes`, and one line for each
-//! mistake (none for settings that are accepted).
+//! A case is a file `KIND-NAME.case`. It contains the settings, a line `---- mistakes`, and one line for
+//! each mistake, or none for valid settings.
 
 use std::fs;
 use std::path::Path;
