--- a/crates/objects/src/http.rs
+++ b/crates/objects/src/http.rs
@@ -1,4 +1,4 @@
-//! [`ObjectStore`] over HTTP.
+//! Implementation of [`ObjectStore`] over HTTP with JSON bodies.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -11,25 +11,26 @@
 use tokio::time;
 
 use crate::ObjectStore;
-use crate::PutAnswer;
 use crate::PutRequest;
+use crate::PutResponse;
 use crate::StoreError;
-use crate::WatchAnswer;
+use crate::WatchResponse;
 
-/// The header that names the availability zone of the calling VM.
+/// The request header that carries the availability zone of the calling VM.
 pub const ZONE_HEADER: &str = "x-availability-zone";
 
-/// How long a call may stay without an answer that begins, on top of what a watch waits.
-const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time limit for connecting and receiving the response headers, in addition to a watch's wait.
+const HEADERS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// After which silence in the middle of an answer it counts as lost. With a limit for the whole, a
-/// snapshot of 600 KB over a link of 200 KB/s was given up each time and asked for anew.
-const SILENCE: Duration = Duration::from_secs(1);
+/// The time without data after which a response body counts as lost. Limiting the gaps instead of the
+/// whole body lets large responses pass over slow links: with an overall limit this short, a snapshot of
+/// 600 KB over a link of 200 KB/s would time out on every attempt and be requested again.
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an answer may take to arrive once it has begun.
-const ANSWER_LIMIT: Duration = Duration::from_secs(30);
+/// The time limit for receiving a whole response body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A client of one platform endpoint.
+/// A client of one platform endpoint. Clones share its connections.
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     client: reqwest::Client,
@@ -38,7 +39,7 @@
 }
 
 impl HttpStore {
-    /// A client of the platform at `address` (IP address and port), for a VM of `zone`.
+    /// Creates a client of the platform at `address` (IP address and port) for a VM in `zone`.
     pub fn new(address: &str, zone: &str) -> HttpStore {
         HttpStore {
             client: reqwest::Client::new(),
@@ -51,6 +52,9 @@
         format!("{}/objects/{}/{name}", self.base_url, kind.name())
     }
 
+    /// Sends a request and decodes the response. `timeout` limits the time up to the response headers.
+    ///
+    /// A server error (5xx) leaves open whether an update was applied.
     async fn call<T>(
         &self,
         request: reqwest::RequestBuilder,
@@ -60,17 +64,17 @@
         T: de::DeserializeOwned,
     {
         let request = request.header(ZONE_HEADER, &self.zone);
-        let begun = time::timeout(timeout, request.send()).await.map_err(no_answer)?;
-        let response = begun.map_err(no_answer)?;
+        let sent = time::timeout(timeout, request.send()).await.map_err(no_answer)?;
+        let response = sent.map_err(no_answer)?;
         match response.status() {
             reqwest::StatusCode::OK => decode(response).await,
             reqwest::StatusCode::NOT_FOUND => Err(StoreError::NotFound),
             reqwest::StatusCode::CONFLICT => {
-                let current: PutAnswer = decode(response).await?;
+                let current: PutResponse = decode(response).await?;
                 Err(StoreError::Conflict { actual: current.version })
             }
             status if status.is_client_error() => {
-                let body = whole_body(response).await.unwrap_or_default();
+                let body = read_body(response).await.unwrap_or_default();
                 let reason = String::from_utf8_lossy(&body);
                 Err(StoreError::Refused(format!("{status}: {reason}")))
             }
@@ -81,14 +85,14 @@
 
 impl ObjectStore for HttpStore {
     async fn get(&self, kind: ObjectKind, name: &str) -> Result<StoredObject, StoreError> {
-        self.call(self.client.get(self.object_url(kind, name)), CALL_TIMEOUT).await
+        self.call(self.client.get(self.object_url(kind, name)), HEADERS_TIMEOUT).await
     }
 
     async fn snapshot(&self) -> Result<Snapshot, StoreError> {
-        self.snapshot_within(CALL_TIMEOUT).await
+        self.snapshot_with_timeout(HEADERS_TIMEOUT).await
     }
 
-    async fn snapshot_within(&self, limit: Duration) -> Result<Snapshot, StoreError> {
+    async fn snapshot_with_timeout(&self, limit: Duration) -> Result<Snapshot, StoreError> {
         let url = format!("{}/snapshot", self.base_url);
         self.call(self.client.get(url), limit).await
     }
@@ -99,9 +103,10 @@
         name: &str,
         expected_version: u64,
         body: serde_json::Value,
-    ) -> Result<PutAnswer, StoreError> {
+    ) -> Result<PutResponse, StoreError> {
         let request = PutRequest { expected_version, body };
-        self.call(self.client.put(self.object_url(kind, name)).json(&request), CALL_TIMEOUT).await
+        self.call(self.client.put(self.object_url(kind, name)).json(&request), HEADERS_TIMEOUT)
+            .await
     }
 
     async fn delete(
@@ -109,32 +114,36 @@
         kind: ObjectKind,
         name: &str,
         expected_version: u64,
-    ) -> Result<PutAnswer, StoreError> {
+    ) -> Result<PutResponse, StoreError> {
         let request = self.client.delete(self.object_url(kind, name));
         let request = request.query(&[("expected_version", expected_version)]);
-        self.call(request, CALL_TIMEOUT).await
+        self.call(request, HEADERS_TIMEOUT).await
     }
 
-    async fn watch(&self, after_revision: u64, wait: Duration) -> Result<WatchAnswer, StoreError> {
+    async fn watch(
+        &self,
+        after_revision: u64,
+        wait: Duration,
+    ) -> Result<WatchResponse, StoreError> {
         let url = format!("{}/watch", self.base_url);
         let wait_ms = wait.as_millis() as u64;
         let request =
             self.client.get(url).query(&[("after", after_revision), ("wait_ms", wait_ms)]);
-        self.call(request, CALL_TIMEOUT + wait).await
+        self.call(request, HEADERS_TIMEOUT + wait).await
     }
 
     async fn vms(&self) -> Result<Vec<VmRecord>, StoreError> {
-        self.call(self.client.get(format!("{}/vms", self.base_url)), CALL_TIMEOUT).await
+        self.call(self.client.get(format!("{}/vms", self.base_url)), HEADERS_TIMEOUT).await
     }
 }
 
-/// Reads an answer to its end, however slowly it comes, for as long as some of it comes.
-async fn whole_body(mut response: reqwest::Response) -> Result<Vec<u8>, StoreError> {
-    let until = time::Instant::now() + ANSWER_LIMIT;
+/// Reads a response body to its end, within `BODY_TIMEOUT` in all and `CHUNK_TIMEOUT` between chunks.
+async fn read_body(mut response: reqwest::Response) -> Result<Vec<u8>, StoreError> {
+    let body_deadline = time::Instant::now() + BODY_TIMEOUT;
     let mut body = Vec::new();
     loop {
-        let silent_at = until.min(time::Instant::now() + SILENCE);
-        let next = time::timeout_at(silent_at, response.chunk()).await.map_err(no_answer)?;
+        let chunk_deadline = body_deadline.min(time::Instant::now() + CHUNK_TIMEOUT);
+        let next = time::timeout_at(chunk_deadline, response.chunk()).await.map_err(no_answer)?;
         match next.map_err(no_answer)? {
             Some(chunk) => body.extend_from_slice(&chunk),
             None => return Ok(body),
@@ -146,7 +155,7 @@
 where
     T: de::DeserializeOwned,
 {
-    let body = whole_body(response).await?;
+    let body = read_body(response).await?;
     serde_json::from_slice(&body).map_err(no_answer)
 }
 
