--- a/crates/proxy/tests/control_failover.rs
+++ b/crates/proxy/tests/control_failover.rs
@@ -4,7 +4,7 @@
 
 use control_support::Cluster;
 use control_support::FIRST_PRIMARY;
-use control_support::until;
+use control_support::wait_until;
 use skylark_core::log_position::Term;
 use skylark_standin::deployment::fault::Fault;
 
@@ -26,12 +26,12 @@
     killed_primary_is_replaced_while_the_platform_is_down
     isolated_primary_is_replaced_and_follows
     paused_primary_is_replaced_and_follows
-    lost_answer_of_the_claim_stops_nothing
+    lost_claim_response_does_not_stop_the_failover
     rival_driver_leaves_one_primary
-    ordered_move_changes_the_primary
-    move_to_a_member_that_is_cut_off_is_given_up
+    planned_move_changes_the_primary
+    move_to_an_unreachable_member_is_abandoned
     isolated_zone_refuses_writes_and_rejoins
-    untracked_proxy_learns_the_leader_while_the_platform_is_down
+    untracked_proxy_learns_the_primary_while_the_platform_is_down
     member_that_leaves_and_comes_back_confirms_again
 }
 
@@ -42,10 +42,10 @@
     /// group hears of it from the members and publishes the position as confirmed.
     pub async fn confirmations_reach_every_tracking_proxy() {
         let cluster = Cluster::start().await;
-        assert!(cluster.write_at(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
+        assert!(cluster.write_to_target(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
         let written = cluster.member(FIRST_PRIMARY).log;
         for proxy in &cluster.proxies {
-            until("the write is confirmed", async || {
+            wait_until("the write is confirmed", async || {
                 let group = proxy.group().await?;
                 (group.tracked && group.confirmed >= written).then_some(())
             })
@@ -59,14 +59,14 @@
     /// otherwise, and follows.
     pub async fn killed_primary_is_replaced_and_rejoins() {
         let cluster = Cluster::start().await;
-        assert!(cluster.write_at(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
+        assert!(cluster.write_to_target(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
         let kill = |on| Fault::KillTarget { target: FIRST_PRIMARY.to_owned(), on };
         cluster.inject(kill(true)).await;
-        let (leader, term) = cluster.until_led_above(Term(1)).await;
+        let (leader, term) = cluster.wait_for_primary_above_term(Term(1)).await;
         assert_ne!(leader, FIRST_PRIMARY);
-        assert!(cluster.write_at(&leader, "INSERT INTO chairs VALUES (1)").await);
+        assert!(cluster.write_to_target(&leader, "INSERT INTO chairs VALUES (1)").await);
         cluster.inject(kill(false)).await;
-        cluster.until_follows(FIRST_PRIMARY, term).await;
+        cluster.wait_until_following(FIRST_PRIMARY, term).await;
         assert_eq!(cluster.primaries(), [(leader, term)]);
     }
 
@@ -76,10 +76,10 @@
         let cluster = Cluster::start().await;
         cluster.inject(Fault::PlatformDown { on: true }).await;
         cluster.inject(Fault::KillTarget { target: FIRST_PRIMARY.to_owned(), on: true }).await;
-        let (leader, term) = cluster.until_led_above(Term(1)).await;
+        let (leader, term) = cluster.wait_for_primary_above_term(Term(1)).await;
         assert_ne!(leader, FIRST_PRIMARY);
         cluster.inject(Fault::PlatformDown { on: false }).await;
-        until("the lead record names the new primary", async || {
+        wait_until("the lead record names the new primary", async || {
             let record = cluster.lead_record()?;
             (record.primary == leader && record.term == term).then_some(())
         })
@@ -91,17 +91,17 @@
     /// the old primary follows.
     pub async fn isolated_primary_is_replaced_and_follows() {
         let cluster = Cluster::start().await;
-        assert!(cluster.write_at(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
+        assert!(cluster.write_to_target(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
         let isolate = |on| Fault::IsolateTarget { target: FIRST_PRIMARY.to_owned(), on };
         cluster.inject(isolate(true)).await;
-        let (leader, term) = cluster.until_led_above(Term(1)).await;
+        let (leader, term) = cluster.wait_for_primary_above_term(Term(1)).await;
         assert_ne!(leader, FIRST_PRIMARY);
         assert_eq!(cluster.member(FIRST_PRIMARY).raised_term, Term(1));
         cluster.inject(isolate(false)).await;
-        cluster.until_follows(FIRST_PRIMARY, term).await;
+        cluster.wait_until_following(FIRST_PRIMARY, term).await;
         assert_eq!(cluster.primaries(), [(leader.clone(), term)]);
         let expected = cluster.member(&leader).log;
-        until("the old primary holds what the new one does", async || {
+        wait_until("the old primary holds what the new one does", async || {
             (cluster.member(FIRST_PRIMARY).log == expected).then_some(())
         })
         .await;
@@ -114,25 +114,25 @@
         let cluster = Cluster::start().await;
         let pause = |on| Fault::PauseTarget { target: FIRST_PRIMARY.to_owned(), on };
         cluster.inject(pause(true)).await;
-        let (leader, term) = cluster.until_led_above(Term(1)).await;
+        let (leader, term) = cluster.wait_for_primary_above_term(Term(1)).await;
         assert_ne!(leader, FIRST_PRIMARY);
         cluster.inject(pause(false)).await;
-        cluster.until_follows(FIRST_PRIMARY, term).await;
+        cluster.wait_until_following(FIRST_PRIMARY, term).await;
         assert_eq!(cluster.primaries(), [(leader, term)]);
     }
 
     /// The driver's claim takes effect at the platform and its answer is lost. The driver reads the
     /// record back instead of trying blind, finds its own claim, and goes on; no second claim of
     /// another driver stands in the record at the end.
-    pub async fn lost_answer_of_the_claim_stops_nothing() {
+    pub async fn lost_claim_response_does_not_stop_the_failover() {
         let cluster = Cluster::start().await;
         cluster.inject(Fault::PlatformLosesAnswers { count: 1 }).await;
         cluster.inject(Fault::KillTarget { target: FIRST_PRIMARY.to_owned(), on: true }).await;
-        let (leader, term) = cluster.until_led_above(Term(1)).await;
+        let (leader, term) = cluster.wait_for_primary_above_term(Term(1)).await;
         assert_eq!(cluster.deployment.platform().platform().faults.state().lose_answers, 0);
         cluster.inject(Fault::KillTarget { target: FIRST_PRIMARY.to_owned(), on: false }).await;
-        cluster.until_follows(FIRST_PRIMARY, term).await;
-        until("the lead record names the new primary", async || {
+        cluster.wait_until_following(FIRST_PRIMARY, term).await;
+        wait_until("the lead record names the new primary", async || {
             let record = cluster.lead_record()?;
             (record.primary == leader && record.term == term).then_some(())
         })
@@ -147,38 +147,38 @@
         cluster.inject(Fault::KillTarget { target: FIRST_PRIMARY.to_owned(), on: true }).await;
         let voter = cluster.deployment.target("loans-1-depot").expect("the target is there");
         voter.target().raise_term(Term(2), "rival");
-        let (leader, term) = cluster.until_led_above(Term(1)).await;
+        let (leader, term) = cluster.wait_for_primary_above_term(Term(1)).await;
         assert!(term > Term(2) || cluster.member(&leader).raised_by != "rival");
         cluster.inject(Fault::KillTarget { target: FIRST_PRIMARY.to_owned(), on: false }).await;
-        cluster.until_follows(FIRST_PRIMARY, term).await;
+        cluster.wait_until_following(FIRST_PRIMARY, term).await;
         assert_eq!(cluster.primaries(), [(leader, term)]);
     }
 
     /// An operator's wish stands in the lead record. Writes are held back, the wanted member
     /// becomes level, and leads; the wish is cleared.
-    pub async fn ordered_move_changes_the_primary() {
+    pub async fn planned_move_changes_the_primary() {
         let cluster = Cluster::start().await;
-        assert!(cluster.write_at(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
-        cluster.want_leader("loans-1-sakiet");
-        cluster.until_led_by_all("loans-1-sakiet").await;
-        until("the wish is cleared", async || {
+        assert!(cluster.write_to_target(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
+        cluster.set_wanted_primary("loans-1-sakiet");
+        cluster.wait_for_primary("loans-1-sakiet").await;
+        wait_until("the wish is cleared", async || {
             let record = cluster.lead_record()?;
             (record.wanted.is_empty() && record.primary == "loans-1-sakiet").then_some(())
         })
         .await;
-        let (_, term) = cluster.until_led_above(Term(1)).await;
-        cluster.until_follows(FIRST_PRIMARY, term).await;
-        assert!(cluster.write_at("loans-1-sakiet", "INSERT INTO chairs VALUES (1)").await);
+        let (_, term) = cluster.wait_for_primary_above_term(Term(1)).await;
+        cluster.wait_until_following(FIRST_PRIMARY, term).await;
+        assert!(cluster.write_to_target("loans-1-sakiet", "INSERT INTO chairs VALUES (1)").await);
     }
 
     /// An operator wishes for a member that answers nobody. The move never begins, the wish is
     /// withdrawn after its time, and the decisions say so; they name no term, since none was chosen.
-    pub async fn move_to_a_member_that_is_cut_off_is_given_up() {
+    pub async fn move_to_an_unreachable_member_is_abandoned() {
         let cluster = Cluster::start().await;
         let wanted = "loans-1-sakiet".to_owned();
         cluster.inject(Fault::IsolateTarget { target: wanted, on: true }).await;
-        cluster.want_leader("loans-1-sakiet");
-        until("the wish is withdrawn", async || {
+        cluster.set_wanted_primary("loans-1-sakiet");
+        wait_until("the wish is withdrawn", async || {
             cluster.lead_record().filter(|record| record.wanted.is_empty())
         })
         .await;
@@ -196,16 +196,16 @@
     /// gives that write up, and the zone rejoins by itself.
     pub async fn isolated_zone_refuses_writes_and_rejoins() {
         let cluster = Cluster::start().await;
-        assert!(cluster.write_at(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
+        assert!(cluster.write_to_target(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
         let isolate = |on| Fault::IsolateZone { zone: "medina".to_owned(), on };
         cluster.inject(isolate(true)).await;
-        assert!(cluster.write_at(FIRST_PRIMARY, "INSERT INTO chairs VALUES (1)").await);
+        assert!(cluster.write_to_target(FIRST_PRIMARY, "INSERT INTO chairs VALUES (1)").await);
         let unconfirmed = cluster.member(FIRST_PRIMARY).log;
-        until("the cut-off proxy has writes refused", async || {
+        wait_until("the cut-off proxy has writes refused", async || {
             cluster.proxies[0].group().await.filter(|group| group.stalled)
         })
         .await;
-        until("the other zones have a new primary", async || {
+        wait_until("the other zones have a new primary", async || {
             let (leader, term) = cluster.proxies[1].leader().await?;
             (leader != FIRST_PRIMARY && term > Term(1)).then_some(())
         })
@@ -213,15 +213,15 @@
         let group = cluster.proxies[0].group().await.expect("the group is known");
         assert!(group.confirmed < unconfirmed, "{} is confirmed", group.confirmed);
         cluster.inject(isolate(false)).await;
-        let (leader, term) = cluster.until_led_above(Term(1)).await;
-        cluster.until_follows(FIRST_PRIMARY, term).await;
+        let (leader, term) = cluster.wait_for_primary_above_term(Term(1)).await;
+        cluster.wait_until_following(FIRST_PRIMARY, term).await;
         assert_eq!(cluster.primaries(), [(leader.clone(), term)]);
         let expected = cluster.member(&leader).log;
-        until("the old primary gave the unconfirmed write up", async || {
+        wait_until("the old primary gave the unconfirmed write up", async || {
             (cluster.member(FIRST_PRIMARY).log == expected).then_some(())
         })
         .await;
-        until("the cut-off proxy takes writes again", async || {
+        wait_until("the cut-off proxy takes writes again", async || {
             cluster.proxies[0].group().await.filter(|group| !group.stalled)
         })
         .await;
@@ -230,12 +230,12 @@
     /// A proxy that is home to no member hears of changes of primary from lead records. The platform
     /// is down, so no record is written; its callers still reach the new primary, since the proxies
     /// tell each other who leads.
-    pub async fn untracked_proxy_learns_the_leader_while_the_platform_is_down() {
+    pub async fn untracked_proxy_learns_the_primary_while_the_platform_is_down() {
         let depot = ["vm-2", "vm-3", "vm-4"].map(|vm| (vm, "depot"));
-        let places = [[("vm-1", "medina"), ("vm-5", "sakiet")].as_slice(), &depot].concat();
-        let cluster = Cluster::start_with(&places).await;
-        cluster.until_led_by_all(FIRST_PRIMARY).await;
-        let tracking = until("two of three are home in the zone", async || {
+        let placements = [[("vm-1", "medina"), ("vm-5", "sakiet")].as_slice(), &depot].concat();
+        let cluster = Cluster::start_with_placements(&placements).await;
+        cluster.wait_for_primary(FIRST_PRIMARY).await;
+        let tracking = wait_until("two of three are home in the zone", async || {
             let mut tracking = Vec::new();
             for proxy in &cluster.proxies {
                 tracking.push(proxy.group().await?.tracked);
@@ -246,7 +246,7 @@
         let untracked = tracking.iter().position(|tracked| !tracked).expect("one is left over");
         cluster.inject(Fault::PlatformDown { on: true }).await;
         cluster.inject(Fault::KillTarget { target: FIRST_PRIMARY.to_owned(), on: true }).await;
-        let (leader, _) = cluster.until_led_above(Term(1)).await;
+        let (leader, _) = cluster.wait_for_primary_above_term(Term(1)).await;
         let group = cluster.proxies[untracked].group().await.expect("the group is known");
         assert_eq!((group.tracked, group.leader), (false, Some(leader)));
     }
@@ -256,28 +256,28 @@
     /// that was just added dies while some process may still know the version without it.
     pub async fn member_that_leaves_and_comes_back_confirms_again() {
         let cluster = Cluster::start().await;
-        assert!(cluster.write_at(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
-        let mut taken = None;
-        cluster.change_members(|members| taken = members.pop());
-        until_confirmed_by_all(&cluster, 2, "INSERT INTO chairs VALUES (1)").await;
-        cluster.change_members(|members| members.extend(taken));
-        until_confirmed_by_all(&cluster, 3, "INSERT INTO chairs VALUES (2)").await;
+        assert!(cluster.write_to_target(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
+        let mut removed = None;
+        cluster.change_members(|members| removed = members.pop());
+        wait_until_confirmed_by_all(&cluster, 2, "INSERT INTO chairs VALUES (1)").await;
+        cluster.change_members(|members| members.extend(removed));
+        wait_until_confirmed_by_all(&cluster, 3, "INSERT INTO chairs VALUES (2)").await;
         let added = "loans-1-sakiet".to_owned();
         cluster.inject(Fault::KillTarget { target: added, on: true }).await;
-        until_confirmed_by_all(&cluster, 3, "INSERT INTO chairs VALUES (3)").await;
+        wait_until_confirmed_by_all(&cluster, 3, "INSERT INTO chairs VALUES (3)").await;
     }
 
-    async fn until_confirmed_by_all(cluster: &Cluster, members: usize, sql: &str) {
+    async fn wait_until_confirmed_by_all(cluster: &Cluster, members: usize, sql: &str) {
         for proxy in &cluster.proxies {
-            until("the member list is in force", async || {
+            wait_until("the member list is in force", async || {
                 proxy.group().await.filter(|group| group.members.len() == members)
             })
             .await;
         }
-        assert!(cluster.write_at(FIRST_PRIMARY, sql).await);
+        assert!(cluster.write_to_target(FIRST_PRIMARY, sql).await);
         let written = cluster.member(FIRST_PRIMARY).log;
         for proxy in &cluster.proxies {
-            until("the write is confirmed", async || {
+            wait_until("the write is confirmed", async || {
                 proxy.group().await.filter(|group| group.confirmed >= written)
             })
             .await;
--- a/crates/proxy/tests/control_sessions.rs
+++ b/crates/proxy/tests/control_sessions.rs
@@ -5,9 +5,9 @@
 use control_support::Cluster;
 use control_support::FIRST_PRIMARY;
 use control_support::GROUP;
-use control_support::PATIENCE;
 use control_support::Proxy;
-use control_support::until;
+use control_support::TEST_TIMEOUT;
+use control_support::wait_until;
 use skylark_proxy::process::peer::api;
 use skylark_proxy::process::peer::api::PeerApiClient;
 use skylark_proxy::process::peer::client;
@@ -30,9 +30,9 @@
 
 session_tests! {
     roaming_session_reads_its_own_writes
-    home_that_restarted_answers_for_sessions_it_never_saw
-    plain_write_raises_no_floor_of_another_session
-    isolated_home_answers_for_nobody
+    restarted_home_answers_for_sessions_it_has_not_seen
+    write_without_session_raises_no_session_floor
+    isolated_home_answers_no_floor_request
     stop_cuts_no_transaction
     stopping_proxy_is_home_to_nothing
 }
@@ -48,7 +48,7 @@
         let cluster = Cluster::start().await;
         create_table(&cluster).await;
         for target in ["loans-1-depot", "loans-1-sakiet"] {
-            cluster.inject(lag(target, 30_000)).await;
+            cluster.inject(lag_fault(target, 30_000)).await;
         }
         let mut clients = Vec::new();
         for proxy in &cluster.proxies {
@@ -67,21 +67,23 @@
 
     /// A session wrote through a home that then died. Its successor never saw the session. It must
     /// not answer that there is nothing to see: it answers with what a barrier shows.
-    pub async fn home_that_restarted_answers_for_sessions_it_never_saw() {
+    pub async fn restarted_home_answers_for_sessions_it_has_not_seen() {
         let mut cluster = Cluster::start().await;
         create_table(&cluster).await;
-        cluster.inject(lag("loans-1-depot", HOUR_US)).await;
+        cluster.inject(lag_fault("loans-1-depot", HOUR_US)).await;
         let writer = connect(&cluster.proxies[0], "desk-7").await;
         writer.simple_query("INSERT INTO chairs VALUES (1)").await.unwrap();
         let written = cluster.member(FIRST_PRIMARY).log;
         drop(cluster.proxies.remove(0));
         let successor = cluster.add("vm-4", "medina").await;
         let (address, name) = (successor.handle.control_address(), successor.vm.clone());
-        cluster.list_vms();
-        let client = client::open(&address.to_string(), PATIENCE).expect("the address is right");
-        let answer =
-            until("the successor answers", async || client.peer_floor(question(&name)).await.ok())
-                .await;
+        cluster.register_proxies();
+        let client =
+            client::open(&address.to_string(), TEST_TIMEOUT).expect("the address is right");
+        let answer = wait_until("the successor answers", async || {
+            client.peer_floor(floor_request(&name)).await.ok()
+        })
+        .await;
         assert!(answer.position >= written, "{} does not cover {written}", answer.position);
     }
 
@@ -89,52 +91,55 @@
     /// apply late. Both homes know that no session with an identity wrote this record, so that such
     /// a session's reads need not wait for it. Without that, each write of anybody would keep all of
     /// them from the replicas.
-    pub async fn plain_write_raises_no_floor_of_another_session() {
-        let places =
+    pub async fn write_without_session_raises_no_session_floor() {
+        let placements =
             [("vm-1", "medina"), ("vm-4", "medina"), ("vm-2", "depot"), ("vm-3", "sakiet")];
-        let cluster = Cluster::start_with(&places).await;
-        cluster.until_led_by_all(FIRST_PRIMARY).await;
+        let cluster = Cluster::start_with_placements(&placements).await;
+        cluster.wait_for_primary(FIRST_PRIMARY).await;
         for proxy in &cluster.proxies {
-            until("the proxy tracks the group", async || {
+            wait_until("the proxy tracks the group", async || {
                 proxy.group().await.filter(|group| group.tracked)
             })
             .await;
         }
         create_table(&cluster).await;
         for target in ["loans-1-depot", "loans-1-sakiet"] {
-            cluster.inject(lag(target, HOUR_US)).await;
+            cluster.inject(lag_fault(target, HOUR_US)).await;
         }
-        let writer = connect_plain(&cluster.proxies[0]).await;
+        let writer = connect_without_session(&cluster.proxies[0]).await;
         writer.simple_query("INSERT INTO chairs VALUES (1)").await.unwrap();
         // What a home did not see from its beginning on is covered by its first answer.
-        let begun = cluster.member(FIRST_PRIMARY).log;
+        let first_write = cluster.member(FIRST_PRIMARY).log;
         let homes: Vec<_> = cluster.proxies[..2].iter().map(control_client).collect();
         for home in &homes {
-            until("the home answers", async || home.peer_floor(question("vm-2")).await.ok()).await;
+            wait_until("the home answers", async || {
+                home.peer_floor(floor_request("vm-2")).await.ok()
+            })
+            .await;
         }
         writer.simple_query("INSERT INTO chairs VALUES (2)").await.unwrap();
-        assert!(cluster.member(FIRST_PRIMARY).log > begun);
-        let answer = homes[0].peer_floor(question("vm-2")).await.expect("the home answers");
-        assert!(answer.position <= begun, "{} is above {begun}", answer.position);
-        until("the other home knows of the write", async || {
-            let answer = homes[1].peer_floor(question("vm-2")).await.ok()?;
-            (answer.position <= begun).then_some(())
+        assert!(cluster.member(FIRST_PRIMARY).log > first_write);
+        let answer = homes[0].peer_floor(floor_request("vm-2")).await.expect("the home answers");
+        assert!(answer.position <= first_write, "{} is above {first_write}", answer.position);
+        wait_until("the other home knows of the write", async || {
+            let answer = homes[1].peer_floor(floor_request("vm-2")).await.ok()?;
+            (answer.position <= first_write).then_some(())
         })
         .await;
     }
 
     /// A home is cut off from the majority while others may go on in a new term. It can't know
     /// what the session wrote there, so it gives no answer at all.
-    pub async fn isolated_home_answers_for_nobody() {
+    pub async fn isolated_home_answers_no_floor_request() {
         let cluster = Cluster::start().await;
         cluster.inject(Fault::IsolateZone { zone: "medina".to_owned(), on: true }).await;
-        until("the cut-off proxy sees that no majority answers", async || {
+        wait_until("the cut-off proxy sees that no majority answers", async || {
             cluster.proxies[0].group().await.filter(|group| group.stalled)
         })
         .await;
         let address = cluster.proxies[0].handle.control_address().to_string();
-        let client = client::open(&address, PATIENCE).expect("the address is right");
-        client.peer_floor(question("vm-2")).await.expect_err("there is no barrier");
+        let client = client::open(&address, TEST_TIMEOUT).expect("the address is right");
+        client.peer_floor(floor_request("vm-2")).await.expect_err("there is no barrier");
     }
 
     /// A proxy is told to stop while a caller is in the middle of a transaction. The balancer sees
@@ -143,13 +148,14 @@
         let mut cluster = Cluster::start().await;
         create_table(&cluster).await;
         let caller = connect(&cluster.proxies[1], "desk-7").await;
-        cluster.served(&caller, "BEGIN").await;
-        cluster.served(&caller, "INSERT INTO chairs VALUES (1)").await;
+        cluster.query_ok(&caller, "BEGIN").await;
+        cluster.query_ok(&caller, "INSERT INTO chairs VALUES (1)").await;
         let stopping = cluster.proxies.remove(1);
-        let config = config(&stopping, "desk-8");
+        let config = connection_string(&stopping, "desk-8");
         let published = std::sync::Arc::clone(stopping.handle.published());
         let stopped = tokio::spawn(stopping.handle.stop());
-        until("no new callers are taken", async || published.load().stopping.then_some(())).await;
+        wait_until("no new callers are taken", async || published.load().stopping.then_some(()))
+            .await;
         let refused = tokio_postgres::connect(&config, NoTls).await;
         let refusal = refused.err().expect("a stopping proxy takes no callers");
         assert_eq!(refusal.code().map(|code| code.code()), Some("57P01"), "{refusal}");
@@ -172,7 +178,7 @@
         caller.simple_query("INSERT INTO chairs VALUES (1)").await.unwrap();
         let stopped = tokio::spawn(stopping.handle.stop());
         for proxy in &cluster.proxies {
-            until("the stopping proxy is home to nothing", async || {
+            wait_until("the stopping proxy is home to nothing", async || {
                 let group = proxy.group().await?;
                 let mut homes = group.members.iter().flat_map(|member| &member.homes);
                 (!homes.any(|home| home == "vm-3")).then_some(())
@@ -186,14 +192,14 @@
 
     async fn create_table(cluster: &Cluster) {
         let client = connect(&cluster.proxies[0], "setup").await;
-        cluster.set_up(&client, "CREATE TABLE chairs (id INTEGER)").await;
+        cluster.run_setup_statement(&client, "CREATE TABLE chairs (id INTEGER)").await;
     }
 
-    fn lag(target: &str, apply_us: u64) -> Fault {
+    fn lag_fault(target: &str, apply_us: u64) -> Fault {
         Fault::LagTarget { target: target.to_owned(), hold_us: 0, apply_us }
     }
 
-    fn question(vm: &str) -> api::FloorQuestion {
+    fn floor_request(vm: &str) -> api::FloorQuestion {
         api::FloorQuestion {
             vm: vm.to_owned(),
             revision: 0,
@@ -202,7 +208,7 @@
         }
     }
 
-    fn config(proxy: &Proxy, session: &str) -> String {
+    fn connection_string(proxy: &Proxy, session: &str) -> String {
         format!(
             "host=127.0.0.1 port={} user=clerk dbname={GROUP} options='-c skylark.session={session}'",
             proxy.handle.listen_address().port(),
@@ -211,19 +217,19 @@
 
     fn control_client(proxy: &Proxy) -> jsonrpsee::http_client::HttpClient {
         let address = proxy.handle.control_address().to_string();
-        client::open(&address, PATIENCE).expect("the address is right")
+        client::open(&address, TEST_TIMEOUT).expect("the address is right")
     }
 
     async fn connect(proxy: &Proxy, session: &str) -> Client {
-        connect_by(&config(proxy, session)).await
+        connect_with(&connection_string(proxy, session)).await
     }
 
-    async fn connect_plain(proxy: &Proxy) -> Client {
+    async fn connect_without_session(proxy: &Proxy) -> Client {
         let port = proxy.handle.listen_address().port();
-        connect_by(&format!("host=127.0.0.1 port={port} user=clerk dbname={GROUP}")).await
+        connect_with(&format!("host=127.0.0.1 port={port} user=clerk dbname={GROUP}")).await
     }
 
-    async fn connect_by(config: &str) -> Client {
+    async fn connect_with(config: &str) -> Client {
         let connected = tokio_postgres::connect(config, NoTls).await;
         let (client, connection) = connected.expect("the proxy takes callers");
         tokio::spawn(async move {
--- a/crates/proxy/tests/control_spreading.rs
+++ b/crates/proxy/tests/control_spreading.rs
@@ -5,11 +5,11 @@
 use control_support::Cluster;
 use control_support::FIRST_PRIMARY;
 use control_support::GROUP;
-use control_support::PATIENCE;
 use control_support::PEER_INTERVAL_MS;
 use control_support::Proxy;
+use control_support::TEST_TIMEOUT;
 use control_support::settings;
-use control_support::until;
+use control_support::wait_until;
 use jsonrpsee::core::client::ClientT;
 use skylark_core::version::objects::ObjectKind;
 use skylark_proxy::process::peer::api;
@@ -34,14 +34,14 @@
 }
 
 spreading_tests! {
-    two_proxies_of_a_zone_watch_for_all
+    two_proxies_of_a_zone_watch_for_the_others
     zone_without_the_platform_gets_versions_from_other_zones
     proxy_starts_from_peers_while_the_platform_is_down
     proxy_without_a_version_is_not_ready
-    drained_vm_shows_that_it_is_leaving
+    drained_vm_reports_not_ready
     lower_revision_is_refused
     unknown_group_and_bad_calls_are_refused
-    leaving_target_is_kept_from_new_work
+    leaving_target_is_marked_by_every_tracking_proxy
     dead_proxy_loses_its_homes_while_the_list_lags
     metrics_reach_the_statsd_server
 }
@@ -51,11 +51,11 @@
 
     /// Four proxies of one zone share two watches of the platform. An operator's change reaches
     /// the other two by the watchers' offers.
-    pub async fn two_proxies_of_a_zone_watch_for_all() {
-        let places = ["vm-1", "vm-2", "vm-3", "vm-4"].map(|vm| (vm, "medina"));
+    pub async fn two_proxies_of_a_zone_watch_for_the_others() {
+        let placements = ["vm-1", "vm-2", "vm-3", "vm-4"].map(|vm| (vm, "medina"));
         // Without exchanges nothing but the offers can spread the change.
-        let cluster = Cluster::start_exchanging(&places, 60_000).await;
-        until("two of four watch", async || {
+        let cluster = Cluster::start_with_exchange_interval(&placements, 60_000).await;
+        wait_until("two of four watch", async || {
             let mut watching = 0;
             for proxy in &cluster.proxies {
                 watching += usize::from(proxy.status().await.watching);
@@ -66,7 +66,7 @@
         for max_age_ms in [100, 200, 300] {
             let revision = cluster.set_max_age(max_age_ms);
             for proxy in &cluster.proxies {
-                until("the change is in force", async || {
+                wait_until("the change is in force", async || {
                     let published = proxy.handle.published().load_full();
                     let service = published.topology.services.first()?;
                     let in_force = service.read_kinds[0].max_age_ms == max_age_ms;
@@ -84,7 +84,7 @@
         cluster.inject(Fault::PlatformRefusesZone { zone: "depot".to_owned(), on: true }).await;
         let revision = cluster.set_max_age(100);
         for proxy in &cluster.proxies {
-            until("the change is in force", async || {
+            wait_until("the change is in force", async || {
                 (proxy.status().await.revision >= revision).then_some(())
             })
             .await;
@@ -95,13 +95,13 @@
     /// the highest version among them, and serves; it knows the primary and the other VMs too.
     pub async fn proxy_starts_from_peers_while_the_platform_is_down() {
         // Without exchanges only the questions at the start can bring the version.
-        let places = [("vm-1", "medina"), ("vm-2", "depot"), ("vm-3", "sakiet")];
-        let mut cluster = Cluster::start_exchanging(&places, 60_000).await;
-        cluster.until_led_by_all(FIRST_PRIMARY).await;
+        let placements = [("vm-1", "medina"), ("vm-2", "depot"), ("vm-3", "sakiet")];
+        let mut cluster = Cluster::start_with_exchange_interval(&placements, 60_000).await;
+        cluster.wait_for_primary(FIRST_PRIMARY).await;
         let revision = cluster.proxies[0].status().await.revision;
         cluster.inject(Fault::PlatformDown { on: true }).await;
         let started = cluster.add("vm-4", "depot").await;
-        until("the new proxy is ready and knows the primary", async || {
+        wait_until("the new proxy is ready and knows the primary", async || {
             let status = started.status().await;
             let leader = started.leader().await?;
             (status.ready && status.revision == revision && leader.0 == FIRST_PRIMARY).then_some(())
@@ -124,14 +124,16 @@
         assert_eq!(http_status(&proxy, "/health").await, 200);
         assert_eq!(http_status(&proxy, "/ready").await, 500);
         deployment.inject(&down(false)).await.expect("the fault names what is there");
-        until("the proxy is ready", async || client.health().await.ok().filter(|it| it.ready))
-            .await;
+        wait_until("the proxy is ready", async || {
+            client.health().await.ok().filter(|report| report.ready)
+        })
+        .await;
         assert_eq!(http_status(&proxy, "/ready").await, 200);
     }
 
     /// An operator drains a VM. The balancer is told, by the status code too, so that it sends no
     /// new callers there; callers that come all the same are served. Undrained, it is welcome again.
-    pub async fn drained_vm_shows_that_it_is_leaving() {
+    pub async fn drained_vm_reports_not_ready() {
         let cluster = Cluster::start().await;
         let proxy = &cluster.proxies[1];
         let store = &cluster.deployment.platform().platform().store;
@@ -139,7 +141,7 @@
         for (drain, code) in [(true, 500), (false, 200)] {
             let body = serde_json::json!({ "drain": drain });
             version = store.put(ObjectKind::VmSpec, "vm-2", version, body).expect("one writer");
-            until("the balancer sees whether the VM is drained", async || {
+            wait_until("the balancer sees whether the VM is drained", async || {
                 (http_status(proxy, "/ready").await == code).then_some(())
             })
             .await;
@@ -150,10 +152,10 @@
             );
             let connected = tokio_postgres::connect(&config, tokio_postgres::NoTls).await;
             let (caller, connection) = connected.expect("a drained VM takes callers");
-            let driven = tokio::spawn(connection);
+            let connection_task = tokio::spawn(connection);
             let table = format!("CREATE TABLE drained_{drain} (id INTEGER)");
             caller.simple_query(&table).await.expect("a drained VM passes work on");
-            driven.abort();
+            connection_task.abort();
         }
     }
 
@@ -164,7 +166,7 @@
         let old = cluster.deployment.platform().platform().store.snapshot();
         let revision = cluster.set_max_age(100);
         let proxy = &cluster.proxies[0];
-        until("the change is in force", async || {
+        wait_until("the change is in force", async || {
             (proxy.status().await.revision >= revision).then_some(())
         })
         .await;
@@ -197,12 +199,12 @@
 
     /// A target says in its reports that it is leaving, while its group's object says nothing.
     /// Every proxy that tracks the group keeps it from new work, and uses it again when it stays.
-    pub async fn leaving_target_is_kept_from_new_work() {
+    pub async fn leaving_target_is_marked_by_every_tracking_proxy() {
         let cluster = Cluster::start().await;
         for on in [true, false] {
             cluster.inject(Fault::LeaveTarget { target: "loans-1-depot".to_owned(), on }).await;
             for proxy in &cluster.proxies {
-                until("the member's standing is known", async || {
+                wait_until("the member's standing is known", async || {
                     let group = proxy.group().await?;
                     let mut members = group.members.iter();
                     members
@@ -217,25 +219,25 @@
     /// A VM dies and the platform's list goes on naming it. Calls to it fail, and the proxies rank
     /// the homes without it, so that no request is sent to it for as long as the list lags.
     pub async fn dead_proxy_loses_its_homes_while_the_list_lags() {
-        let places =
+        let placements =
             [("vm-1", "medina"), ("vm-2", "depot"), ("vm-3", "sakiet"), ("vm-4", "sakiet")];
-        let mut cluster = Cluster::start_with(&places).await;
-        cluster.until_led_by_all(FIRST_PRIMARY).await;
-        let homes_name_it = async |proxy: &Proxy| {
+        let mut cluster = Cluster::start_with_placements(&placements).await;
+        cluster.wait_for_primary(FIRST_PRIMARY).await;
+        let is_listed_as_home = async |proxy: &Proxy| {
             let group = proxy.group().await?;
             let mut homes = group.members.iter().flat_map(|member| &member.homes);
             Some(homes.any(|home| home == "vm-3"))
         };
         for proxy in &cluster.proxies {
-            until("all homes are known", async || {
-                homes_name_it(proxy).await.filter(|named| *named)
+            wait_until("all homes are known", async || {
+                is_listed_as_home(proxy).await.filter(|named| *named)
             })
             .await;
         }
         drop(cluster.proxies.remove(2));
         for proxy in &cluster.proxies {
-            until("the dead proxy is home to nothing", async || {
-                homes_name_it(proxy).await.filter(|named| !named)
+            wait_until("the dead proxy is home to nothing", async || {
+                is_listed_as_home(proxy).await.filter(|named| !named)
             })
             .await;
         }
@@ -251,7 +253,7 @@
         settings.metrics.interval_ms = 50;
         let _proxy = Proxy::start(settings).await;
         let mut datagram = [0; 2048];
-        until("the gauge shows that the platform answers", async || {
+        wait_until("the gauge shows that the platform answers", async || {
             let count = server.recv(&mut datagram).await.ok()?;
             let text = std::str::from_utf8(&datagram[..count]).ok()?;
             let line = "skylark.control.platform_answers:1|g|#vm:vm-1,zone:medina";
@@ -275,6 +277,6 @@
 
     fn control_client(proxy: &Proxy) -> jsonrpsee::http_client::HttpClient {
         let address = proxy.handle.control_address().to_string();
-        client::open(&address, PATIENCE).expect("the address is right")
+        client::open(&address, TEST_TIMEOUT).expect("the address is right")
     }
 }
--- a/crates/proxy/tests/control_start.rs
+++ b/crates/proxy/tests/control_start.rs
@@ -4,11 +4,11 @@
 
 use control_support::Cluster;
 use control_support::FIRST_PRIMARY;
-use control_support::PATIENCE;
 use control_support::PEER_INTERVAL_MS;
 use control_support::Proxy;
+use control_support::TEST_TIMEOUT;
 use control_support::settings;
-use control_support::until;
+use control_support::wait_until;
 use skylark_proxy::process::control::first_version;
 use skylark_proxy::process::control::first_version::StartPace;
 use skylark_proxy::process::peer::api::PeerApiClient;
@@ -26,8 +26,11 @@
     let platform = deployment.platform().address();
     let proxy = Proxy::start(settings("vm-1", "medina", platform, &[], PEER_INTERVAL_MS)).await;
     let address = proxy.handle.control_address().to_string();
-    let client = client::open(&address, PATIENCE).expect("the address is right");
-    until("the proxy is ready", async || client.health().await.ok().filter(|it| it.ready)).await;
+    let client = client::open(&address, TEST_TIMEOUT).expect("the address is right");
+    wait_until("the proxy is ready", async || {
+        client.health().await.ok().filter(|report| report.ready)
+    })
+    .await;
     assert_eq!(deployment.platform().platform().counters.snapshots.get(), 1);
 }
 
@@ -36,12 +39,12 @@
 /// questions at the start can bring the version.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn proxy_starts_from_peers_while_the_platform_is_slow() {
-    let mut cluster = Cluster::start_exchanging(&[("vm-1", "medina")], 60_000).await;
-    cluster.until_led_by_all(FIRST_PRIMARY).await;
+    let mut cluster = Cluster::start_with_exchange_interval(&[("vm-1", "medina")], 60_000).await;
+    cluster.wait_for_primary(FIRST_PRIMARY).await;
     let revision = cluster.proxies[0].status().await.revision;
     cluster.inject(Fault::PlatformSlow { slow_ms: 3_600_000 }).await;
     let started = cluster.add("vm-4", "medina").await;
-    until("the new proxy is ready", async || {
+    wait_until("the new proxy is ready", async || {
         let status = started.status().await;
         (status.ready && status.revision == revision).then_some(())
     })
@@ -54,13 +57,13 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn changes_arrive_while_the_platform_is_slow() {
     let cluster = Cluster::start().await;
-    cluster.until_led_by_all(FIRST_PRIMARY).await;
+    cluster.wait_for_primary(FIRST_PRIMARY).await;
     cluster.inject(Fault::PlatformSlow { slow_ms: 3_000 }).await;
     // The watches that were under way when the platform slowed down may still deliver once.
     for max_age_ms in [701, 702] {
         let revision = cluster.set_max_age(max_age_ms);
         for proxy in &cluster.proxies {
-            until("the change is in force", async || {
+            wait_until("the change is in force", async || {
                 (proxy.status().await.revision >= revision).then_some(())
             })
             .await;
@@ -73,9 +76,9 @@
 /// process become few: with the fixed limit of 2 s and the pause of 0.5 s there were some 130 within
 /// five minutes. 3. Processes don't call in step.
 #[test]
-fn calls_of_a_long_start_grow_and_become_few() {
+fn timeouts_grow_and_calls_become_rare_during_a_long_start() {
     const FIVE_MINUTES_MS: u64 = 300_000;
-    let mut starts = Vec::new();
+    let mut pause_sequences = Vec::new();
     for seed in 0..50 {
         let mut pace = StartPace::new(seed, 500);
         let (mut now_ms, mut limits, mut pauses) = (0, Vec::new(), Vec::new());
@@ -87,13 +90,16 @@
         }
         assert_eq!(limits[..6], [2_000, 4_000, 8_000, 16_000, 30_000, 30_000]);
         assert!(limits.len() <= 13, "{} calls", limits.len());
-        for (place, &pause_ms) in pauses.iter().enumerate() {
-            let most_ms = (500 << place.min(10)).min(first_version::MOST_PAUSE_MS);
-            assert!((most_ms / 2..=most_ms).contains(&pause_ms), "{pause_ms} at {place}");
+        for (call_index, &pause_ms) in pauses.iter().enumerate() {
+            let max_pause_ms = (500 << call_index.min(10)).min(first_version::MOST_PAUSE_MS);
+            assert!(
+                (max_pause_ms / 2..=max_pause_ms).contains(&pause_ms),
+                "{pause_ms} at {call_index}"
+            );
         }
-        starts.push(pauses);
+        pause_sequences.push(pauses);
     }
-    starts.sort();
-    starts.dedup();
-    assert_eq!(starts.len(), 50);
+    pause_sequences.sort();
+    pause_sequences.dedup();
+    assert_eq!(pause_sequences.len(), 50);
 }
--- a/crates/proxy/tests/control_support/mod.rs
+++ b/crates/proxy/tests/control_support/mod.rs
@@ -34,7 +34,7 @@
 pub const PEER_INTERVAL_MS: u64 = 200;
 
 /// How long anything may take before a test fails. It bounds a hang and measures nothing.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 const DEPLOYMENT: &str = r#"{
   "zones": [{ "zone": "medina" }, { "zone": "depot" }, { "zone": "sakiet" }],
@@ -117,7 +117,7 @@
     }
 
     /// Its line in the platform's list.
-    pub fn record(&self) -> VmRecord {
+    pub fn vm_record(&self) -> VmRecord {
         VmRecord {
             vm: self.vm.clone(),
             zone: self.zone.clone(),
@@ -130,14 +130,14 @@
     /// What it answers to `skylarkctl status`.
     pub async fn status(&self) -> StatusReport {
         let address = self.handle.control_address().to_string();
-        let client = client::open(&address, PATIENCE).expect("the address is right");
+        let client = client::open(&address, TEST_TIMEOUT).expect("the address is right");
         client.status().await.expect("a running proxy answers")
     }
 
     /// What it decided about the group.
     pub async fn explain(&self) -> ExplainReport {
         let address = self.handle.control_address().to_string();
-        let client = client::open(&address, PATIENCE).expect("the address is right");
+        let client = client::open(&address, TEST_TIMEOUT).expect("the address is right");
         client.explain(GROUP.to_owned()).await.expect("a running proxy answers")
     }
 
@@ -163,11 +163,15 @@
 impl Cluster {
     /// Starts everything and waits until every proxy knows the first primary.
     pub async fn start() -> Cluster {
-        let cluster =
-            Cluster::start_with(&[("vm-1", "medina"), ("vm-2", "depot"), ("vm-3", "sakiet")]).await;
-        cluster.until_led_by_all(FIRST_PRIMARY).await;
+        let cluster = Cluster::start_with_placements(&[
+            ("vm-1", "medina"),
+            ("vm-2", "depot"),
+            ("vm-3", "sakiet"),
+        ])
+        .await;
+        cluster.wait_for_primary(FIRST_PRIMARY).await;
         for proxy in &cluster.proxies {
-            until("the proxy tracks the group", async || {
+            wait_until("the proxy tracks the group", async || {
                 proxy.group().await.filter(|group| group.tracked)
             })
             .await;
@@ -176,18 +180,21 @@
     }
 
     /// Starts proxies at these places.
-    pub async fn start_with(places: &[(&str, &str)]) -> Cluster {
-        Cluster::start_exchanging(places, PEER_INTERVAL_MS).await
+    pub async fn start_with_placements(placements: &[(&str, &str)]) -> Cluster {
+        Cluster::start_with_exchange_interval(placements, PEER_INTERVAL_MS).await
     }
 
     /// Starts proxies at these places that exchange versions this often.
-    pub async fn start_exchanging(places: &[(&str, &str)], peer_interval_ms: u64) -> Cluster {
+    pub async fn start_with_exchange_interval(
+        placements: &[(&str, &str)],
+        peer_interval_ms: u64,
+    ) -> Cluster {
         let deployment = deployment().await;
         let mut cluster = Cluster { deployment, proxies: Vec::new(), peer_interval_ms };
-        for (vm, zone) in places {
+        for (vm, zone) in placements {
             cluster.add(vm, zone).await;
         }
-        cluster.list_vms();
+        cluster.register_proxies();
         cluster
     }
 
@@ -202,8 +209,8 @@
     }
 
     /// Has the platform list all proxies.
-    pub fn list_vms(&self) {
-        let records = self.proxies.iter().map(Proxy::record).collect();
+    pub fn register_proxies(&self) {
+        let records = self.proxies.iter().map(Proxy::vm_record).collect();
         self.deployment.platform().platform().store.set_vms(records);
     }
 
@@ -224,21 +231,21 @@
     }
 
     /// Writes an operator's wish for another primary into the lead record.
-    pub fn want_leader(&self, target: &str) {
+    pub fn set_wanted_primary(&self, target: &str) {
         let store = &self.deployment.platform().platform().store;
-        let known = store.get(ObjectKind::Lead, GROUP).expect("the record is there");
-        let mut body = known.body.clone();
+        let current = store.get(ObjectKind::Lead, GROUP).expect("the record is there");
+        let mut body = current.body.clone();
         body["wanted"] = target.into();
-        store.put(ObjectKind::Lead, GROUP, known.version, body).expect("nobody else writes it");
+        store.put(ObjectKind::Lead, GROUP, current.version, body).expect("nobody else writes it");
     }
 
     /// Changes the read kind's staleness bound in the platform, and returns the store's revision.
     pub fn set_max_age(&self, max_age_ms: u64) -> u64 {
         let store = &self.deployment.platform().platform().store;
-        let known = store.get(ObjectKind::Service, "loans-db").expect("the service is there");
-        let mut body = known.body.clone();
+        let current = store.get(ObjectKind::Service, "loans-db").expect("the service is there");
+        let mut body = current.body.clone();
         body["read_kinds"][0]["max_age_ms"] = max_age_ms.into();
-        let put = store.put(ObjectKind::Service, "loans-db", known.version, body);
+        let put = store.put(ObjectKind::Service, "loans-db", current.version, body);
         put.expect("nobody else writes it")
     }
 
@@ -248,10 +255,10 @@
         F: FnOnce(&mut Vec<serde_json::Value>),
     {
         let store = &self.deployment.platform().platform().store;
-        let known = store.get(ObjectKind::Group, GROUP).expect("the group is there");
-        let mut body = known.body.clone();
+        let current = store.get(ObjectKind::Group, GROUP).expect("the group is there");
+        let mut body = current.body.clone();
         change(body["members"].as_array_mut().expect("members are a list"));
-        store.put(ObjectKind::Group, GROUP, known.version, body).expect("nobody else writes it");
+        store.put(ObjectKind::Group, GROUP, current.version, body).expect("nobody else writes it");
     }
 
     /// The members that believe to lead, with their terms.
@@ -264,9 +271,9 @@
     }
 
     /// Waits until every proxy knows this primary.
-    pub async fn until_led_by_all(&self, target: &str) {
+    pub async fn wait_for_primary(&self, target: &str) {
         for proxy in &self.proxies {
-            until(&format!("{} knows that {target} leads", proxy.vm), async || {
+            wait_until(&format!("{} knows that {target} leads", proxy.vm), async || {
                 proxy.leader().await.filter(|(leader, _)| leader == target)
             })
             .await;
@@ -289,8 +296,8 @@
 
     /// Runs a statement that sets a test up, again while it is refused without having run: on a machine that is
     /// busy with other tests, members may miss status requests for a moment, and writes are refused meanwhile.
-    pub async fn set_up(&self, client: &Client, sql: &str) {
-        until(&format!("{sql} is served"), async || match client.simple_query(sql).await {
+    pub async fn run_setup_statement(&self, client: &Client, sql: &str) {
+        wait_until(&format!("{sql} is served"), async || match client.simple_query(sql).await {
             Ok(_) => Some(()),
             Err(error) => {
                 let detail = error.as_db_error().and_then(|error| error.detail());
@@ -303,24 +310,27 @@
 
     /// The answer to a query that has to be served. A refusal fails the test and shows what the proxies decided and
     /// counted: the refusal alone doesn't tell which of them had no path to which target.
-    pub async fn served(&self, client: &Client, sql: &str) -> Vec<SimpleQueryMessage> {
+    pub async fn query_ok(&self, client: &Client, sql: &str) -> Vec<SimpleQueryMessage> {
         let error = match client.simple_query(sql).await {
             Ok(answer) => return answer,
             Err(error) => error,
         };
-        let mut counted = String::new();
+        let mut counter_report = String::new();
         for proxy in &self.proxies {
             let counters = proxy.status().await.counters;
             let counters = counters.into_iter().filter(|(_, value)| *value > 0);
             let counters: Vec<String> =
                 counters.map(|(name, value)| format!("{name} {value}")).collect();
-            counted += &format!("{}: {}\n", proxy.vm, counters.join(", "));
+            counter_report += &format!("{}: {}\n", proxy.vm, counters.join(", "));
         }
-        panic!("{sql}: {error:?}\ndecisions:\n{}\ncounters:\n{counted}", self.explain().await);
+        panic!(
+            "{sql}: {error:?}\ndecisions:\n{}\ncounters:\n{counter_report}",
+            self.explain().await
+        );
     }
 
     /// Waits until every proxy knows one primary of a term above `term`, and returns it.
-    pub async fn until_led_above(&self, term: Term) -> (String, Term) {
+    pub async fn wait_for_primary_above_term(&self, term: Term) -> (String, Term) {
         let agreed = async || {
             let mut leaders = Vec::new();
             for proxy in &self.proxies {
@@ -330,15 +340,15 @@
             let agreed = leaders.iter().all(|leader| *leader == first);
             (agreed && first.1 > term).then_some(first)
         };
-        match poll(agreed).await {
+        match poll_until_timeout(agreed).await {
             Some(leader) => leader,
             None => panic!("no new primary in time; decisions:\n{}", self.explain().await),
         }
     }
 
     /// Waits until a member follows in a term.
-    pub async fn until_follows(&self, target: &str, term: Term) {
-        until(&format!("{target} follows in term {term}"), async || {
+    pub async fn wait_until_following(&self, target: &str, term: Term) {
+        wait_until(&format!("{target} follows in term {term}"), async || {
             let status = self.member(target);
             (status.role == Role::Replica && status.raised_term == term).then_some(())
         })
@@ -346,7 +356,7 @@
     }
 
     /// Writes a row straight at a target and returns whether it took.
-    pub async fn write_at(&self, target: &str, sql: &str) -> bool {
+    pub async fn write_to_target(&self, target: &str, sql: &str) -> bool {
         let address = self.deployment.target(target).expect("the target is there").address();
         let config = format!(
             "host=127.0.0.1 port={} user=test dbname={GROUP} application_name=medina/test",
@@ -354,29 +364,29 @@
         );
         let connected = tokio_postgres::connect(&config, tokio_postgres::NoTls).await;
         let Ok((client, connection)) = connected else { return false };
-        let driven = tokio::spawn(connection);
-        let done = client.simple_query(sql).await.is_ok();
-        driven.abort();
-        done
+        let connection_task = tokio::spawn(connection);
+        let succeeded = client.simple_query(sql).await.is_ok();
+        connection_task.abort();
+        succeeded
     }
 }
 
 /// Waits until the probe gives an answer.
-pub async fn until<T, P>(what: &str, probe: P) -> T
+pub async fn wait_until<T, P>(condition: &str, probe: P) -> T
 where
     P: AsyncFnMut() -> Option<T>,
 {
-    match poll(probe).await {
+    match poll_until_timeout(probe).await {
         Some(found) => found,
-        None => panic!("not in time: {what}"),
+        None => panic!("not in time: {condition}"),
     }
 }
 
-async fn poll<T, P>(mut probe: P) -> Option<T>
+async fn poll_until_timeout<T, P>(mut probe: P) -> Option<T>
 where
     P: AsyncFnMut() -> Option<T>,
 {
-    let deadline = time::Instant::now() + PATIENCE;
+    let deadline = time::Instant::now() + TEST_TIMEOUT;
     while time::Instant::now() < deadline {
         if let Some(found) = probe().await {
             return Some(found);
--- a/crates/proxy/tests/feed_frames.rs
+++ b/crates/proxy/tests/feed_frames.rs
@@ -32,21 +32,21 @@
 }
 
 #[test]
-fn a_large_configuration_is_compressed_and_comes_back() {
+fn a_large_configuration_is_compressed_and_decoded_unchanged() {
     let routes = Arc::new(table(3_000));
     let message = Message::Routes(Arc::clone(&routes));
     let plain = serde_json::to_vec(&message).expect("it is JSON");
     let frame = frame::encode(&message);
     assert!(frame.len() * 4 < plain.len(), "{} of {} bytes", frame.len(), plain.len());
     match frame::decode(&frame[HEADER_BYTES..]) {
-        Ok(Message::Routes(back)) => assert_eq!(back, routes),
+        Ok(Message::Routes(decoded)) => assert_eq!(decoded, routes),
         other => panic!("{other:?}"),
     }
 }
 
 /// A few bytes that would fill all memory when they are unpacked.
 #[test]
-fn a_message_that_grows_beyond_all_bounds_is_refused() {
+fn a_message_that_decompresses_beyond_the_limit_is_rejected() {
     let mut body = flate2::write::ZlibEncoder::new(Vec::new(), flate2::Compression::fast());
     std::io::Write::write_all(&mut body, &vec![b' '; 64 << 20]).expect("memory takes all");
     let body = body.finish().expect("memory takes all");
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn only_a_subscription_asks_to_be_told() {
+fn only_a_subscribe_line_with_a_revision_is_a_subscription() {
     assert_eq!(feed::subscribed_from(b"SUBSCRIBE 14\n"), Some(14));
     assert_eq!(feed::subscribed_from(b"SUBSCRIBE\n"), None);
     assert_eq!(feed::subscribed_from(b"SUBSCRIBE x\n"), None);
@@ -62,7 +62,7 @@
 }
 
 quickcheck! {
-    fn any_bytes_are_a_message_or_an_error(body: Vec<u8>) -> bool {
+    fn decoding_any_bytes_does_not_panic(body: Vec<u8>) -> bool {
         frame::decode(&body).is_ok() || frame::decode(&body).is_err()
     }
 }
--- a/crates/proxy/tests/listing.rs
+++ b/crates/proxy/tests/listing.rs
@@ -17,13 +17,13 @@
 }
 
 quickcheck! {
-    fn changes_lead_to_the_next_list(before: BTreeMap<u8, u16>, after: BTreeMap<u8, u16>) -> bool {
+    fn changes_transform_a_list_into_the_next(before: BTreeMap<u8, u16>, after: BTreeMap<u8, u16>) -> bool {
         let (before, after) = (list(4, &before), list(9, &after));
         before.with(before.changes_to(&after)) == after
     }
 
     /// Hundreds of VMs are told of one that came without being sent the others again.
-    fn what_did_not_change_is_not_told(vms: BTreeMap<u8, u16>, name: u8, port: u16) -> bool {
+    fn unchanged_vms_are_not_sent(vms: BTreeMap<u8, u16>, name: u8, port: u16) -> bool {
         let before = list(4, &vms);
         let mut next = vms.clone();
         let is_new = next.insert(name, port) != Some(port);
--- a/crates/proxy/tests/pool_users.rs
+++ b/crates/proxy/tests/pool_users.rs
@@ -18,15 +18,15 @@
 use skylark_proxy::process::clock::MonotonicClock;
 
 /// Far beyond what any of these tests waits for.
-const LONG: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What the target of a pool does.
 #[derive(Debug, Default)]
 struct Target {
     /// Whether it refuses new connections because it is leaving.
-    leaves: AtomicBool,
+    leaving: AtomicBool,
     open: AtomicU32,
-    most_open: AtomicU32,
+    max_open: AtomicU32,
 }
 
 /// A connection that only knows whose it is.
@@ -52,11 +52,11 @@
         _timeout: Duration,
     ) -> Result<FakeLink, OpenError> {
         tokio::task::yield_now().await;
-        if login.leaves.load(Ordering::Relaxed) {
+        if login.leaving.load(Ordering::Relaxed) {
             return Err(OpenError::Refused("57P03".to_owned()));
         }
         let open = login.open.fetch_add(1, Ordering::Relaxed) + 1;
-        login.most_open.fetch_max(open, Ordering::Relaxed);
+        login.max_open.fetch_max(open, Ordering::Relaxed);
         Ok(FakeLink { target: Arc::clone(login), user: user.cloned() })
     }
 
@@ -115,19 +115,19 @@
 
 async fn take(pool: &Arc<Pool<FakeLink>>, user: &str) -> Result<Lease<FakeLink>, Failure> {
     let user = (!user.is_empty()).then(|| Arc::from(user));
-    pool.take(user.as_ref(), None, Instant::now() + LONG).await
+    pool.take(user.as_ref(), None, Instant::now() + TIMEOUT).await
 }
 
 /// Whose connection it is.
-fn user_of(lease: &mut Lease<FakeLink>) -> String {
+fn connection_user(lease: &mut Lease<FakeLink>) -> String {
     lease.connection().user.as_deref().unwrap_or("").to_owned()
 }
 
 /// Has each user take a connection and give it back.
-async fn use_for(pool: &Arc<Pool<FakeLink>>, users: &[&str]) {
+async fn use_as(pool: &Arc<Pool<FakeLink>>, users: &[&str]) {
     for user in users {
         let mut lease = take(pool, user).await.expect("a connection can be opened");
-        assert_eq!(user_of(&mut lease), *user);
+        assert_eq!(connection_user(&mut lease), *user);
         lease.give_back();
     }
 }
@@ -143,54 +143,54 @@
     /// A statement of one organisation must never run on another's connection, though that is idle.
     a_connection_serves_the_user_that_it_was_opened_for {
         let (target, pool) = pool(4);
-        use_for(&pool, &["lake", "hill", "lake", "hill"]).await;
+        use_as(&pool, &["lake", "hill", "lake", "hill"]).await;
         assert_eq!(target.open.load(Ordering::Relaxed), 2);
     }
 
     /// A pool at its limit: the connection that was not used for longest gives way, and the target never sees
     /// more than the limit.
-    the_least_recently_used_connection_gives_way {
+    the_least_recently_used_connection_is_closed {
         let (target, pool) = pool(2);
-        use_for(&pool, &["lake", "hill", "lake", "wood"]).await;
+        use_as(&pool, &["lake", "hill", "lake", "wood"]).await;
         let (mut kept, mut new) = (take(&pool, "lake").await, take(&pool, "wood").await);
-        assert_eq!(kept.as_mut().map(user_of), Ok("lake".to_owned()));
-        assert_eq!(new.as_mut().map(user_of), Ok("wood".to_owned()));
+        assert_eq!(kept.as_mut().map(connection_user), Ok("lake".to_owned()));
+        assert_eq!(new.as_mut().map(connection_user), Ok("wood".to_owned()));
         assert_eq!(target.open.load(Ordering::Relaxed), 2);
-        assert_eq!(target.most_open.load(Ordering::Relaxed), 2);
+        assert_eq!(target.max_open.load(Ordering::Relaxed), 2);
     }
 
     /// All connections are in use by one organisation, and another one's statement waits.
     /// 1. Both connections are held. 2. One goes back. 3. It gives way to the one that is waited for.
-    a_connection_that_goes_back_gives_way_to_one_that_is_waited_for {
+    a_returned_connection_is_replaced_for_a_waiting_user {
         let (target, pool) = pool(2);
         let held = take(&pool, "lake").await.expect("it can be opened");
         let _other = take(&pool, "lake").await.expect("it can be opened");
         let waiting = tokio::spawn({
             let pool = Arc::clone(&pool);
-            async move { take(&pool, "hill").await.map(|mut lease| user_of(&mut lease)) }
+            async move { take(&pool, "hill").await.map(|mut lease| connection_user(&mut lease)) }
         });
         tokio::task::yield_now().await;
         held.give_back();
         assert_eq!(waiting.await.expect("it ends"), Ok("hill".to_owned()));
-        assert_eq!(target.most_open.load(Ordering::Relaxed), 2);
+        assert_eq!(target.max_open.load(Ordering::Relaxed), 2);
     }
 
     /// A question that is nobody's runs on whatever connection is idle instead of having one closed for it.
-    a_question_takes_any_connection {
+    a_request_without_a_user_takes_any_connection {
         let (target, pool) = pool(1);
-        use_for(&pool, &["lake"]).await;
+        use_as(&pool, &["lake"]).await;
         let mut lease = take(&pool, "").await.expect("one is idle");
-        assert_eq!(user_of(&mut lease), "lake");
+        assert_eq!(connection_user(&mut lease), "lake");
         assert_eq!(target.open.load(Ordering::Relaxed), 1);
     }
 
     /// A leaving target refuses new connections while one of its own is in a transaction.
     /// 1. One connection is held. 2. The target leaves. 3. Whoever needs another connection is told at once: it
     /// would wait for one that can only be refused.
-    a_target_that_refuses_connections_is_not_waited_for {
+    a_refusing_target_fails_waiting_requests_immediately {
         let (target, pool) = pool(4);
         let _held = take(&pool, "").await.expect("it can be opened");
-        target.leaves.store(true, Ordering::Relaxed);
+        target.leaving.store(true, Ordering::Relaxed);
         let refused = take(&pool, "").await.map(|_| ());
         let Err(Failure::Said { sqlstate, .. }) = refused else { panic!("{refused:?}") };
         assert_eq!(&sqlstate, b"57P03");
--- a/crates/proxy/tests/quotas.rs
+++ b/crates/proxy/tests/quotas.rs
@@ -19,7 +19,7 @@
 /// then it is none. It keeps no bucket: its successor grants that part, and a bucket that was kept would grant it a
 /// second time should this VM come back.
 #[test]
-fn a_former_allocator_keeps_no_bucket() {
+fn a_former_allocator_drops_its_bucket() {
     let own: Arc<str> = "vm-1".into();
     let tolerance = QuotaTolerance { window_ms: 5_000, excess_milli: 100, slack: 20 };
     let clock = MonotonicClock::start();
--- a/crates/proxy/tests/session_closing.rs
+++ b/crates/proxy/tests/session_closing.rs
@@ -12,24 +12,24 @@
 /// balancer.
 const CUT_OFF_LIMIT: Duration = Duration::from_millis(500);
 
-fn spreads(is_stopping: bool) -> Vec<Duration> {
+fn closing_delays(is_stopping: bool) -> Vec<Duration> {
     (0..SESSIONS).map(|session| stop::closing_spread(session, is_stopping)).collect()
 }
 
 /// A zone is cut off, and nothing that its callers need is reached from there. Others can serve them, and each
 /// moment until they go is one of refusals.
 #[test]
-fn callers_of_a_process_that_is_cut_off_are_let_go_soon() {
-    let (cut_off, stopping) = (spreads(false), spreads(true));
+fn callers_of_an_isolated_process_are_closed_quickly() {
+    let (cut_off, stopping) = (closing_delays(false), closing_delays(true));
     assert!(cut_off.iter().all(|spread| *spread < CUT_OFF_LIMIT));
     assert!(cut_off.iter().zip(&stopping).all(|(cut_off, stopping)| cut_off <= stopping));
 }
 
 /// They come back to the other VMs at different moments.
 #[test]
-fn callers_are_let_go_at_different_moments() {
+fn callers_are_closed_at_different_times() {
     for is_stopping in [true, false] {
-        let moments: BTreeSet<Duration> = spreads(is_stopping).into_iter().collect();
-        assert!(moments.len() > 32, "{} moments", moments.len());
+        let delays: BTreeSet<Duration> = closing_delays(is_stopping).into_iter().collect();
+        assert!(delays.len() > 32, "{} moments", delays.len());
     }
 }
--- a/crates/proxy/tests/session_leader.rs
+++ b/crates/proxy/tests/session_leader.rs
@@ -8,17 +8,17 @@
     ["i-1".into(), "i-2".into(), "i-3".into()]
 }
 
-fn ask(belief: &LeaderBelief, now_us: u64) -> Option<String> {
+fn chosen_target(belief: &LeaderBelief, now_us: u64) -> Option<String> {
     let ids = ids();
     let listed: Vec<&Arc<str>> = ids.iter().collect();
     belief.ask(&listed, |_| false, now_us).map(|id| id.to_string())
 }
 
 #[test]
-fn what_is_announced_is_asked() {
+fn an_announced_primary_is_asked() {
     let mut belief = LeaderBelief::default();
     belief.announced(&ids()[1], 10);
-    assert_eq!(ask(&belief, 0).as_deref(), Some("i-2"));
+    assert_eq!(chosen_target(&belief, 0).as_deref(), Some("i-2"));
 }
 
 /// An entry of a primary that lost its lead while it was cut off stays as it was. News of a higher
@@ -28,27 +28,27 @@
     let mut belief = LeaderBelief::default();
     belief.announced(&ids()[1], 10);
     belief.announced(&ids()[0], 8);
-    assert_eq!(ask(&belief, 0).as_deref(), Some("i-2"));
+    assert_eq!(chosen_target(&belief, 0).as_deref(), Some("i-2"));
 }
 
 #[test]
-fn a_target_that_refused_is_asked_last_and_not_at_once() {
+fn a_target_that_refused_is_asked_last_and_after_a_pause() {
     let mut belief = LeaderBelief::default();
     belief.announced(&ids()[0], 10);
     belief.refused(&ids()[0], 1_000);
-    assert_eq!(ask(&belief, 1_001).as_deref(), Some("i-2"));
+    assert_eq!(chosen_target(&belief, 1_001).as_deref(), Some("i-2"));
     belief.refused(&ids()[1], 1_002);
     belief.refused(&ids()[2], 1_003);
-    assert_eq!(ask(&belief, 1_004), None);
-    assert_eq!(ask(&belief, 1_000_000).as_deref(), Some("i-1"));
+    assert_eq!(chosen_target(&belief, 1_004), None);
+    assert_eq!(chosen_target(&belief, 1_000_000).as_deref(), Some("i-1"));
 }
 
 #[test]
-fn a_proof_goes_before_an_announcement() {
+fn proof_takes_precedence_over_an_announcement() {
     let mut belief = LeaderBelief::default();
     belief.announced(&ids()[0], 10);
     belief.proved(&ids()[2]);
-    assert_eq!(ask(&belief, 0).as_deref(), Some("i-3"));
+    assert_eq!(chosen_target(&belief, 0).as_deref(), Some("i-3"));
 }
 
 /// Without a belief a target that leaves is not tried: it would be work that it may get no more.
@@ -57,8 +57,8 @@
     let mut belief = LeaderBelief::default();
     let ids = ids();
     let listed: Vec<&Arc<str>> = ids.iter().collect();
-    let leaves = |id: &str| id == "i-1";
-    assert_eq!(belief.ask(&listed, leaves, 0).as_deref(), Some("i-2"));
+    let leaving = |id: &str| id == "i-1";
+    assert_eq!(belief.ask(&listed, leaving, 0).as_deref(), Some("i-2"));
     belief.announced(&ids[0], 10);
-    assert_eq!(belief.ask(&listed, leaves, 0).as_deref(), Some("i-1"));
+    assert_eq!(belief.ask(&listed, leaving, 0).as_deref(), Some("i-1"));
 }
--- a/crates/proxy/tests/traffic_acknowledge.rs
+++ b/crates/proxy/tests/traffic_acknowledge.rs
@@ -5,29 +5,29 @@
 use skylark_core::log_position::LogPosition;
 use skylark_proxy::connection::limits::TrafficLimits;
 use skylark_standin::target::options::Lag;
-use traffic_support::SHORT;
+use traffic_support::Cluster;
+use traffic_support::SETTLE_TIME;
 use traffic_support::Setup;
-use traffic_support::World;
 use traffic_support::client::Client;
 
 mod traffic_support;
 
 /// A replication that does not come to pass within a test.
-const NEVER: Lag = Lag { hold_us: 3_600_000_000, apply_us: 0 };
+const REPLICATION_STOPPED: Lag = Lag { hold_us: 3_600_000_000, apply_us: 0 };
 
-async fn with_table(limits: TrafficLimits) -> (World, Client) {
-    let world = World::with(Setup { limits, ..Setup::default() }).await;
-    let mut client = world.client().await;
+async fn start_with_table(limits: TrafficLimits) -> (Cluster, Client) {
+    let cluster = Cluster::start_with(Setup { limits, ..Setup::default() }).await;
+    let mut client = cluster.client().await;
     client.query("CREATE TABLE chairs (id INT)").await.ok();
-    for place in 0..3 {
-        world.wait_applied(place, LogPosition::new(1, 2)).await;
+    for index in 0..3 {
+        cluster.wait_applied(index, LogPosition::new(1, 2)).await;
     }
-    (world, client)
+    (cluster, client)
 }
 
-fn stop_replication(world: &World) {
-    for replica in &world.targets[1..] {
-        replica.target().set_lag(NEVER);
+fn stop_replication(cluster: &Cluster) {
+    for replica in &cluster.targets[1..] {
+        replica.target().set_lag(REPLICATION_STOPPED);
     }
 }
 
@@ -37,24 +37,24 @@
     /// 3. The caller gets "outcome unknown" and its connection ends, since the commit may last.
     a_commit_without_confirmation_ends_unknown {
         let limits = TrafficLimits { confirm_ms: 100, ..TrafficLimits::default() };
-        let (world, mut client) = with_table(limits).await;
-        stop_replication(&world);
+        let (cluster, mut client) = start_with_table(limits).await;
+        stop_replication(&cluster);
         let lost = client.query("INSERT INTO chairs VALUES (1)").await;
         assert_eq!(lost.tags, [""; 0], "no success is seen");
         assert_eq!(lost.error().sqlstate, "08007");
         assert_eq!(lost.error().detail, "outcome unknown");
         assert_eq!(lost.error().severity, "FATAL");
         assert_eq!(lost.status, None);
-        assert_eq!(world.proxy().counter("refused.not_confirmed"), 1);
-        assert_eq!(world.proxy().counter("writes.acknowledged"), 1, "only the table's creation");
+        assert_eq!(cluster.proxy().counter("refused.not_confirmed"), 1);
+        assert_eq!(cluster.proxy().counter("writes.acknowledged"), 1, "only the table's creation");
     }
 
     /// The target reports a commit at a position that can't be read.
     /// 1. The primary commits. 2. No confirmation can be looked up for a position that is unknown.
     /// 3. The caller gets "outcome unknown": a success could be a write that the next primary lacks.
     a_commit_at_an_unreadable_position_ends_unknown {
-        let (world, mut client) = with_table(TrafficLimits::default()).await;
-        world.gates[0].garble_commits();
+        let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
+        cluster.relays[0].garble_commits();
         let lost = client.query("INSERT INTO chairs VALUES (1)").await;
         assert_eq!(lost.tags, [""; 0], "no success is seen");
         assert_eq!((lost.error().sqlstate.as_str(), lost.status), ("08007", None));
@@ -64,46 +64,46 @@
     /// The same for a COMMIT of a transaction, and for several statements in one message.
     explicit_commits_are_held_back_too {
         let limits = TrafficLimits { confirm_ms: 100, ..TrafficLimits::default() };
-        let (world, mut client) = with_table(limits).await;
-        stop_replication(&world);
+        let (cluster, mut client) = start_with_table(limits).await;
+        stop_replication(&cluster);
         client.query("BEGIN").await.ok();
         client.query("INSERT INTO chairs VALUES (1)").await.ok();
         let lost = client.query("COMMIT").await;
         assert_eq!((lost.tags.len(), lost.error().detail.as_str()), (0, "outcome unknown"));
-        let mut client = world.client().await;
+        let mut client = cluster.client().await;
         let lost = client.query("INSERT INTO chairs VALUES (2); INSERT INTO chairs VALUES (3)").await;
         assert_eq!((lost.status, lost.error().detail.as_str()), (None, "outcome unknown"));
     }
 
     /// The success comes as soon as a majority holds the record, and not before.
     a_success_waits_for_the_majority {
-        let (world, mut client) = with_table(TrafficLimits::default()).await;
-        stop_replication(&world);
+        let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
+        stop_replication(&cluster);
         client.send("INSERT INTO chairs VALUES (1)").await;
-        let early = tokio::time::timeout(SHORT, client.answer()).await;
+        let early = tokio::time::timeout(SETTLE_TIME, client.answer()).await;
         assert!(early.is_err(), "answered before the confirmation: {early:?}");
-        world.targets[1].target().set_lag(Lag::default());
+        cluster.targets[1].target().set_lag(Lag::default());
         client.answer().await.ok();
     }
 
     /// A newer term is confirmed while a commit of the old one waits.
     /// 1. The old primary commits in term 1. 2. The others elect a primary of term 2, whose opening
     /// record has the same index. 3. That index says nothing about the old record: unknown, at once.
-    a_confirmation_of_another_term_is_none {
+    a_confirmation_of_another_term_does_not_count {
         let limits = TrafficLimits { confirm_ms: 60_000, ..TrafficLimits::default() };
-        let (world, mut client) = with_table(limits).await;
-        stop_replication(&world);
+        let (cluster, mut client) = start_with_table(limits).await;
+        stop_replication(&cluster);
         client.send("INSERT INTO chairs VALUES (1)").await;
-        tokio::time::sleep(SHORT).await;
-        world.proxy().live.confirmed.send_replace(LogPosition::new(2, 3));
+        tokio::time::sleep(SETTLE_TIME).await;
+        cluster.proxy().live.confirmed.send_replace(LogPosition::new(2, 3));
         let lost = client.answer().await;
         assert_eq!(lost.error().detail, "outcome unknown");
     }
 
     /// A group whose confirmations stall refuses writes before running them, and goes on reading.
-    a_stalled_group_refuses_writes_unrun {
-        let (world, mut client) = with_table(TrafficLimits::default()).await;
-        world.proxy().publish(|published| published.groups[0].stalled = true);
+    a_stalled_group_refuses_writes_as_not_run {
+        let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
+        cluster.proxy().publish(|published| published.groups[0].stalled = true);
         for sql in ["INSERT INTO chairs VALUES (1)", "BEGIN"] {
             let refused = client.query(sql).await;
             assert_eq!(refused.error().sqlstate, "57P03", "{sql}");
@@ -112,19 +112,19 @@
             assert_eq!(refused.status, Some('I'));
         }
         assert_eq!(client.query("SELECT count(*) FROM chairs").await.value(), "0");
-        assert_eq!(world.proxy().counter("refused.confirmations_stalled"), 2);
+        assert_eq!(cluster.proxy().counter("refused.confirmations_stalled"), 2);
     }
 
     /// A planned move holds writes back for a moment; if it takes longer they are refused unrun.
-    a_move_holds_writes_back {
+    a_planned_move_delays_writes {
         let limits = TrafficLimits { primary_wait_ms: 100, ..TrafficLimits::default() };
-        let (world, mut client) = with_table(limits).await;
-        world.proxy().publish(|published| published.groups[0].moving = true);
+        let (cluster, mut client) = start_with_table(limits).await;
+        cluster.proxy().publish(|published| published.groups[0].moving = true);
         let refused = client.query("INSERT INTO chairs VALUES (1)").await;
         assert_eq!((refused.error().sqlstate.as_str(), refused.error().detail.as_str()),
             ("57P03", "not run"));
-        assert_eq!(world.proxy().counter("refused.primary_moving"), 1);
-        world.proxy().publish(|published| published.groups[0].moving = false);
+        assert_eq!(cluster.proxy().counter("refused.primary_moving"), 1);
+        cluster.proxy().publish(|published| published.groups[0].moving = false);
         client.query("INSERT INTO chairs VALUES (1)").await.ok();
         assert_eq!(client.query("SELECT count(*) FROM chairs").await.value(), "1");
     }
@@ -135,29 +135,29 @@
     /// without writes is served.
     an_old_primary_does_not_serve_a_newer_session {
         let limits = TrafficLimits { floor_wait_ms: 50, ..TrafficLimits::default() };
-        let (world, mut client) = with_table(limits).await;
+        let (cluster, mut client) = start_with_table(limits).await;
         client.query("SELECT 1").await.ok();
         client.query("SET skylark.token = 'loans:2/9'").await.ok();
         let refused = client.query("SELECT count(*) FROM chairs").await;
         assert_eq!((refused.error().sqlstate.as_str(), refused.error().detail.as_str()),
             ("57P03", "not run"));
-        world.floors.lock().insert("clerk".to_owned(), LogPosition::new(2, 9));
-        let mut roaming = world.client().await;
+        cluster.floors.lock().insert("clerk".to_owned(), LogPosition::new(2, 9));
+        let mut roaming = cluster.client().await;
         roaming.query("SET skylark.session = 'clerk'").await.ok();
         let refused = roaming.query("SELECT count(*) FROM chairs").await;
         assert_eq!(refused.error().detail, "not run");
-        assert_eq!(world.proxy().counter("refused.floor_unreachable"), 2);
-        assert_eq!(world.client().await.query("SELECT count(*) FROM chairs").await.value(), "0");
+        assert_eq!(cluster.proxy().counter("refused.floor_unreachable"), 2);
+        assert_eq!(cluster.client().await.query("SELECT count(*) FROM chairs").await.value(), "0");
     }
 
     /// A session without a token writes on one connection and reads on another at once.
     /// 1. The write is recorded under its identity before its success is seen. 2. The replica in
     /// reach lags. 3. The read waits for it, or goes to the primary, and sees the write.
     a_session_with_an_identity_sees_its_writes_elsewhere {
-        let (world, mut writer) = with_table(TrafficLimits::default()).await;
-        world.targets[1].target().set_lag(Lag { hold_us: 0, apply_us: 200_000 });
-        world.targets[2].target().set_lag(NEVER);
-        let mut reader = world.client().await;
+        let (cluster, mut writer) = start_with_table(TrafficLimits::default()).await;
+        cluster.targets[1].target().set_lag(Lag { hold_us: 0, apply_us: 200_000 });
+        cluster.targets[2].target().set_lag(REPLICATION_STOPPED);
+        let mut reader = cluster.client().await;
         for client in [&mut writer, &mut reader] {
             client.query("SET skylark.session = 'clerk'").await.ok();
         }
@@ -167,21 +167,21 @@
             let read = reader.query("SELECT count(*) FROM chairs").await;
             assert_eq!(read.value(), count.to_string());
         }
-        assert_eq!(world.floors.lock()["clerk"], LogPosition::new(1, 5));
+        assert_eq!(cluster.floors.lock()["clerk"], LogPosition::new(1, 5));
     }
 
     /// A read whose replicas can't show their age goes to the primary; where that can't either, the
     /// read is refused unrun.
-    an_age_that_is_not_shown_is_not_claimed {
-        let (world, mut client) = with_table(TrafficLimits::default()).await;
+    a_read_without_a_member_of_known_age_is_refused {
+        let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
         client.query("SET skylark.read_kind = 'fresh'").await.ok();
         client.query("SET skylark.deadline_ms = 400").await.ok();
         client.query("SELECT 1").await.ok();
-        world.proxy().muted.lock().extend([1, 2]);
+        cluster.proxy().muted.lock().extend([1, 2]);
         tokio::time::sleep(Duration::from_millis(150)).await;
         client.query("SELECT 1").await.ok();
         assert_eq!(client.query("SHOW skylark.last_target").await.value(), "loans-1");
-        world.proxy().muted.lock().insert(0);
+        cluster.proxy().muted.lock().insert(0);
         tokio::time::sleep(Duration::from_millis(150)).await;
         let refused = client.query("SELECT 1").await;
         assert_eq!(refused.error().detail, "not run");
@@ -192,14 +192,14 @@
     /// 1. The only connection is taken by a transaction. 2. The write queues. 3. The group stalls.
     /// 4. The write gets its turn, and is refused as not run: sent now it would end as unknown.
     a_write_that_waited_is_checked_again {
-        let world = World::with(Setup { connections: 1, slots: 1, ..Setup::default() }).await;
-        let mut client = world.client().await;
+        let cluster = Cluster::start_with(Setup { connections: 1, slots: 1, ..Setup::default() }).await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT)").await.ok();
         client.query("BEGIN").await.ok();
-        let mut waiting = world.client().await;
+        let mut waiting = cluster.client().await;
         waiting.send("INSERT INTO chairs VALUES (1)").await;
-        tokio::time::sleep(SHORT).await;
-        world.proxy().publish(|published| published.groups[0].stalled = true);
+        tokio::time::sleep(SETTLE_TIME).await;
+        cluster.proxy().publish(|published| published.groups[0].stalled = true);
         client.query("ROLLBACK").await.ok();
         let refused = waiting.answer().await;
         assert_eq!((refused.error().sqlstate.as_str(), refused.error().detail.as_str()),
--- a/crates/proxy/tests/traffic_forward.rs
+++ b/crates/proxy/tests/traffic_forward.rs
@@ -3,9 +3,9 @@
 use postgres_protocol::message::frontend;
 use skylark_core::log_position::LogPosition;
 use skylark_proxy::connection::limits::TrafficLimits;
-use traffic_support::SHORT;
+use traffic_support::Cluster;
+use traffic_support::SETTLE_TIME;
 use traffic_support::Setup;
-use traffic_support::World;
 use traffic_support::client::Client;
 use traffic_support::eventually;
 
@@ -19,8 +19,8 @@
 cases! {
     /// A caller at a proxy that is home to nothing writes, reads and sees its own work.
     an_entry_forwards_to_a_home {
-        let world = World::with(entry_and_two_homes()).await;
-        let mut client = world.client().await;
+        let cluster = Cluster::start_with(entry_and_two_homes()).await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT)").await.ok();
         assert_eq!(client.query("INSERT INTO chairs VALUES (1)").await.ok().tags, ["INSERT 0 1"]);
         assert_eq!(client.token.as_deref(), Some("loans:1/3"));
@@ -36,30 +36,30 @@
         let failed = client.query("SELECT * FROM nothing").await;
         assert_eq!(failed.status, Some('I'));
         assert_eq!(failed.errors.len(), 1);
-        assert!(world.proxy().counter("forwards.sent") >= 6);
+        assert!(cluster.proxy().counter("forwards.sent") >= 6);
     }
 
     /// A proxy that is home to the replicas alone forwards what must go to the primary.
     a_home_of_replicas_forwards_writes {
         let setup = Setup { homes: vec![vec![1, 2], vec![0]], ..Setup::default() };
-        let world = World::with(setup).await;
-        let mut client = world.client().await;
+        let cluster = Cluster::start_with(setup).await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT)").await.ok();
         client.query("SET skylark.read_kind = 'lookup'").await.ok();
-        let forwarded = world.proxy().counter("forwards.sent");
+        let forwarded = cluster.proxy().counter("forwards.sent");
         client.query("SELECT count(*) FROM chairs").await.ok();
-        assert_eq!(world.proxy().counter("forwards.sent"), forwarded, "the replica is its own");
-        assert_eq!(world.proxies[1].counter("forwards.received"), 1);
+        assert_eq!(cluster.proxy().counter("forwards.sent"), forwarded, "the replica is its own");
+        assert_eq!(cluster.proxies[1].counter("forwards.received"), 1);
     }
 
     /// A commit at a home is held back there until it is confirmed, so the entry passes on no
     /// success before, and "outcome unknown" instead of one that does not come.
     a_forwarded_commit_is_confirmed_at_the_home {
         let limits = TrafficLimits { confirm_ms: 100, ..TrafficLimits::default() };
-        let world = World::with(Setup { limits, ..entry_and_two_homes() }).await;
-        let mut client = world.client().await;
+        let cluster = Cluster::start_with(Setup { limits, ..entry_and_two_homes() }).await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT)").await.ok();
-        for replica in &world.targets[1..] {
+        for replica in &cluster.targets[1..] {
             let lag = skylark_standin::target::options::Lag { hold_us: 3_600_000_000, apply_us: 0 };
             replica.target().set_lag(lag);
         }
@@ -70,23 +70,23 @@
     }
 
     /// One home is gone: its connection is refused, so nothing was sent, and the other one serves.
-    a_home_that_is_gone_is_passed_over {
-        let world = World::with(entry_and_two_homes()).await;
-        world.proxies[1].serving.abort();
-        eventually("it has ended", || world.proxies[1].serving.is_finished()).await;
-        let mut client = world.client().await;
+    an_unreachable_home_is_skipped {
+        let cluster = Cluster::start_with(entry_and_two_homes()).await;
+        cluster.proxies[1].server_task.abort();
+        eventually("it has ended", || cluster.proxies[1].server_task.is_finished()).await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT)").await.ok();
-        assert!(world.proxy().counter("retry.connect_failed") >= 1);
-        assert_eq!(world.proxies[2].counter("forwards.received"), 1);
+        assert!(cluster.proxy().counter("retry.connect_failed") >= 1);
+        assert_eq!(cluster.proxies[2].counter("forwards.received"), 1);
     }
 
     /// A home that stops refuses forwarded work as not run, and the other one takes it.
-    a_home_that_stops_is_passed_over {
-        let world = World::with(entry_and_two_homes()).await;
-        let mut client = world.client().await;
+    a_stopping_home_is_skipped {
+        let cluster = Cluster::start_with(entry_and_two_homes()).await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT)").await.ok();
-        world.proxies[1].publish(|published| published.stopping = true);
-        eventually("it has ended", || world.proxies[1].serving.is_finished()).await;
+        cluster.proxies[1].publish(|published| published.stopping = true);
+        eventually("it has ended", || cluster.proxies[1].server_task.is_finished()).await;
         for id in 0..5 {
             client.query(&format!("INSERT INTO chairs VALUES ({id})")).await.ok();
         }
@@ -97,51 +97,51 @@
     /// 1. The entry forwards an insert; the target's answer is held up. 2. The home's process dies.
     /// 3. The caller gets "outcome unknown"; no other home runs it again.
     a_forwarded_write_is_not_repeated {
-        let world = World::with(entry_and_two_homes()).await;
-        let mut client = world.client().await;
+        let cluster = Cluster::start_with(entry_and_two_homes()).await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT)").await.ok();
-        world.gates[0].hold_answers(true);
+        cluster.relays[0].hold_responses(true);
         client.send("INSERT INTO chairs VALUES (1)").await;
-        tokio::time::sleep(SHORT).await;
-        world.gates[0].cut().await;
+        tokio::time::sleep(SETTLE_TIME).await;
+        cluster.relays[0].close_connections().await;
         let lost = client.answer().await;
         assert_eq!(lost.error().detail, "outcome unknown");
-        world.gates[0].hold_answers(false);
-        let mut other = Client::connect(world.proxies[2].address, &[]).await;
+        cluster.relays[0].hold_responses(false);
+        let mut other = Client::connect(cluster.proxies[2].address, &[]).await;
         assert_eq!(other.query("SELECT count(*) FROM chairs").await.value(), "1");
     }
 
     /// Two proxies that each take the other for the home don't pass a request back and forth.
     hops_are_bounded {
-        let world = World::with(entry_and_two_homes()).await;
-        for proxy in &world.proxies[1..] {
+        let cluster = Cluster::start_with(entry_and_two_homes()).await;
+        for proxy in &cluster.proxies[1..] {
             // Each believes that only the other one is home.
-            let other = if proxy.address == world.proxies[1].address { 2 } else { 1 };
+            let other = if proxy.address == cluster.proxies[1].address { 2 } else { 1 };
             proxy.publish(|published| {
-                let other = published.topology.vm_id(&traffic_support::vm(other)).expect("listed");
+                let other = published.topology.vm_id(&traffic_support::vm_name(other)).expect("listed");
                 published.homes = vec![vec![other]; 3];
             });
         }
-        let refused = world.client().await.query("INSERT INTO chairs VALUES (1)").await;
+        let refused = cluster.client().await.query("INSERT INTO chairs VALUES (1)").await;
         assert_eq!((refused.error().sqlstate.as_str(), refused.error().detail.as_str()),
             ("57P03", "not run"));
         assert!(refused.error().message.contains("forwarded too often"), "{refused:?}");
         // The entry asks both, and each passes it on once.
-        let sent = world.proxies.iter().map(|proxy| proxy.counter("forwards.sent")).sum::<u64>();
+        let sent = cluster.proxies.iter().map(|proxy| proxy.counter("forwards.sent")).sum::<u64>();
         assert_eq!(sent, 4);
     }
 
     /// The deadline travels: the home gives the request up on its own, by what the entry left it.
-    a_deadline_is_passed_along {
-        let world = World::with(entry_and_two_homes()).await;
-        let mut client = world.client().await;
+    a_deadline_is_forwarded {
+        let cluster = Cluster::start_with(entry_and_two_homes()).await;
+        let mut client = cluster.client().await;
         client.query("SELECT 1").await.ok();
         client.query("SET skylark.deadline_ms = 500").await.ok();
-        world.gates[0].hold_answers(true);
+        cluster.relays[0].hold_responses(true);
         let lost = client.query("SELECT 2").await;
         assert_eq!(lost.error().sqlstate, "57014");
         let at_homes = || {
-            let homes = world.proxies[1..].iter();
+            let homes = cluster.proxies[1..].iter();
             homes.map(|proxy| proxy.counter("refused.answer_timed_out")).sum::<u64>()
         };
         eventually("the home gives it up", || at_homes() == 1).await;
@@ -149,10 +149,10 @@
 
     /// Settings, class and identity of the caller reach the home with each transaction, and stay
     /// with nobody else on the same connection.
-    a_session_travels_with_its_requests {
-        let world = World::with(entry_and_two_homes()).await;
-        let mut first = world.client().await;
-        let mut second = world.client().await;
+    session_state_is_forwarded_with_each_transaction {
+        let cluster = Cluster::start_with(entry_and_two_homes()).await;
+        let mut first = cluster.client().await;
+        let mut second = cluster.client().await;
         let default = second.query("SHOW search_path").await.value().to_owned();
         first.query("SET search_path = 'mine'").await.ok();
         first.query("SET skylark.session = 'clerk'").await.ok();
@@ -161,15 +161,15 @@
             assert_eq!(second.query("SHOW search_path").await.value(), default);
         }
         first.query("CREATE TABLE chairs (id INT)").await.ok();
-        assert_eq!(world.floors.lock()["clerk"], LogPosition::new(1, 2));
+        assert_eq!(cluster.floors.lock()["clerk"], LogPosition::new(1, 2));
     }
 
     /// A transaction that arrives over a proxy's connection without its context is refused unrun:
     /// it would run without its session's floor.
     a_forwarded_request_needs_its_context {
-        let world = World::start().await;
+        let cluster = Cluster::start().await;
         let parameters = [("skylark.forwarded", "vm-9")];
-        let mut peer = Client::connect(world.proxy().address, &parameters).await;
+        let mut peer = Client::connect(cluster.proxy().address, &parameters).await;
         frontend::query("SELECT 1", &mut peer.output).expect("a query");
         peer.flush().await;
         let refused = peer.answer().await;
--- a/crates/proxy/tests/traffic_limits.rs
+++ b/crates/proxy/tests/traffic_limits.rs
@@ -6,99 +6,99 @@
 use postgres_protocol::message::frontend;
 use skylark_proxy::connection::limits::TrafficLimits;
 use tokio::io::AsyncWriteExt;
-use traffic_support::SHORT;
+use traffic_support::Cluster;
+use traffic_support::SETTLE_TIME;
 use traffic_support::Setup;
-use traffic_support::World;
 use traffic_support::client::Client;
 use traffic_support::eventually;
 
 mod traffic_support;
 
-async fn limited<F>(change: F) -> World
+async fn start_with_limits<F>(change: F) -> Cluster
 where
     F: FnOnce(&mut TrafficLimits),
 {
     let mut limits = TrafficLimits::default();
     change(&mut limits);
-    World::with(Setup { limits, connections: 2, slots: 2, ..Setup::default() }).await
+    Cluster::start_with(Setup { limits, connections: 2, slots: 2, ..Setup::default() }).await
 }
 
 cases! {
     /// A message larger than the limit is refused by its header, and the connection ends.
     an_oversized_message_is_refused {
-        let world = limited(|limits| limits.message_bytes = 10_000).await;
-        let mut client = world.client().await;
+        let cluster = start_with_limits(|limits| limits.message_bytes = 10_000).await;
+        let mut client = cluster.client().await;
         client.query(&format!("SELECT '{}'", "x".repeat(9_000))).await.ok();
         client.output.extend_from_slice(b"Q\x7f\xff\xff\xff");
         client.flush().await;
         let refused = client.answer().await;
         assert_eq!((refused.error().sqlstate.as_str(), refused.status), ("54000", None));
         assert_eq!(refused.error().detail, "not run");
-        let mut client = world.client().await;
+        let mut client = cluster.client().await;
         for _ in 0..20 {
             let text = format!("SELECT '{}'", "x".repeat(900));
             frontend::parse("", &text, [], &mut client.output).expect("a parse");
         }
         client.flush().await;
         assert_eq!(client.answer().await.error().sqlstate, "54000", "a batch counts as a whole");
-        assert_eq!(world.proxy().counter("refused.message_too_large"), 2);
+        assert_eq!(cluster.proxy().counter("refused.message_too_large"), 2);
     }
 
     /// A caller that sleeps in a transaction loses it, and its connection serves others.
     an_idle_transaction_is_ended {
-        let world = limited(|limits| limits.idle_in_transaction_ms = 100).await;
-        let mut client = world.client().await;
+        let cluster = start_with_limits(|limits| limits.idle_in_transaction_ms = 100).await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT)").await.ok();
         client.query("BEGIN").await.ok();
         client.query("INSERT INTO chairs VALUES (1)").await.ok();
         let ended = client.answer().await;
         assert_eq!((ended.error().sqlstate.as_str(), ended.status), ("25P03", None));
         assert_eq!(ended.error().detail, "not run");
-        let mut other = world.client().await;
+        let mut other = cluster.client().await;
         assert_eq!(other.query("SELECT count(*) FROM chairs").await.value(), "0");
-        assert_eq!(world.proxy().counter("refused.idle_in_transaction"), 1);
+        assert_eq!(cluster.proxy().counter("refused.idle_in_transaction"), 1);
     }
 
     /// A caller that begins a message and does not go on is told so and closed; one that is idle
     /// between messages is not.
     a_slow_sender_is_closed {
-        let world = limited(|limits| limits.slow_sender_ms = 50).await;
-        let mut idle = world.client().await;
-        let mut client = world.client().await;
+        let cluster = start_with_limits(|limits| limits.slow_sender_ms = 50).await;
+        let mut idle = cluster.client().await;
+        let mut client = cluster.client().await;
         client.stream.write_all(b"Q\0\0").await.expect("sent");
         let closed = client.answer().await;
         assert_eq!((closed.error().sqlstate.as_str(), closed.status), ("57014", None));
-        tokio::time::sleep(SHORT).await;
+        tokio::time::sleep(SETTLE_TIME).await;
         idle.query("SELECT 1").await.ok();
-        assert_eq!(world.proxy().counter("refused.caller_too_slow"), 1);
+        assert_eq!(cluster.proxy().counter("refused.caller_too_slow"), 1);
     }
 
     /// A caller that does not read its answer is closed, and the target's connection comes back.
     a_slow_reader_is_closed {
-        let world = limited(|limits| limits.slow_reader_ms = 100).await;
-        let mut client = world.client().await;
+        let cluster = start_with_limits(|limits| limits.slow_reader_ms = 100).await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE wide (text TEXT)").await.ok();
         let text = "x".repeat(1_000_000);
         for _ in 0..30 {
             client.query(&format!("INSERT INTO wide VALUES ('{text}')")).await.ok();
         }
         client.send("SELECT text FROM wide").await;
-        let counted = || world.proxy().counter("refused.caller_too_slow") == 1;
+        let counted = || cluster.proxy().counter("refused.caller_too_slow") == 1;
         eventually("the caller is given up", counted).await;
-        let mut other = world.client().await;
+        let mut other = cluster.client().await;
         other.query("SELECT 1").await.ok();
     }
 
     /// Connections are bounded for the process and for each user.
     connections_are_bounded {
-        let world = limited(|limits| {
+        let cluster = start_with_limits(|limits| {
             limits.connections = 3;
             limits.connections_per_user = 2;
         })
         .await;
-        let address = world.proxy().address;
-        let first = world.client().await;
-        let second = world.client().await;
+        let address = cluster.proxy().address;
+        let first = cluster.client().await;
+        let second = cluster.client().await;
         let (_, refused) = Client::try_connect(address, &[]).await;
         assert_eq!((refused.error().sqlstate.as_str(), refused.status), ("53300", None));
         let third = Client::connect(address, &[("user", "depot")]).await;
@@ -106,73 +106,73 @@
         assert_eq!(refused.error().sqlstate, "53300");
         assert_eq!(refused.error().hint, "retry after 1000 ms");
         drop((first, second, third));
-        eventually("places are free", || world.proxy().counter("callers.ended") == 3).await;
-        world.client().await;
-        assert_eq!(world.proxy().counter("refused.too_many_connections"), 2);
+        eventually("places are free", || cluster.proxy().counter("callers.ended") == 3).await;
+        cluster.client().await;
+        assert_eq!(cluster.proxy().counter("refused.too_many_connections"), 2);
     }
 
     /// Connections that never finish their start-up are bounded in number and time, and callers
     /// that have started go on.
     half_open_connections_are_bounded {
-        let world = limited(|limits| {
+        let cluster = start_with_limits(|limits| {
             limits.half_open = 20;
             limits.startup_ms = 400;
         })
         .await;
-        let address = world.proxy().address;
-        let mut bystander = world.client().await;
+        let address = cluster.proxy().address;
+        let mut bystander = cluster.client().await;
         let mut flood = Vec::new();
         for _ in 0..60 {
-            flood.push(Client::bare(address).await);
+            flood.push(Client::connect_raw(address).await);
         }
-        let refused = || world.proxy().counter("refused.too_many_connections");
+        let refused = || cluster.proxy().counter("refused.too_many_connections");
         eventually("those beyond the bound are closed", || refused() == 40).await;
         bystander.query("SELECT 1").await.ok();
-        let timed_out = || world.proxy().counter("refused.startup_timed_out") == 20;
+        let timed_out = || cluster.proxy().counter("refused.startup_timed_out") == 20;
         eventually("the others time out", timed_out).await;
         let ended = flood[59].answer().await;
         assert_eq!(ended.error().sqlstate, "08P01");
         assert_eq!(flood[0].answer().await.types, "", "the oldest made room without a word");
-        world.client().await.query("SELECT 1").await.ok();
+        cluster.client().await.query("SELECT 1").await.ok();
     }
 
     /// A flood of connections that send nothing must not keep callers out.
     /// 1. The flood takes every place of a start-up, and no start-up times out yet. 2. A caller
     /// connects. 3. The oldest of the flood gives up its place, and the caller is served.
-    a_half_open_flood_keeps_no_caller_out {
-        let world = limited(|limits| {
+    a_half_open_flood_does_not_block_callers {
+        let cluster = start_with_limits(|limits| {
             limits.half_open = 20;
             limits.startup_ms = 60_000;
         })
         .await;
         let mut flood = Vec::new();
         for _ in 0..60 {
-            flood.push(Client::bare(world.proxy().address).await);
+            flood.push(Client::connect_raw(cluster.proxy().address).await);
         }
         for _ in 0..3 {
-            world.client().await.query("SELECT 1").await.ok();
+            cluster.client().await.query("SELECT 1").await.ok();
         }
-        assert_eq!(world.proxy().counter("refused.startup_timed_out"), 0);
+        assert_eq!(cluster.proxy().counter("refused.startup_timed_out"), 0);
     }
 
     /// The queue in front of a target is bounded: of 8 places one class gets 5, and one user 4 of
     /// these. A wait that passes the deadline is given up. Both are true refusals.
     the_queue_is_bounded {
-        let world = limited(|limits| limits.queue_length = 8).await;
+        let cluster = start_with_limits(|limits| limits.queue_length = 8).await;
         let mut holders = Vec::new();
         for _ in 0..2 {
-            let mut holder = world.client().await;
+            let mut holder = cluster.client().await;
             holder.query("BEGIN").await.ok();
             holders.push(holder);
         }
         let mut waiting = Vec::new();
         for _ in 0..4 {
-            let mut client = world.client().await;
+            let mut client = cluster.client().await;
             client.send("SELECT 1").await;
             waiting.push(client);
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let refused = world.client().await.query("SELECT 1").await;
+        let refused = cluster.client().await.query("SELECT 1").await;
         assert_eq!((refused.error().sqlstate.as_str(), refused.error().detail.as_str()),
             ("53000", "not run"));
         assert!(refused.error().hint.starts_with("retry after"), "{refused:?}");
@@ -185,7 +185,7 @@
         for holder in &mut holders {
             holder.query("BEGIN").await.ok();
         }
-        let mut late = world.client().await;
+        let mut late = cluster.client().await;
         late.query("SET skylark.deadline_ms = 100").await.ok();
         let refused = late.query("SELECT 1").await;
         assert_eq!(refused.error().detail, "not run");
@@ -196,38 +196,38 @@
     /// The process stops while callers are idle, in a transaction and in a statement.
     /// 1. The idle one is told to connect again. 2. The transaction goes on to its COMMIT, and the
     /// statement to its answer; both are whole. 3. New callers are told that it stops.
-    a_stop_cuts_nothing {
-        let world = limited(|_| ()).await;
-        let mut idle = world.client().await;
-        let mut open = world.client().await;
-        let mut running = world.client().await;
+    a_stop_interrupts_no_request {
+        let cluster = start_with_limits(|_| ()).await;
+        let mut idle = cluster.client().await;
+        let mut open = cluster.client().await;
+        let mut running = cluster.client().await;
         open.query("CREATE TABLE chairs (id INT)").await.ok();
         open.query("BEGIN").await.ok();
-        world.gates[0].hold_answers(true);
+        cluster.relays[0].hold_responses(true);
         running.send("INSERT INTO chairs VALUES (1)").await;
-        tokio::time::sleep(SHORT).await;
-        world.proxy().publish(|published| published.stopping = true);
-        let told = idle.answer().await;
-        assert_eq!((told.error().sqlstate.as_str(), told.status), ("57P01", None));
-        assert_eq!(told.error().detail, "not run");
-        let (_, refused) = Client::try_connect(world.proxy().address, &[]).await;
+        tokio::time::sleep(SETTLE_TIME).await;
+        cluster.proxy().publish(|published| published.stopping = true);
+        let notice = idle.answer().await;
+        assert_eq!((notice.error().sqlstate.as_str(), notice.status), ("57P01", None));
+        assert_eq!(notice.error().detail, "not run");
+        let (_, refused) = Client::try_connect(cluster.proxy().address, &[]).await;
         assert_eq!(refused.error().sqlstate, "57P01");
-        assert!(!world.proxy().serving.is_finished());
-        world.gates[0].hold_answers(false);
+        assert!(!cluster.proxy().server_task.is_finished());
+        cluster.relays[0].hold_responses(false);
         running.answer().await.ok();
         assert_eq!(running.answer().await.error().sqlstate, "57P01");
         open.query("INSERT INTO chairs VALUES (2)").await.ok();
         open.query("COMMIT").await.ok();
         assert_eq!(open.answer().await.error().sqlstate, "57P01");
-        eventually("the process ends", || world.proxy().serving.is_finished()).await;
+        eventually("the process ends", || cluster.proxy().server_task.is_finished()).await;
     }
 
     /// A transaction that outlives the grace does not keep the process.
-    a_stop_has_an_end {
-        let world = limited(|limits| limits.stop_grace_ms = 100).await;
-        let mut open = world.client().await;
+    a_stop_ends_open_transactions_after_the_grace_period {
+        let cluster = start_with_limits(|limits| limits.stop_grace_ms = 100).await;
+        let mut open = cluster.client().await;
         open.query("BEGIN").await.ok();
-        world.proxy().publish(|published| published.stopping = true);
-        eventually("the process ends", || world.proxy().serving.is_finished()).await;
+        cluster.proxy().publish(|published| published.stopping = true);
+        eventually("the process ends", || cluster.proxy().server_task.is_finished()).await;
     }
 }
--- a/crates/proxy/tests/traffic_pool.rs
+++ b/crates/proxy/tests/traffic_pool.rs
@@ -4,36 +4,37 @@
 
 use postgres_protocol::message::frontend;
 use skylark_proxy::connection::limits::TrafficLimits;
-use traffic_support::SHORT;
+use traffic_support::Cluster;
+use traffic_support::SETTLE_TIME;
 use traffic_support::Setup;
-use traffic_support::World;
 use traffic_support::client::Client;
 use traffic_support::eventually;
 
 mod traffic_support;
 
 /// A world whose targets accept one connection, so that callers follow each other on it.
-async fn one_connection(limits: TrafficLimits) -> (World, Client) {
-    let world = World::with(Setup { connections: 1, slots: 1, limits, ..Setup::default() }).await;
-    let mut client = world.client().await;
+async fn start_with_one_connection(limits: TrafficLimits) -> (Cluster, Client) {
+    let cluster =
+        Cluster::start_with(Setup { connections: 1, slots: 1, limits, ..Setup::default() }).await;
+    let mut client = cluster.client().await;
     client.query("CREATE TABLE chairs (id INT)").await.ok();
-    (world, client)
+    (cluster, client)
 }
 
 cases! {
     /// A caller dies in the middle of its transaction, and the next caller gets its connection.
     /// 1. The first inserts without committing. 2. Its socket closes. 3. The connection is rolled
     /// back before anybody else has it, so the second sees nothing and commits only its own work.
-    a_dead_caller_leaves_no_transaction {
-        let (world, mut first) = one_connection(TrafficLimits::default()).await;
+    a_disconnected_caller_leaves_no_transaction {
+        let (cluster, mut first) = start_with_one_connection(TrafficLimits::default()).await;
         first.query("BEGIN").await.ok();
         first.query("INSERT INTO chairs VALUES (1)").await.ok();
         drop(first);
-        let mut second = world.client().await;
+        let mut second = cluster.client().await;
         assert_eq!(second.query("SELECT count(*) FROM chairs").await.value(), "0");
         second.query("INSERT INTO chairs VALUES (2)").await.ok();
         assert_eq!(second.query("SELECT sum(id) FROM chairs").await.value(), "2");
-        assert_eq!(world.proxy().counter("answers.drained"), 1);
+        assert_eq!(cluster.proxy().counter("answers.drained"), 1);
     }
 
     /// A caller goes away while its answer is under way, and another one asks at once.
@@ -41,14 +42,14 @@
     /// comes late. 4. The second caller gets its own answer, on the drained or another connection.
     a_late_answer_reaches_no_other_caller {
         let limits = TrafficLimits { drain_ms: 10_000, ..TrafficLimits::default() };
-        let (world, mut first) = one_connection(limits).await;
+        let (cluster, mut first) = start_with_one_connection(limits).await;
         first.query("SELECT 'warm'").await.ok();
-        world.gates[0].hold_answers(true);
-        first.query_and_leave("SELECT 'of the first'").await;
-        let mut second = world.client().await;
+        cluster.relays[0].hold_responses(true);
+        first.query_and_disconnect("SELECT 'of the first'").await;
+        let mut second = cluster.client().await;
         second.send("SELECT 'of the second'").await;
-        tokio::time::sleep(SHORT).await;
-        world.gates[0].hold_answers(false);
+        tokio::time::sleep(SETTLE_TIME).await;
+        cluster.relays[0].hold_responses(false);
         let answer = second.answer().await;
         assert_eq!(answer.value(), "of the second");
         assert_eq!(answer.rows.len(), 1);
@@ -59,31 +60,31 @@
     /// and its connection ends. 3. The late answer is drained; the next caller gets its own.
     an_answer_after_the_deadline_reaches_nobody {
         let limits = TrafficLimits { drain_ms: 10_000, ..TrafficLimits::default() };
-        let (world, mut first) = one_connection(limits).await;
+        let (cluster, mut first) = start_with_one_connection(limits).await;
         first.query("SET skylark.deadline_ms = 100").await.ok();
-        world.gates[0].hold_answers(true);
+        cluster.relays[0].hold_responses(true);
         let lost = first.query("SELECT 'late'").await;
         assert_eq!(lost.error().sqlstate, "57014");
         assert_eq!(lost.error().detail, "outcome unknown");
         assert_eq!(lost.status, None);
-        world.gates[0].hold_answers(false);
-        let mut second = world.client().await;
+        cluster.relays[0].hold_responses(false);
+        let mut second = cluster.client().await;
         assert_eq!(second.query("SELECT 'mine'").await.value(), "mine");
-        assert_eq!(world.proxy().counter("refused.answer_timed_out"), 1);
+        assert_eq!(cluster.proxy().counter("refused.answer_timed_out"), 1);
     }
 
     /// A connection whose answer does not end in time is closed, not handed on.
-    an_answer_that_never_ends_costs_its_connection {
+    a_connection_that_is_not_drained_in_time_is_closed {
         // The target counts the closed connection for a moment, and tells the next one to wait.
         let limits =
             TrafficLimits { drain_ms: 50, primary_wait_ms: 10_000, ..TrafficLimits::default() };
-        let (world, mut first) = one_connection(limits).await;
-        world.gates[0].hold_answers(true);
+        let (cluster, mut first) = start_with_one_connection(limits).await;
+        cluster.relays[0].hold_responses(true);
         first.query("SET skylark.deadline_ms = 50").await.ok();
         first.query("SELECT 'late'").await;
-        eventually("the connection is closed", || world.proxy().counter("answers.cut") == 1).await;
-        world.gates[0].hold_answers(false);
-        let mut second = world.client().await;
+        eventually("the connection is closed", || cluster.proxy().counter("answers.cut") == 1).await;
+        cluster.relays[0].hold_responses(false);
+        let mut second = cluster.client().await;
         assert_eq!(second.query("SELECT 'mine'").await.value(), "mine");
     }
 
@@ -92,32 +93,32 @@
     /// 1. The first sets a parameter. 2. The second uses the same connection and sees the default.
     /// 3. The first sees its own value again.
     session_settings_follow_their_caller {
-        let (world, mut first) = one_connection(TrafficLimits::default()).await;
-        let mut second = world.client().await;
+        let (cluster, mut first) = start_with_one_connection(TrafficLimits::default()).await;
+        let mut second = cluster.client().await;
         let default = second.query("SHOW search_path").await.value().to_owned();
         first.query("SET search_path = 'mine'").await.ok();
         assert_eq!(second.query("SHOW search_path").await.value(), default);
         assert_eq!(first.query("SHOW search_path").await.value(), "mine");
         assert_eq!(second.query("SHOW search_path").await.value(), default);
-        assert!(world.proxy().counter("connections.reset") >= 2);
+        assert!(cluster.proxy().counter("connections.reset") >= 2);
     }
 
     /// A cancel hits the request that it is meant for, and no later one on the same connection.
     /// 1. The first caller's statement waits for its answer; a cancel with its key is passed on.
     /// 2. A cancel with the key of an idle caller, or with a wrong secret, is not.
     a_cancel_hits_only_its_own_request {
-        let (world, mut first) = one_connection(TrafficLimits::default()).await;
-        let second = world.client().await;
-        world.gates[0].hold_answers(true);
+        let (cluster, mut first) = start_with_one_connection(TrafficLimits::default()).await;
+        let second = cluster.client().await;
+        cluster.relays[0].hold_responses(true);
         first.send("SELECT 'running'").await;
-        tokio::time::sleep(SHORT).await;
-        cancel(&world, second.key).await;
-        cancel(&world, (first.key.0, first.key.1 ^ 1)).await;
-        let counters = &world.proxy();
+        tokio::time::sleep(SETTLE_TIME).await;
+        cancel(&cluster, second.cancel_key).await;
+        cancel(&cluster, (first.cancel_key.0, first.cancel_key.1 ^ 1)).await;
+        let counters = &cluster.proxy();
         eventually("both are ignored", || counters.counter("cancels.ignored") == 2).await;
-        cancel(&world, first.key).await;
+        cancel(&cluster, first.cancel_key).await;
         eventually("the cancel is passed on", || counters.counter("cancels.forwarded") == 1).await;
-        world.gates[0].hold_answers(false);
+        cluster.relays[0].hold_responses(false);
         first.answer().await;
         // The cancelled connection may still be hit, so the next request has another one.
         let closed = || counters.counter("connections.closed") >= 1;
@@ -127,18 +128,18 @@
 
     /// Many callers on few connections each get the answers to their own questions.
     answers_never_cross {
-        let world = World::with(Setup { connections: 2, slots: 2, ..Setup::default() }).await;
+        let cluster = Cluster::start_with(Setup { connections: 2, slots: 2, ..Setup::default() }).await;
         let mut callers = Vec::new();
         for caller in 0..16 {
-            let address = world.proxy().address;
+            let address = cluster.proxy().address;
             callers.push(tokio::spawn(async move {
                 let mut client = Client::connect(address, &[]).await;
                 for number in 0..50 {
-                    let word = format!("{caller}-{number}");
-                    let answer = client.query(&format!("SELECT '{word}'")).await;
-                    assert_eq!(answer.value(), word);
+                    let text = format!("{caller}-{number}");
+                    let answer = client.query(&format!("SELECT '{text}'")).await;
+                    assert_eq!(answer.value(), text);
                     if number % 10 == caller % 10 {
-                        client.query_and_leave("SELECT 'abandoned'").await;
+                        client.query_and_disconnect("SELECT 'abandoned'").await;
                         client = Client::connect(address, &[]).await;
                     }
                 }
@@ -152,18 +153,18 @@
     /// A target closed its idle connections; the next write meets a dead one before it is sent.
     /// 1. The pool holds a connection that the target closed. 2. A caller writes. 3. The dead
     /// connection is noticed before anything is sent, so the write runs on a new one, not "unknown".
-    a_connection_that_died_idle_costs_nothing {
-        let (world, mut client) = one_connection(TrafficLimits::default()).await;
+    a_connection_closed_while_idle_is_replaced {
+        let (cluster, mut client) = start_with_one_connection(TrafficLimits::default()).await;
         client.query("SELECT 1").await.ok();
-        world.gates[0].cut().await;
+        cluster.relays[0].close_connections().await;
         tokio::time::sleep(Duration::from_millis(50)).await;
         client.query("INSERT INTO chairs VALUES (1)").await.ok();
         assert_eq!(client.query("SELECT count(*) FROM chairs").await.value(), "1");
     }
 }
 
-async fn cancel(world: &World, key: (i32, i32)) {
-    let mut client = Client::bare(world.proxy().address).await;
-    frontend::cancel_request(key.0, key.1, &mut client.output);
+async fn cancel(cluster: &Cluster, cancel_key: (i32, i32)) {
+    let mut client = Client::connect_raw(cluster.proxy().address).await;
+    frontend::cancel_request(cancel_key.0, cancel_key.1, &mut client.output);
     client.flush().await;
 }
--- a/crates/proxy/tests/traffic_prepared.rs
+++ b/crates/proxy/tests/traffic_prepared.rs
@@ -7,28 +7,29 @@
 use skylark_proxy::connection::limits::TrafficLimits;
 use skylark_standin::target::options::Lag;
 use tokio_postgres::NoTls;
+use traffic_support::Cluster;
 use traffic_support::GROUP;
 use traffic_support::Setup;
-use traffic_support::World;
 use traffic_support::client::Answer;
 use traffic_support::client::Client;
 
 mod traffic_support;
 
-async fn stock_client(world: &World) -> tokio_postgres::Client {
+async fn connect_tokio_postgres(cluster: &Cluster) -> tokio_postgres::Client {
     let mut config = tokio_postgres::Config::new();
-    config.host("127.0.0.1").port(world.proxy().address.port()).user("desk").dbname(GROUP);
+    config.host("127.0.0.1").port(cluster.proxy().address.port()).user("desk").dbname(GROUP);
     let (client, connection) = config.connect(NoTls).await.expect("the client connects");
     tokio::spawn(connection);
     client
 }
 
-async fn few_connections(connections: u32, limits: TrafficLimits) -> World {
-    let world = World::with(Setup { connections, slots: 2, limits, ..Setup::default() }).await;
-    let mut client = world.client().await;
+async fn start_with_connections(connections: u32, limits: TrafficLimits) -> Cluster {
+    let cluster =
+        Cluster::start_with(Setup { connections, slots: 2, limits, ..Setup::default() }).await;
+    let mut client = cluster.client().await;
     client.query("CREATE TABLE chairs (id INT, name TEXT)").await.ok();
-    world.wait_known(LogPosition::new(1, 2)).await;
-    world
+    cluster.wait_applied_published(LogPosition::new(1, 2)).await;
+    cluster
 }
 
 fn parse(client: &mut Client, name: &str, sql: &str) {
@@ -70,11 +71,11 @@
 cases! {
     /// A stock client prepares, binds binary parameters, and works in transactions; more callers
     /// than connections use the same statements.
-    stock_clients_share_few_connections {
-        let world = few_connections(2, TrafficLimits::default()).await;
+    tokio_postgres_clients_share_few_connections {
+        let cluster = start_with_connections(2, TrafficLimits::default()).await;
         let mut callers = Vec::new();
         for caller in 0..8_i32 {
-            let mut client = stock_client(&world).await;
+            let mut client = connect_tokio_postgres(&cluster).await;
             callers.push(tokio::spawn(async move {
                 let insert = "INSERT INTO chairs VALUES ($1, $2)";
                 let insert = client.prepare(insert).await.expect("prepares");
@@ -100,7 +101,7 @@
         for caller in callers {
             caller.await.expect("the caller ends well");
         }
-        let client = stock_client(&world).await;
+        let client = connect_tokio_postgres(&cluster).await;
         let row = client.query_one("SELECT count(*) FROM chairs", &[]).await.expect("counts");
         assert_eq!(row.get::<_, i64>(0), 80);
     }
@@ -110,22 +111,22 @@
     /// to a new connection, where the proxy prepares the statement first; the caller sees only its
     /// own answers.
     a_statement_survives_its_connection {
-        let world = few_connections(1, TrafficLimits::default()).await;
-        let mut client = world.client().await;
+        let cluster = start_with_connections(1, TrafficLimits::default()).await;
+        let mut client = cluster.client().await;
         parse(&mut client, "pick", "SELECT $1::text");
         assert_eq!(sync(&mut client).await.ok().types, "1Z");
-        world.gates[0].cut().await;
+        cluster.relays[0].close_connections().await;
         let answer = run(&mut client, "pick", Some("a")).await;
         assert_eq!((answer.value(), answer.types.as_str()), ("a", "2DCZ"));
         assert_eq!(run(&mut client, "pick", Some("b")).await.value(), "b");
-        assert_eq!(world.proxy().counter("statements.prepared_again"), 1);
+        assert_eq!(cluster.proxy().counter("statements.prepared_again"), 1);
     }
 
     /// Two callers give the same name to different statements, and the same statement two names.
     names_belong_to_their_caller {
-        let world = few_connections(1, TrafficLimits::default()).await;
-        let mut first = world.client().await;
-        let mut second = world.client().await;
+        let cluster = start_with_connections(1, TrafficLimits::default()).await;
+        let mut first = cluster.client().await;
+        let mut second = cluster.client().await;
         parse(&mut first, "s", "SELECT 'first'");
         sync(&mut first).await.ok();
         parse(&mut second, "s", "SELECT 'second'");
@@ -144,13 +145,13 @@
 
     /// The unnamed statement lasts until the next one, also when the batches that use it run on
     /// different connections.
-    the_unnamed_statement_lasts {
-        let world = few_connections(1, TrafficLimits::default()).await;
-        let mut client = world.client().await;
+    the_unnamed_statement_survives_other_callers {
+        let cluster = start_with_connections(1, TrafficLimits::default()).await;
+        let mut client = cluster.client().await;
         parse(&mut client, "", "SELECT $1::text");
         frontend::describe(b'S', "", &mut client.output).expect("a describe");
         assert_eq!(sync(&mut client).await.ok().types, "1tTZ");
-        let mut other = world.client().await;
+        let mut other = cluster.client().await;
         parse(&mut other, "", "SELECT 'other'");
         assert_eq!(sync(&mut other).await.ok().types, "1Z");
         let answer = run(&mut client, "", Some("mine")).await;
@@ -165,8 +166,8 @@
             prepared_per_caller: 20,
             ..TrafficLimits::default()
         };
-        let world = few_connections(1, limits).await;
-        let mut client = world.client().await;
+        let cluster = start_with_connections(1, limits).await;
+        let mut client = cluster.client().await;
         for round in 0..3 {
             for number in 0..20 {
                 let name = format!("s{number}");
@@ -187,8 +188,8 @@
 
     /// An error in a batch skips the rest of it, and its statements are prepared by none.
     an_error_skips_the_rest_of_the_batch {
-        let world = few_connections(1, TrafficLimits::default()).await;
-        let mut client = world.client().await;
+        let cluster = start_with_connections(1, TrafficLimits::default()).await;
+        let mut client = cluster.client().await;
         parse(&mut client, "bad", "SELECT FROM WHERE");
         parse(&mut client, "good", "SELECT 'good'");
         bind_text(&mut client, "", "good", None);
@@ -211,8 +212,8 @@
 
     /// Flushed messages are answered before the Sync, on one connection, as one transaction.
     flushed_messages_are_answered_at_once {
-        let world = few_connections(2, TrafficLimits::default()).await;
-        let mut client = world.client().await;
+        let cluster = start_with_connections(2, TrafficLimits::default()).await;
+        let mut client = cluster.client().await;
         parse(&mut client, "put", "INSERT INTO chairs VALUES (1, $1)");
         frontend::flush(&mut client.output);
         client.flush().await;
@@ -222,7 +223,7 @@
         frontend::flush(&mut client.output);
         client.flush().await;
         assert_eq!(client.answer_until('C').await.types, "2C");
-        let mut other = world.client().await;
+        let mut other = cluster.client().await;
         assert_eq!(other.query("SELECT count(*) FROM chairs").await.value(), "0");
         sync(&mut client).await.ok();
         assert_eq!(other.query("SELECT count(*) FROM chairs").await.value(), "1");
@@ -233,12 +234,12 @@
     /// 3. The caller sees no success, and "outcome unknown" at the end.
     a_batch_is_held_back_until_confirmed {
         let limits = TrafficLimits { confirm_ms: 100, ..TrafficLimits::default() };
-        let world = few_connections(1, limits).await;
-        for replica in &world.targets[1..] {
+        let cluster = start_with_connections(1, limits).await;
+        for replica in &cluster.targets[1..] {
             replica.target().set_lag(Lag { hold_us: 3_600_000_000, apply_us: 0 });
         }
-        world.gates[0].split_commits();
-        let mut client = world.client().await;
+        cluster.relays[0].split_commits();
+        let mut client = cluster.client().await;
         parse(&mut client, "", "INSERT INTO chairs VALUES (1, 'x')");
         bind_text(&mut client, "", "", None);
         execute(&mut client, "");
@@ -249,8 +250,8 @@
 
     /// What the proxy answers itself works in batches too, mixed with what a target answers.
     parameters_work_in_batches {
-        let world = few_connections(1, TrafficLimits::default()).await;
-        let client = stock_client(&world).await;
+        let cluster = start_with_connections(1, TrafficLimits::default()).await;
+        let client = connect_tokio_postgres(&cluster).await;
         client.execute("SET skylark.read_kind = 'lookup'", &[]).await.expect("sets");
         let row = client.query_one("SHOW skylark.read_kind", &[]).await.expect("shows");
         assert_eq!(row.get::<_, String>(0), "lookup");
@@ -262,7 +263,7 @@
         assert_ne!(row.get::<_, String>(0), "loans-1", "the declared read goes to a replica");
         let copy = client.execute("COPY chairs FROM STDIN", &[]).await;
         assert_eq!(copy.expect_err("refused").code().expect("a code").code(), "0A000");
-        let mut raw = world.client().await;
+        let mut raw = cluster.client().await;
         parse(&mut raw, "vm", "SHOW skylark.vm");
         bind_text(&mut raw, "", "vm", None);
         execute(&mut raw, "");
@@ -277,9 +278,9 @@
     /// A forwarded batch is prepared at the home's connection like any other.
     batches_are_forwarded {
         let setup = Setup { homes: vec![vec![], vec![0, 1, 2]], connections: 2, ..Setup::default() };
-        let world = World::with(setup).await;
-        world.client().await.query("CREATE TABLE chairs (id INT, name TEXT)").await.ok();
-        let mut client = stock_client(&world).await;
+        let cluster = Cluster::start_with(setup).await;
+        cluster.client().await.query("CREATE TABLE chairs (id INT, name TEXT)").await.ok();
+        let mut client = connect_tokio_postgres(&cluster).await;
         let insert = client.prepare("INSERT INTO chairs VALUES ($1, $2)").await.expect("prepares");
         for id in 0..5_i32 {
             client.execute(&insert, &[&id, &"x"]).await.expect("inserts");
@@ -293,9 +294,9 @@
 
     /// A large batch whose answers are larger than any buffer does not lock up: the target's answers
     /// are read while the rest of the batch is still being sent.
-    a_large_batch_does_not_lock_up {
-        let world = few_connections(1, TrafficLimits::default()).await;
-        let mut client = world.client().await;
+    a_large_batch_does_not_deadlock {
+        let cluster = start_with_connections(1, TrafficLimits::default()).await;
+        let mut client = cluster.client().await;
         let text = "x".repeat(20_000);
         for _ in 0..400 {
             parse(&mut client, "", "SELECT $1::text");
--- a/crates/proxy/tests/traffic_queries.rs
+++ b/crates/proxy/tests/traffic_queries.rs
@@ -3,7 +3,7 @@
 use postgres_protocol::IsNull;
 use postgres_protocol::message::frontend;
 use skylark_core::log_position::LogPosition;
-use traffic_support::World;
+use traffic_support::Cluster;
 use traffic_support::client::Client;
 
 mod traffic_support;
@@ -11,8 +11,8 @@
 cases! {
     /// A write and a read go through, and the token is reported.
     a_write_and_a_read_go_through {
-        let world = World::start().await;
-        let mut client = world.client().await;
+        let cluster = Cluster::start().await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT, name TEXT)").await.ok();
         let written = client.query("INSERT INTO chairs VALUES (1, 'blue')").await;
         assert_eq!(written.ok().tags, ["INSERT 0 1"]);
@@ -27,9 +27,9 @@
     /// 1. It writes here, and the connection reports that floor. 2. It writes elsewhere and brings the
     /// newer token by SET, by a batch, or at a start-up. 3. Unless that is reported too, the older
     /// token goes on with the session, and its next read may miss the newer write.
-    a_token_that_is_brought_is_reported {
-        let world = World::start().await;
-        let mut client = world.client().await;
+    a_token_set_by_the_caller_is_reported {
+        let cluster = Cluster::start().await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT)").await.ok();
         client.query("SET skylark.token = 'loans:1/7'").await.ok();
         assert_eq!(client.token.as_deref(), Some("loans:1/7"));
@@ -43,19 +43,19 @@
         client.flush().await;
         client.answer().await.ok();
         assert_eq!(client.token.as_deref(), Some("loans:1/9"));
-        let brought = [("skylark.token", "loans:1/9")];
-        let client = Client::connect(world.proxy().address, &brought).await;
+        let startup_parameters = [("skylark.token", "loans:1/9")];
+        let client = Client::connect(cluster.proxy().address, &startup_parameters).await;
         assert_eq!(client.token.as_deref(), Some("loans:1/9"));
     }
 
     /// A transaction keeps its connection until its end; an error fails it, and a rollback ends it.
     transactions_and_errors_pass_through {
-        let world = World::start().await;
-        let mut client = world.client().await;
+        let cluster = Cluster::start().await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT PRIMARY KEY)").await.ok();
         assert_eq!(client.query("BEGIN").await.status, Some('T'));
         assert_eq!(client.query("INSERT INTO chairs VALUES (1)").await.ok().status, Some('T'));
-        let mut other = world.client().await;
+        let mut other = cluster.client().await;
         assert_eq!(other.query("SELECT count(*) FROM chairs").await.value(), "0");
         let failed = client.query("INSERT INTO chairs VALUES (1)").await;
         assert_eq!((failed.error().sqlstate.as_str(), failed.status), ("23505", Some('E')));
@@ -69,8 +69,8 @@
 
     /// Several requests written at once are answered one by one, in order.
     pipelined_queries_are_answered_in_order {
-        let world = World::start().await;
-        let mut client = world.client().await;
+        let cluster = Cluster::start().await;
+        let mut client = cluster.client().await;
         for number in 0..20 {
             let sql = format!("SELECT {number}");
             postgres_protocol::message::frontend::query(&sql, &mut client.output).expect("a query");
@@ -83,8 +83,8 @@
 
     /// A large answer passes whole.
     a_large_answer_passes_whole {
-        let world = World::start().await;
-        let mut client = world.client().await;
+        let cluster = Cluster::start().await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE wide (id INT, text TEXT)").await.ok();
         let text = "x".repeat(100_000);
         for id in 0..30 {
@@ -97,10 +97,10 @@
 
     /// A declared read goes to a replica of the own zone or another one, and says so.
     declared_reads_go_to_replicas {
-        let world = World::start().await;
-        let mut client = world.client().await;
+        let cluster = Cluster::start().await;
+        let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT)").await.ok();
-        world.wait_known(LogPosition::new(1, 2)).await;
+        cluster.wait_applied_published(LogPosition::new(1, 2)).await;
         client.query("SET skylark.read_kind = 'lookup'").await.ok();
         assert_eq!(client.query("SELECT count(*) FROM chairs").await.value(), "0");
         let served = client.query("SHOW skylark.last_target").await.value().to_owned();
@@ -121,12 +121,12 @@
 
     /// Parameters can be set at start-up, by options and by SET; what is not accepted says why.
     parameters_are_answered_by_the_proxy {
-        let world = World::start().await;
+        let cluster = Cluster::start().await;
         let parameters = [
             ("skylark.class", "urgent"),
             ("options", "-c skylark.read_kind=lookup --skylark.session=clerk\\ 7"),
         ];
-        let mut client = Client::connect(world.proxy().address, &parameters).await;
+        let mut client = Client::connect(cluster.proxy().address, &parameters).await;
         assert_eq!(client.query("SHOW skylark.class").await.value(), "urgent");
         assert_eq!(client.query("show Skylark.Read_Kind;").await.value(), "lookup");
         assert_eq!(client.query("SHOW skylark.session").await.value(), "clerk 7");
@@ -161,8 +161,8 @@
 
     /// COPY, function calls and a mixed statement about the session are refused, not run.
     unsupported_features_are_refused {
-        let world = World::start().await;
-        let mut client = world.client().await;
+        let cluster = Cluster::start().await;
+        let mut client = cluster.client().await;
         for sql in ["COPY chairs FROM STDIN", "SELECT 1; COPY chairs TO STDOUT"] {
             let refused = client.query(sql).await;
             assert_eq!(refused.error().sqlstate, "0A000", "{sql}");
@@ -174,14 +174,14 @@
         client.flush().await;
         assert_eq!(client.answer().await.error().sqlstate, "0A000");
         assert_eq!(client.query("SELECT 1").await.value(), "1");
-        assert_eq!(world.proxy().counter("refused.unsupported"), 4);
+        assert_eq!(cluster.proxy().counter("refused.unsupported"), 4);
     }
 
     /// A start-up that can't be served gets a clear error and a close, and others go on.
     bad_startups_get_a_clear_error {
-        let world = World::start().await;
-        let mut bystander = world.client().await;
-        let address = world.proxy().address;
+        let cluster = Cluster::start().await;
+        let mut bystander = cluster.client().await;
+        let address = cluster.proxy().address;
         let cases = [
             (("database", "nothing"), "3D000"),
             (("client_encoding", "LATIN1"), "22023"),
@@ -201,7 +201,7 @@
             &[0, 0, 0, 12, 0, 3, 0, 0, b'u', b's', b'e', b'r'],
             &[0, 0, 0, 3, 0, 3, 0, 0],
         ] {
-            let mut client = Client::bare(address).await;
+            let mut client = Client::connect_raw(address).await;
             client.output.extend_from_slice(packet);
             client.flush().await;
             assert_eq!(client.answer().await.error().sqlstate, "08P01", "{packet:?}");
@@ -212,8 +212,8 @@
     /// A request for encryption is answered with "no", and the start-up goes on in the clear.
     encryption_is_declined {
         use tokio::io::AsyncReadExt;
-        let world = World::start().await;
-        let mut client = Client::bare(world.proxy().address).await;
+        let cluster = Cluster::start().await;
+        let mut client = Client::connect_raw(cluster.proxy().address).await;
         postgres_protocol::message::frontend::ssl_request(&mut client.output);
         client.flush().await;
         assert_eq!(client.stream.read_u8().await.expect("one byte"), b'N');
--- a/crates/proxy/tests/traffic_retry.rs
+++ b/crates/proxy/tests/traffic_retry.rs
@@ -6,24 +6,24 @@
 use skylark_proxy::connection::limits::TrafficLimits;
 use skylark_proxy::process::control_handle::ControlEvent;
 use skylark_proxy::process::control_handle::TargetEvidence;
-use traffic_support::SHORT;
+use traffic_support::Cluster;
+use traffic_support::SETTLE_TIME;
 use traffic_support::Setup;
-use traffic_support::World;
 use traffic_support::client::Client;
 use traffic_support::eventually;
 
 mod traffic_support;
 
-async fn with_table(limits: TrafficLimits) -> (World, Client) {
-    let world = World::with(Setup { limits, ..Setup::default() }).await;
-    let mut client = world.client().await;
+async fn start_with_table(limits: TrafficLimits) -> (Cluster, Client) {
+    let cluster = Cluster::start_with(Setup { limits, ..Setup::default() }).await;
+    let mut client = cluster.client().await;
     client.query("CREATE TABLE chairs (id INT)").await.ok();
-    world.wait_known(LogPosition::new(1, 2)).await;
-    (world, client)
+    cluster.wait_applied_published(LogPosition::new(1, 2)).await;
+    (cluster, client)
 }
 
-async fn rows(world: &World) -> String {
-    world.client().await.query("SELECT count(*) FROM chairs").await.value().to_owned()
+async fn rows(cluster: &Cluster) -> String {
+    cluster.client().await.query("SELECT count(*) FROM chairs").await.value().to_owned()
 }
 
 cases! {
@@ -31,59 +31,59 @@
     /// 1. The target runs the insert; its answer is held up. 2. The connection is cut. 3. The caller
     /// gets "outcome unknown" once, and the row is there once: nothing was repeated.
     a_write_whose_answer_is_lost_is_not_repeated {
-        let (world, mut client) = with_table(TrafficLimits::default()).await;
-        world.gates[0].hold_answers(true);
-        let commits = || world.targets[0].target().counters().commits.get();
+        let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
+        cluster.relays[0].hold_responses(true);
+        let commits = || cluster.targets[0].target().counters().commits.get();
         let before = commits();
         client.send("INSERT INTO chairs VALUES (1)").await;
         eventually("the target runs it", || commits() > before).await;
-        world.gates[0].cut().await;
+        cluster.relays[0].close_connections().await;
         let lost = client.answer().await;
         assert_eq!((lost.error().sqlstate.as_str(), lost.error().detail.as_str()),
             ("08007", "outcome unknown"));
         assert_eq!(lost.status, None);
-        assert_eq!(world.proxy().counter("refused.answer_lost"), 1);
-        let snapshot = world.proxy().counters.snapshot();
+        assert_eq!(cluster.proxy().counter("refused.answer_lost"), 1);
+        let snapshot = cluster.proxy().counters.snapshot();
         let retries: u64 =
             snapshot.iter().filter(|(name, _)| name.starts_with("retry.")).map(|(_, n)| n).sum();
         assert_eq!(retries, 0);
         let broken = |event: &ControlEvent| {
             matches!(event, ControlEvent::TargetFailed { evidence: TargetEvidence::Broken, .. })
         };
-        let reported = || world.proxy().seen.lock().iter().any(broken);
+        let reported = || cluster.proxy().control_events.lock().iter().any(broken);
         eventually("the control side hears of it", reported).await;
-        world.gates[0].hold_answers(false);
-        assert_eq!(rows(&world).await, "1");
+        cluster.relays[0].hold_responses(false);
+        assert_eq!(rows(&cluster).await, "1");
     }
 
     /// The same for a statement that is a read but not declared as one: it may call a function.
     an_undeclared_read_is_not_repeated {
-        let (world, mut client) = with_table(TrafficLimits::default()).await;
-        world.gates[0].hold_answers(true);
-        let reads = || world.targets[0].target().counters().reads.get();
+        let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
+        cluster.relays[0].hold_responses(true);
+        let reads = || cluster.targets[0].target().counters().reads.get();
         let before = reads();
         client.send("SELECT 1").await;
         eventually("the target runs it", || reads() > before).await;
-        world.gates[0].cut().await;
+        cluster.relays[0].close_connections().await;
         assert_eq!(client.answer().await.error().detail, "outcome unknown");
     }
 
     /// A declared read whose connection breaks is asked elsewhere, and the caller sees one answer.
-    a_declared_read_is_tried_elsewhere {
-        let (world, mut client) = with_table(TrafficLimits::default()).await;
+    a_declared_read_is_retried_on_another_target {
+        let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
         client.query("SET skylark.read_kind = 'lookup'").await.ok();
         client.query("SELECT 1").await.ok();
-        for gate in &world.gates[1..] {
-            gate.hold_answers(true);
+        for relay in &cluster.relays[1..] {
+            relay.hold_responses(true);
         }
         client.send("SELECT 'once'").await;
-        tokio::time::sleep(SHORT).await;
-        for gate in &world.gates[1..] {
-            gate.refuse(true).await;
+        tokio::time::sleep(SETTLE_TIME).await;
+        for relay in &cluster.relays[1..] {
+            relay.refuse(true).await;
         }
         let answer = client.answer().await;
         assert_eq!((answer.value(), answer.rows.len()), ("once", 1));
-        assert!(world.proxy().counter("retry.read_lost") >= 1);
+        assert!(cluster.proxy().counter("retry.read_lost") >= 1);
         assert_eq!(client.query("SHOW skylark.last_target").await.value(), "loans-1");
     }
 
@@ -91,16 +91,16 @@
     /// 1. The replica resets its connections and refuses new ones. 2. The first reads find out and are
     /// tried elsewhere. 3. Later ones pass it over: each that found out anew would spend the retry
     /// budget, and soon reads would be refused although another replica is idle.
-    reads_pass_over_a_target_that_refuses_connections {
+    reads_skip_a_target_that_refuses_connections {
         let limits = TrafficLimits { retry_budget_percent: 0, ..TrafficLimits::default() };
-        let (world, mut client) = with_table(limits).await;
+        let (cluster, mut client) = start_with_table(limits).await;
         client.query("SET skylark.read_kind = 'lookup'").await.ok();
         client.query("SELECT 1").await.ok();
-        world.gates[1].refuse(true).await;
+        cluster.relays[1].refuse(true).await;
         for _ in 0..300 {
             assert_eq!(client.query("SELECT 'fine'").await.value(), "fine");
         }
-        assert_eq!(world.proxy().counter("refused.retry_budget_spent"), 0);
+        assert_eq!(cluster.proxy().counter("refused.retry_budget_spent"), 0);
     }
 
     /// A write meets a primary that was replaced a moment ago, which refuses it unrun.
@@ -108,109 +108,109 @@
     /// 3. The proxy waits for the news and sends the write to the new primary: it runs once.
     a_write_refused_by_the_old_primary_goes_to_the_new_one {
         let limits = TrafficLimits { primary_wait_ms: 5_000, ..TrafficLimits::default() };
-        let (world, mut client) = with_table(limits).await;
-        world.lead(1, 2);
+        let (cluster, mut client) = start_with_table(limits).await;
+        cluster.make_primary(1, 2);
         client.send("INSERT INTO chairs VALUES (1)").await;
-        eventually("the refusal is seen", || world.proxy().counter("retry.not_primary") == 1).await;
-        world.proxy().publish_leader(1, 2);
+        eventually("the refusal is seen", || cluster.proxy().counter("retry.not_primary") == 1).await;
+        cluster.proxy().publish_leader(1, 2);
         client.answer().await.ok();
         assert_eq!(client.token.as_deref(), Some("loans:2/4"));
-        assert_eq!(rows(&world).await, "1");
+        assert_eq!(rows(&cluster).await, "1");
         let not_primary = |event: &ControlEvent| {
             matches!(event, ControlEvent::TargetFailed { evidence: TargetEvidence::NotPrimary, .. })
         };
-        let reported = || world.proxy().seen.lock().iter().any(not_primary);
+        let reported = || cluster.proxy().control_events.lock().iter().any(not_primary);
         eventually("the control side hears of it", reported).await;
     }
 
     /// No new primary comes about: the caller is told that its write did not run, and it did not.
-    a_write_without_a_primary_is_refused_unrun {
+    a_write_without_a_primary_is_refused_as_not_run {
         let limits = TrafficLimits { primary_wait_ms: 50, ..TrafficLimits::default() };
-        let (world, mut client) = with_table(limits).await;
-        for server in &world.targets {
+        let (cluster, mut client) = start_with_table(limits).await;
+        for server in &cluster.targets {
             server.target().raise_term(skylark_core::log_position::Term(2), "nobody");
         }
         let refused = client.query("INSERT INTO chairs VALUES (1)").await;
         assert_eq!((refused.error().sqlstate.as_str(), refused.error().detail.as_str()),
             ("25006", "not run"));
         assert_eq!(refused.status, Some('I'));
-        world.proxy().publish(|published| published.groups[0].leader = None);
+        cluster.proxy().publish(|published| published.groups[0].leader = None);
         let refused = client.query("INSERT INTO chairs VALUES (1)").await;
         assert_eq!((refused.error().sqlstate.as_str(), refused.error().detail.as_str()),
             ("57P03", "not run"));
-        world.lead(0, 3);
-        world.proxy().publish_leader(0, 3);
-        assert_eq!(rows(&world).await, "0");
+        cluster.make_primary(0, 3);
+        cluster.proxy().publish_leader(0, 3);
+        assert_eq!(rows(&cluster).await, "0");
     }
 
     /// The target can't be connected to, so nothing was sent: refused as not run, soon.
-    an_unreachable_target_is_refused_unrun {
+    a_write_to_an_unreachable_target_is_refused_as_not_run {
         let limits = TrafficLimits { primary_wait_ms: 50, ..TrafficLimits::default() };
-        let (world, mut client) = with_table(limits).await;
-        world.gates[0].refuse(true).await;
+        let (cluster, mut client) = start_with_table(limits).await;
+        cluster.relays[0].refuse(true).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
         let refused = client.query("INSERT INTO chairs VALUES (1)").await;
         assert_eq!((refused.error().sqlstate.as_str(), refused.error().detail.as_str()),
             ("08001", "not run"));
-        assert!(world.proxy().counter("retry.connect_failed") >= 1);
+        assert!(cluster.proxy().counter("retry.connect_failed") >= 1);
     }
 
     /// A transaction's connection breaks before its COMMIT was sent: rolled back, and said so; the
     /// caller's connection goes on. With the COMMIT under way nobody can know.
     a_lost_transaction_is_rolled_back_or_unknown {
-        let (world, mut client) = with_table(TrafficLimits::default()).await;
+        let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
         client.query("BEGIN").await.ok();
         client.query("INSERT INTO chairs VALUES (1)").await.ok();
-        world.gates[0].cut().await;
+        cluster.relays[0].close_connections().await;
         let lost = client.query("INSERT INTO chairs VALUES (2)").await;
         assert_eq!((lost.error().sqlstate.as_str(), lost.error().detail.as_str()),
             ("40001", "not run"));
         assert_eq!(lost.status, Some('I'));
-        assert_eq!(rows(&world).await, "0");
+        assert_eq!(rows(&cluster).await, "0");
         client.query("BEGIN").await.ok();
         client.query("INSERT INTO chairs VALUES (3)").await.ok();
-        world.gates[0].hold_answers(true);
+        cluster.relays[0].hold_responses(true);
         client.send("COMMIT").await;
-        tokio::time::sleep(SHORT).await;
-        world.gates[0].cut().await;
+        tokio::time::sleep(SETTLE_TIME).await;
+        cluster.relays[0].close_connections().await;
         assert_eq!(client.answer().await.error().detail, "outcome unknown");
-        world.gates[0].hold_answers(false);
-        assert_eq!(rows(&world).await, "1");
+        cluster.relays[0].hold_responses(false);
+        assert_eq!(rows(&cluster).await, "1");
     }
 
     /// A leaving primary refuses new transactions unrun; one that is open finishes there.
     a_leaving_target_gets_no_new_work {
         let limits = TrafficLimits { primary_wait_ms: 50, ..TrafficLimits::default() };
-        let (world, mut client) = with_table(limits).await;
+        let (cluster, mut client) = start_with_table(limits).await;
         client.query("BEGIN").await.ok();
         client.query("INSERT INTO chairs VALUES (1)").await.ok();
-        world.targets[0].target().set_leaving(true);
-        let mut other = world.client().await;
+        cluster.targets[0].target().set_leaving(true);
+        let mut other = cluster.client().await;
         let refused = other.query("INSERT INTO chairs VALUES (2)").await;
         assert_eq!((refused.error().sqlstate.as_str(), refused.error().detail.as_str()),
             ("57P03", "not run"));
         client.query("INSERT INTO chairs VALUES (3)").await.ok();
         client.query("COMMIT").await.ok();
-        world.targets[0].target().set_leaving(false);
-        assert_eq!(rows(&world).await, "2");
+        cluster.targets[0].target().set_leaving(false);
+        assert_eq!(rows(&cluster).await, "2");
     }
 
     /// The retry budget bounds what a failing primary is hit with.
-    a_spent_retry_budget_refuses_unrun {
+    a_spent_retry_budget_refuses_requests_as_not_run {
         let limits = TrafficLimits {
             primary_wait_ms: 0,
             retry_budget_percent: 0,
             ..TrafficLimits::default()
         };
-        let (world, mut client) = with_table(limits).await;
-        for server in &world.targets {
+        let (cluster, mut client) = start_with_table(limits).await;
+        for server in &cluster.targets {
             server.target().raise_term(skylark_core::log_position::Term(2), "nobody");
         }
         for _ in 0..60 {
             let refused = client.query("INSERT INTO chairs VALUES (1)").await;
             assert_eq!(refused.error().detail, "not run");
         }
-        assert_eq!(world.proxy().counter("retry.not_primary"), 50);
-        assert_eq!(world.proxy().counter("refused.retry_budget_spent"), 10);
+        assert_eq!(cluster.proxy().counter("retry.not_primary"), 50);
+        assert_eq!(cluster.proxy().counter("refused.retry_budget_spent"), 10);
     }
 }
--- a/crates/proxy/tests/traffic_support/client.rs
+++ b/crates/proxy/tests/traffic_support/client.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 use super::GROUP;
-use super::LONG;
+use super::TIMEOUT;
 
 /// An error answer.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
@@ -62,7 +62,7 @@
     pub stream: TcpStream,
     input: BytesMut,
     pub output: BytesMut,
-    pub key: (i32, i32),
+    pub cancel_key: (i32, i32),
     pub token: Option<String>,
 }
 
@@ -76,7 +76,7 @@
 
     /// Connects and returns the answer to the start-up too.
     pub async fn try_connect(address: SocketAddr, parameters: &[(&str, &str)]) -> (Client, Answer) {
-        let mut client = Client::bare(address).await;
+        let mut client = Client::connect_raw(address).await;
         let mut all = vec![("user", "desk"), ("database", GROUP)];
         all.extend_from_slice(parameters);
         // A later value for the same name stands in for the usual one.
@@ -84,7 +84,7 @@
         let unique: Vec<_> = all
             .iter()
             .enumerate()
-            .filter(|(place, (name, _))| last(name) == Some(*place))
+            .filter(|(index, (name, _))| last(name) == Some(*index))
             .map(|(_, pair)| *pair)
             .collect();
         frontend::startup_message(unique, &mut client.output).expect("no zero bytes");
@@ -94,10 +94,16 @@
     }
 
     /// A connection on which nothing was sent.
-    pub async fn bare(address: SocketAddr) -> Client {
+    pub async fn connect_raw(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).await.expect("the proxy listens");
         stream.set_nodelay(true).expect("a socket option");
-        Client { stream, input: BytesMut::new(), output: BytesMut::new(), key: (0, 0), token: None }
+        Client {
+            stream,
+            input: BytesMut::new(),
+            output: BytesMut::new(),
+            cancel_key: (0, 0),
+            token: None,
+        }
     }
 
     /// Sends what was written.
@@ -137,14 +143,14 @@
             };
             let tag = tag.expect("a message begins with its type");
             answer.types.push(tag);
-            self.note(&mut answer, message);
+            self.record_message(&mut answer, message);
             if tag == last || answer.status.is_some() {
                 return answer;
             }
         }
     }
 
-    fn note(&mut self, answer: &mut Answer, message: Message) {
+    fn record_message(&mut self, answer: &mut Answer, message: Message) {
         match message {
             Message::DataRow(row) => {
                 let ranges: Vec<_> = row.ranges().collect().expect("ranges");
@@ -186,7 +192,9 @@
                 }
                 answer.parameters.push((name.to_owned(), value.to_owned()));
             }
-            Message::BackendKeyData(body) => self.key = (body.process_id(), body.secret_key()),
+            Message::BackendKeyData(body) => {
+                self.cancel_key = (body.process_id(), body.secret_key())
+            }
             Message::ReadyForQuery(body) => answer.status = Some(body.status() as char),
             _ => (),
         }
@@ -194,7 +202,7 @@
 
     async fn read(&mut self) -> bool {
         let read = self.stream.read_buf(&mut self.input);
-        let read = tokio::time::timeout(LONG, read).await.expect("an answer comes in time");
+        let read = tokio::time::timeout(TIMEOUT, read).await.expect("an answer comes in time");
         // A reset ends the connection like a close.
         !matches!(read, Ok(0) | Err(_))
     }
@@ -202,7 +210,7 @@
 
 impl Client {
     /// Sends a simple query and closes the connection without reading.
-    pub async fn query_and_leave(&mut self, sql: &str) {
+    pub async fn query_and_disconnect(&mut self, sql: &str) {
         self.send(sql).await;
         // The request is on its way before the socket closes.
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
--- a/crates/proxy/tests/traffic_support/mod.rs
+++ b/crates/proxy/tests/traffic_support/mod.rs
@@ -45,10 +45,10 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use self::gate::Gate;
+use self::fault_relay::FaultRelay;
 
 pub mod client;
-pub mod gate;
+pub mod fault_relay;
 
 /// The group of all tests.
 pub const GROUP: &str = "loans";
@@ -57,10 +57,10 @@
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
 /// Longer than anything takes that is going to happen.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Long enough to show that something does not happen; a slow machine can only hide a failure.
-pub const SHORT: Duration = Duration::from_millis(150);
+pub const SETTLE_TIME: Duration = Duration::from_millis(150);
 
 /// A test's runtime.
 pub fn block_on<F>(future: F) -> F::Output
@@ -72,7 +72,9 @@
         .enable_all()
         .build()
         .expect("a runtime starts");
-    runtime.block_on(async { tokio::time::timeout(LONG * 2, future).await }).expect("ends in time")
+    runtime
+        .block_on(async { tokio::time::timeout(TIMEOUT * 2, future).await })
+        .expect("ends in time")
 }
 
 /// Names each case: an asynchronous test on a runtime of its own.
@@ -88,13 +90,13 @@
 }
 
 /// Waits until something holds.
-pub async fn eventually<F>(what: &str, mut holds: F)
+pub async fn eventually<F>(condition: &str, mut holds: F)
 where
     F: FnMut() -> bool,
 {
     let started = std::time::Instant::now();
     while !holds() {
-        assert!(started.elapsed() < LONG, "never came about: {what}");
+        assert!(started.elapsed() < TIMEOUT, "never came about: {condition}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
@@ -124,9 +126,9 @@
 }
 
 /// Three targets of one group in three zones, a gate in front of each, and proxies.
-pub struct World {
+pub struct Cluster {
     pub targets: Vec<TargetServer>,
-    pub gates: Vec<Gate>,
+    pub relays: Vec<FaultRelay>,
     pub proxies: Vec<Proxy>,
     /// The floors that the control side knows by session, shared by all proxies.
     pub floors: Arc<Mutex<FastMap<String, LogPosition>>>,
@@ -143,36 +145,36 @@
     /// Members whose reports do not reach the control side.
     pub muted: Arc<Mutex<FastSet<usize>>>,
     /// Events other than about floors.
-    pub seen: Arc<Mutex<Vec<ControlEvent>>>,
-    pub serving: JoinHandle<()>,
+    pub control_events: Arc<Mutex<Vec<ControlEvent>>>,
+    pub server_task: JoinHandle<()>,
 }
 
-impl World {
+impl Cluster {
     /// The usual world: one proxy that is home to all members.
-    pub async fn start() -> World {
-        World::with(Setup::default()).await
+    pub async fn start() -> Cluster {
+        Cluster::start_with(Setup::default()).await
     }
 
-    pub async fn with(setup: Setup) -> World {
+    pub async fn start_with(setup: Setup) -> Cluster {
         let network = Network::new();
         let mut targets = Vec::new();
-        let mut gates = Vec::new();
-        for (place, zone) in ZONES.iter().enumerate() {
-            let mut options = TargetOptions::new(&member(place), GROUP, zone);
+        let mut relays = Vec::new();
+        for (index, zone) in ZONES.iter().enumerate() {
+            let mut options = TargetOptions::new(&member_name(index), GROUP, zone);
             options.connections = setup.connections;
             options.slots = setup.slots;
             let server = TargetServer::start(options, &network).await.expect("a port is free");
-            gates.push(Gate::start(server.address()).await);
+            relays.push(FaultRelay::start(server.address()).await);
             targets.push(server);
         }
-        lead(&targets, 0, 1);
-        let mut world =
-            World { targets, gates, proxies: Vec::new(), floors: Arc::default(), network };
-        world.start_proxies(&setup).await;
-        for place in 0..3 {
-            world.wait_applied(place, LogPosition::new(1, 1)).await;
+        make_primary(&targets, 0, 1);
+        let mut cluster =
+            Cluster { targets, relays, proxies: Vec::new(), floors: Arc::default(), network };
+        cluster.start_proxies(&setup).await;
+        for index in 0..3 {
+            cluster.wait_applied(index, LogPosition::new(1, 1)).await;
         }
-        world
+        cluster
     }
 
     async fn start_proxies(&mut self, setup: &Setup) {
@@ -183,21 +185,21 @@
         let addresses: Vec<_> =
             listeners.iter().map(|listener| listener.local_addr().expect("bound")).collect();
         let topology = Arc::new(self.topology(setup, &addresses));
-        for (number, listener) in listeners.into_iter().enumerate() {
-            let proxy = self.start_proxy(setup, &topology, number, listener);
+        for (proxy_index, listener) in listeners.into_iter().enumerate() {
+            let proxy = self.start_proxy(setup, &topology, proxy_index, listener);
             self.proxies.push(proxy);
         }
     }
 
     fn topology(&self, setup: &Setup, addresses: &[std::net::SocketAddr]) -> Topology {
         let members: Vec<_> = self
-            .gates
+            .relays
             .iter()
             .enumerate()
-            .map(|(place, gate)| {
+            .map(|(index, relay)| {
                 json!({
-                    "target": member(place), "zone": ZONES[place],
-                    "address": gate.address().to_string(),
+                    "target": member_name(index), "zone": ZONES[index],
+                    "address": relay.address().to_string(),
                     "slots": setup.slots, "connections": setup.connections,
                 })
             })
@@ -222,9 +224,9 @@
         let vms = addresses
             .iter()
             .enumerate()
-            .map(|(number, address)| VmRecord {
-                vm: vm(number),
-                zone: ZONES[number % 3].to_owned(),
+            .map(|(proxy_index, address)| VmRecord {
+                vm: vm_name(proxy_index),
+                zone: ZONES[proxy_index % 3].to_owned(),
                 address: address.to_string(),
                 control_address: address.to_string(),
                 state: VmState::Live,
@@ -244,22 +246,22 @@
         &self,
         setup: &Setup,
         topology: &Arc<Topology>,
-        number: usize,
+        proxy_index: usize,
         listener: TcpListener,
     ) -> Proxy {
-        let own = topology.vm_id(&vm(number)).expect("the proxy is listed");
+        let own = topology.vm_id(&vm_name(proxy_index)).expect("the proxy is listed");
         let homes = (0..3)
-            .map(|place| {
+            .map(|index| {
                 let ranked = setup.homes.iter().enumerate();
-                let at = ranked.filter(|(_, homes)| homes.contains(&place));
-                at.map(|(home, _)| topology.vm_id(&vm(home)).expect("listed")).collect()
+                let at = ranked.filter(|(_, homes)| homes.contains(&index));
+                at.map(|(home, _)| topology.vm_id(&vm_name(home)).expect("listed")).collect()
             })
             .collect();
         let live = Arc::new(GroupLive {
             confirmed: watch::Sender::new(LogPosition::default()),
             members: (0..3).map(|_| MemberLive::default()).collect(),
         });
-        let tracked = !setup.homes[number].is_empty();
+        let tracked = !setup.homes[proxy_index].is_empty();
         let view = GroupView {
             leader: Some(Leader { term: Term(1), target: TargetId(0) }),
             moving: false,
@@ -280,49 +282,49 @@
         let counters = Arc::new(Counters::default());
         let clock = MonotonicClock::start();
         let muted = Arc::default();
-        let seen = Arc::default();
+        let control_events = Arc::default();
         if tracked {
-            self.follow_members(&live, clock, &muted);
+            self.publish_member_statuses(&live, clock, &muted);
         }
-        tokio::spawn(control_side(events, Arc::clone(&self.floors), Arc::clone(&seen)));
+        tokio::spawn(control_stub(events, Arc::clone(&self.floors), Arc::clone(&control_events)));
         let address = listener.local_addr().expect("bound");
-        let serving = tokio::spawn(traffic::serve(TrafficOptions {
+        let server_task = tokio::spawn(traffic::serve(TrafficOptions {
             threads: 2,
             listener,
             slot: Arc::clone(&slot),
             control,
             counters: Arc::clone(&counters),
             limits: setup.limits.clone(),
-            vm: vm(number),
-            zone: ZONES[number % 3].to_owned(),
+            vm: vm_name(proxy_index),
+            zone: ZONES[proxy_index % 3].to_owned(),
             clock,
             log: slog::Logger::root(slog::Discard, slog::o!()),
         }));
-        Proxy { address, slot, counters, live, clock, muted, seen, serving }
+        Proxy { address, slot, counters, live, clock, muted, control_events, server_task }
     }
 
     /// Publishes what the members report, as the control thread does.
-    fn follow_members(
+    fn publish_member_statuses(
         &self,
         live: &Arc<GroupLive>,
         clock: MonotonicClock,
         muted: &Arc<Mutex<FastSet<usize>>>,
     ) {
         let all: Vec<_> = self.targets.iter().map(|server| server.target().subscribe()).collect();
-        for place in 0..3 {
-            let mut own = all[place].clone();
+        for index in 0..3 {
+            let mut own = all[index].clone();
             let (all, live, muted) = (all.clone(), Arc::clone(live), Arc::clone(muted));
             tokio::spawn(async move {
                 loop {
-                    let heard: Vec<MemberStatus> = all
+                    let reported_statuses: Vec<MemberStatus> = all
                         .iter()
                         .enumerate()
                         .filter(|(other, _)| !muted.lock().contains(other))
                         .map(|(_, status)| status.borrow().clone())
                         .collect();
                     let status = own.borrow_and_update().clone();
-                    if !muted.lock().contains(&place) {
-                        note(&live, place, &status, &heard, clock);
+                    if !muted.lock().contains(&index) {
+                        publish_status(&live, index, &status, &reported_statuses, clock);
                     }
                     tokio::select! {
                         changed = own.changed() => if changed.is_err() { return },
@@ -339,22 +341,22 @@
     }
 
     /// Waits until a member shows a record.
-    pub async fn wait_applied(&self, place: usize, position: LogPosition) {
-        let mut statuses = self.targets[place].target().subscribe();
+    pub async fn wait_applied(&self, index: usize, position: LogPosition) {
+        let mut statuses = self.targets[index].target().subscribe();
         let shown = statuses.wait_for(|status| status.applied >= position);
-        let _ = tokio::time::timeout(LONG, shown).await.expect("the member applies the record");
+        let _ = tokio::time::timeout(TIMEOUT, shown).await.expect("the member applies the record");
     }
 
     /// Waits until the first proxy knows that all members show a record.
-    pub async fn wait_known(&self, position: LogPosition) {
+    pub async fn wait_applied_published(&self, position: LogPosition) {
         let live = &self.proxy().live;
         let known = || live.members.iter().all(|member| *member.applied.lock() >= position);
         eventually("all members show the record", known).await;
     }
 
     /// Makes a member lead a term, as a driver does.
-    pub fn lead(&self, place: usize, term: u64) {
-        lead(&self.targets, place, term);
+    pub fn make_primary(&self, index: usize, term: u64) {
+        make_primary(&self.targets, index, term);
     }
 
     /// A client of the first proxy.
@@ -383,8 +385,8 @@
     }
 
     /// Publishes another leader.
-    pub fn publish_leader(&self, place: usize, term: u64) {
-        let leader = Leader { term: Term(term), target: TargetId(place as u32) };
+    pub fn publish_leader(&self, index: usize, term: u64) {
+        let leader = Leader { term: Term(term), target: TargetId(index as u32) };
         self.publish(|published| published.groups[0].leader = Some(leader));
     }
 
@@ -397,40 +399,40 @@
 }
 
 /// The name of the member at a place, counted from 0.
-pub fn member(place: usize) -> String {
-    format!("{GROUP}-{}", place + 1)
+pub fn member_name(index: usize) -> String {
+    format!("{GROUP}-{}", index + 1)
 }
 
 /// The name of a proxy's VM.
-pub fn vm(number: usize) -> String {
-    format!("vm-{number}")
+pub fn vm_name(proxy_index: usize) -> String {
+    format!("vm-{proxy_index}")
 }
 
-fn lead(targets: &[TargetServer], place: usize, term: u64) {
+fn make_primary(targets: &[TargetServer], index: usize, term: u64) {
     for server in targets {
         server.target().raise_term(Term(term), "test");
     }
-    targets[place].target().promote(Term(term), "test");
+    targets[index].target().promote(Term(term), "test");
     for (other, server) in targets.iter().enumerate() {
-        if other != place {
-            server.target().follow(Term(term), targets[place].address());
+        if other != index {
+            server.target().follow(Term(term), targets[index].address());
         }
     }
 }
 
-fn note(
+fn publish_status(
     live: &GroupLive,
-    place: usize,
+    index: usize,
     status: &MemberStatus,
-    heard: &[MemberStatus],
+    reported_statuses: &[MemberStatus],
     clock: MonotonicClock,
 ) {
-    let member = &live.members[place];
+    let member = &live.members[index];
     *member.applied.lock() = status.applied;
     member.reachable.store(true, Ordering::Relaxed);
     member.leaving.store(status.leaving, Ordering::Relaxed);
     member.fresh_as_of_us.store(clock.now_us(), Ordering::Release);
-    let confirms = heard.iter().filter(|other| other.confirms(status.log)).count();
+    let confirms = reported_statuses.iter().filter(|other| other.confirms(status.log)).count();
     if confirms >= 2 {
         live.confirmed.send_if_modified(|confirmed| {
             let grows = status.log > *confirmed;
@@ -440,10 +442,10 @@
     }
 }
 
-async fn control_side(
+async fn control_stub(
     mut events: mpsc::UnboundedReceiver<VersionedEvent>,
     floors: Arc<Mutex<FastMap<String, LogPosition>>>,
-    seen: Arc<Mutex<Vec<ControlEvent>>>,
+    control_events: Arc<Mutex<Vec<ControlEvent>>>,
 ) {
     while let Some(VersionedEvent { event, .. }) = events.recv().await {
         match event {
@@ -457,7 +459,7 @@
                 let floor = floors.lock().get(&session).copied();
                 let _ = answer.send(floor.unwrap_or_default());
             }
-            other => seen.lock().push(other),
+            other => control_events.lock().push(other),
         }
     }
 }
