--- a/crates/proxy/tests/control_failover.rs
+++ b/crates/proxy/tests/control_failover.rs
@@ -1,4 +1,5 @@
-//! Changes of primary, driven by whole proxies over the stand-ins.
+//! Failovers and planned changes of primary, run by complete proxies against stand-in targets and a stand-in
+//! platform.
 
 mod control_support;
 
@@ -8,7 +9,7 @@
 use skylark_core::log_position::Term;
 use skylark_standin::deployment::fault::Fault;
 
-/// Makes one asynchronous test of each function.
+/// Declares one asynchronous test for each function of `cases`.
 macro_rules! failover_tests {
     ($($name:ident)*) => {
         $(
@@ -38,8 +39,8 @@
 mod cases {
     use super::*;
 
-    /// A write at the primary is held by the others a moment later; each proxy that tracks the
-    /// group hears of it from the members and publishes the position as confirmed.
+    /// A write at the primary is replicated to the other members. Each proxy that tracks the group sees this
+    /// in the members' status and publishes the position as confirmed.
     pub async fn confirmations_reach_every_tracking_proxy() {
         let cluster = Cluster::start().await;
         assert!(cluster.write_to_target(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
@@ -53,10 +54,9 @@
         }
     }
 
-    /// Callers see a short time without a primary. The primary's process dies: its connections
-    /// are reset and new ones refused. A home suspects it, fences a majority and promotes the
-    /// member with the highest log. When the old primary comes back it believes to lead, is told
-    /// otherwise, and follows.
+    /// The primary's process dies: its connections are reset and new ones refused. One of its home proxies
+    /// suspects it, fences a majority and promotes the member with the highest log. The old primary restarts
+    /// in the belief that it leads, and has to become a replica of the new one.
     pub async fn killed_primary_is_replaced_and_rejoins() {
         let cluster = Cluster::start().await;
         assert!(cluster.write_to_target(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
@@ -70,8 +70,8 @@
         assert_eq!(cluster.primaries(), [(leader, term)]);
     }
 
-    /// The platform is down when the primary dies, so no record can name a driver. The members'
-    /// votes decide alone. When the platform is back, the lead record names the new primary.
+    /// The platform is down when the primary dies, so no driver can claim the failover in the lead record.
+    /// The members' votes alone decide. Once the platform is back, the lead record names the new primary.
     pub async fn killed_primary_is_replaced_while_the_platform_is_down() {
         let cluster = Cluster::start().await;
         cluster.inject(Fault::PlatformDown { on: true }).await;
@@ -86,9 +86,9 @@
         .await;
     }
 
-    /// The primary exchanges no bytes with anybody and still believes to lead. Nothing is reset or
-    /// refused, so that silence alone tells. The others go on in a new term. When the cut heals,
-    /// the old primary follows.
+    /// The primary is partitioned from everybody and still believes that it leads. No connection is reset or
+    /// refused, so the failure can only be detected by a timeout. The other members continue in a new term.
+    /// When the partition heals, the old primary becomes a replica.
     pub async fn isolated_primary_is_replaced_and_follows() {
         let cluster = Cluster::start().await;
         assert!(cluster.write_to_target(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
@@ -101,15 +101,15 @@
         cluster.wait_until_following(FIRST_PRIMARY, term).await;
         assert_eq!(cluster.primaries(), [(leader.clone(), term)]);
         let expected = cluster.member(&leader).log;
-        wait_until("the old primary holds what the new one does", async || {
+        wait_until("the old primary has the new primary's log", async || {
             (cluster.member(FIRST_PRIMARY).log == expected).then_some(())
         })
         .await;
     }
 
-    /// The primary's process stands still with its connections open, as a paused machine's does.
-    /// Nothing breaks, so only silence tells. When it goes on it believes to lead, learns of the
-    /// later term, and follows.
+    /// The primary's process is paused with its connections open, as on a suspended machine. No connection
+    /// breaks, so the failure can only be detected by a timeout. When the process resumes, it believes that
+    /// it leads, learns of the later term, and becomes a replica.
     pub async fn paused_primary_is_replaced_and_follows() {
         let cluster = Cluster::start().await;
         let pause = |on| Fault::PauseTarget { target: FIRST_PRIMARY.to_owned(), on };
@@ -121,9 +121,10 @@
         assert_eq!(cluster.primaries(), [(leader, term)]);
     }
 
-    /// The driver's claim takes effect at the platform and its answer is lost. The driver reads the
-    /// record back instead of trying blind, finds its own claim, and goes on; no second claim of
-    /// another driver stands in the record at the end.
+    /// The driver's claim takes effect at the platform but the response is lost. The driver reads the lead
+    /// record back instead of claiming again, finds its own claim and continues, so that no second claim by
+    /// another driver remains in the record. At the end the record names the new primary and its term, and
+    /// exactly one member leads.
     pub async fn lost_claim_response_does_not_stop_the_failover() {
         let cluster = Cluster::start().await;
         cluster.inject(Fault::PlatformLosesAnswers { count: 1 }).await;
@@ -140,12 +141,12 @@
         assert_eq!(cluster.primaries(), [(leader, term)]);
     }
 
-    /// Just as the primary dies, another driver that never finishes takes a member's vote of the
-    /// next term. The proxies' driver can't get that vote, loses, and takes a higher term.
+    /// When the primary dies, another driver takes one member's vote for the next term and then stops. The
+    /// proxies' driver can't get that vote, loses the election, and retries in a higher term.
     pub async fn rival_driver_leaves_one_primary() {
         let cluster = Cluster::start().await;
         cluster.inject(Fault::KillTarget { target: FIRST_PRIMARY.to_owned(), on: true }).await;
-        let voter = cluster.deployment.target("loans-1-depot").expect("the target is there");
+        let voter = cluster.deployment.target("loans-1-depot").expect("the target exists");
         voter.target().raise_term(Term(2), "rival");
         let (leader, term) = cluster.wait_for_primary_above_term(Term(1)).await;
         assert!(term > Term(2) || cluster.member(&leader).raised_by != "rival");
@@ -154,14 +155,14 @@
         assert_eq!(cluster.primaries(), [(leader, term)]);
     }
 
-    /// An operator's wish stands in the lead record. Writes are held back, the wanted member
-    /// becomes level, and leads; the wish is cleared.
+    /// An operator names another primary in the lead record (`wanted`). Writes are held back until the wanted
+    /// member has caught up; it is then promoted, and the `wanted` field is cleared.
     pub async fn planned_move_changes_the_primary() {
         let cluster = Cluster::start().await;
         assert!(cluster.write_to_target(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
         cluster.set_wanted_primary("loans-1-sakiet");
         cluster.wait_for_primary("loans-1-sakiet").await;
-        wait_until("the wish is cleared", async || {
+        wait_until("the wanted primary is cleared", async || {
             let record = cluster.lead_record()?;
             (record.wanted.is_empty() && record.primary == "loans-1-sakiet").then_some(())
         })
@@ -171,14 +172,15 @@
         assert!(cluster.write_to_target("loans-1-sakiet", "INSERT INTO chairs VALUES (1)").await);
     }
 
-    /// An operator wishes for a member that answers nobody. The move never begins, the wish is
-    /// withdrawn after its time, and the decisions say so; they name no term, since none was chosen.
+    /// An operator names a partitioned member as the wanted primary. The move never starts, and after a
+    /// timeout the `wanted` field is cleared. The recorded decisions say so, and name no term since none was
+    /// chosen.
     pub async fn move_to_an_unreachable_member_is_abandoned() {
         let cluster = Cluster::start().await;
         let wanted = "loans-1-sakiet".to_owned();
         cluster.inject(Fault::IsolateTarget { target: wanted, on: true }).await;
         cluster.set_wanted_primary("loans-1-sakiet");
-        wait_until("the wish is withdrawn", async || {
+        wait_until("the wanted primary is cleared", async || {
             cluster.lead_record().filter(|record| record.wanted.is_empty())
         })
         .await;
@@ -190,10 +192,10 @@
         assert_eq!(cluster.primaries(), [(FIRST_PRIMARY.to_owned(), Term(1))]);
     }
 
-    /// The primary's zone is cut off from the others and the platform. A write that the primary
-    /// still runs there is confirmed by nobody, and the zone's proxy has further ones refused
-    /// before they run. The other zones go on in a new term. When the cut heals, the old primary
-    /// gives that write up, and the zone rejoins by itself.
+    /// The primary's availability zone is partitioned from the other zones and the platform. A write that the
+    /// primary still runs is never confirmed, and the zone's proxy refuses further writes before they run.
+    /// The other zones continue in a new term. When the partition heals, the old primary discards the
+    /// unconfirmed write, and the zone rejoins without intervention.
     pub async fn isolated_zone_refuses_writes_and_rejoins() {
         let cluster = Cluster::start().await;
         assert!(cluster.write_to_target(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
@@ -201,7 +203,7 @@
         cluster.inject(isolate(true)).await;
         assert!(cluster.write_to_target(FIRST_PRIMARY, "INSERT INTO chairs VALUES (1)").await);
         let unconfirmed = cluster.member(FIRST_PRIMARY).log;
-        wait_until("the cut-off proxy has writes refused", async || {
+        wait_until("the partitioned proxy refuses writes", async || {
             cluster.proxies[0].group().await.filter(|group| group.stalled)
         })
         .await;
@@ -217,25 +219,25 @@
         cluster.wait_until_following(FIRST_PRIMARY, term).await;
         assert_eq!(cluster.primaries(), [(leader.clone(), term)]);
         let expected = cluster.member(&leader).log;
-        wait_until("the old primary gave the unconfirmed write up", async || {
+        wait_until("the old primary discarded the unconfirmed write", async || {
             (cluster.member(FIRST_PRIMARY).log == expected).then_some(())
         })
         .await;
-        wait_until("the cut-off proxy takes writes again", async || {
+        wait_until("the partitioned proxy accepts writes again", async || {
             cluster.proxies[0].group().await.filter(|group| !group.stalled)
         })
         .await;
     }
 
-    /// A proxy that is home to no member hears of changes of primary from lead records. The platform
-    /// is down, so no record is written; its callers still reach the new primary, since the proxies
-    /// tell each other who leads.
+    /// A proxy that tracks no member learns of a new primary from lead records. The platform is down, so no
+    /// record is written. The proxy's callers still reach the new primary, because proxies also send each
+    /// other the current primary.
     pub async fn untracked_proxy_learns_the_primary_while_the_platform_is_down() {
         let depot = ["vm-2", "vm-3", "vm-4"].map(|vm| (vm, "depot"));
         let placements = [[("vm-1", "medina"), ("vm-5", "sakiet")].as_slice(), &depot].concat();
         let cluster = Cluster::start_with_placements(&placements).await;
         cluster.wait_for_primary(FIRST_PRIMARY).await;
-        let tracking = wait_until("two of three are home in the zone", async || {
+        let tracking = wait_until("two of the zone's three proxies track the group", async || {
             let mut tracking = Vec::new();
             for proxy in &cluster.proxies {
                 tracking.push(proxy.group().await?.tracked);
@@ -243,7 +245,10 @@
             (tracking.iter().filter(|tracked| !**tracked).count() == 1).then_some(tracking)
         })
         .await;
-        let untracked = tracking.iter().position(|tracked| !tracked).expect("one is left over");
+        let untracked = tracking
+            .iter()
+            .position(|tracked| !tracked)
+            .expect("one proxy does not track the group");
         cluster.inject(Fault::PlatformDown { on: true }).await;
         cluster.inject(Fault::KillTarget { target: FIRST_PRIMARY.to_owned(), on: true }).await;
         let (leader, _) = cluster.wait_for_primary_above_term(Term(1)).await;
@@ -251,9 +256,9 @@
         assert_eq!((group.tracked, group.leader), (false, Some(leader)));
     }
 
-    /// A member is taken out of the group and added again, one change at a time, while the group
-    /// is in use. Writes go on being confirmed by the members of each version, also when the member
-    /// that was just added dies while some process may still know the version without it.
+    /// A member is removed from the group and added again, one change at a time, while the group is in use.
+    /// Writes continue to be confirmed by the members of each configuration version, even if the re-added
+    /// member dies while some process may still use the version without it.
     pub async fn member_that_leaves_and_comes_back_confirms_again() {
         let cluster = Cluster::start().await;
         assert!(cluster.write_to_target(FIRST_PRIMARY, "CREATE TABLE chairs (id INTEGER)").await);
@@ -269,7 +274,7 @@
 
     async fn wait_until_confirmed_by_all(cluster: &Cluster, members: usize, sql: &str) {
         for proxy in &cluster.proxies {
-            wait_until("the member list is in force", async || {
+            wait_until("the member list is applied", async || {
                 proxy.group().await.filter(|group| group.members.len() == members)
             })
             .await;
--- a/crates/proxy/tests/control_sessions.rs
+++ b/crates/proxy/tests/control_sessions.rs
@@ -1,4 +1,8 @@
-//! Sessions that roam between proxies without a token, and proxies that stop.
+//! Consistency of sessions that move between proxies without a token, and the graceful stop of a proxy.
+//!
+//! A member's homes are the proxies that connect to it. The primary's homes record the position of each
+//! session's last write; other proxies ask them for it as the floor, the lowest position that the session's
+//! reads may see.
 
 mod control_support;
 
@@ -16,7 +20,7 @@
 use tokio_postgres::NoTls;
 use tokio_postgres::SimpleQueryMessage;
 
-/// Makes one asynchronous test of each function.
+/// Declares one asynchronous test for each function of `cases`.
 macro_rules! session_tests {
     ($($name:ident)*) => {
         $(
@@ -42,8 +46,8 @@
 
     const HOUR_US: u64 = 3_600_000_000;
 
-    /// A session writes at one proxy and reads at another, again and again, while replicas apply
-    /// records late. Each read may be served by a replica and must show the write before it.
+    /// A session alternately writes at one proxy and reads at another while replicas apply records late. Each
+    /// read may be served by a replica and must return the preceding write.
     pub async fn roaming_session_reads_its_own_writes() {
         let cluster = Cluster::start().await;
         create_table(&cluster).await;
@@ -65,8 +69,9 @@
         }
     }
 
-    /// A session wrote through a home that then died. Its successor never saw the session. It must
-    /// not answer that there is nothing to see: it answers with what a barrier shows.
+    /// A session wrote through a home that then died, and its successor has no record of the session. The
+    /// successor must not answer that the session wrote nothing: it obtains the primary's current position
+    /// with a barrier and answers with that.
     pub async fn restarted_home_answers_for_sessions_it_has_not_seen() {
         let mut cluster = Cluster::start().await;
         create_table(&cluster).await;
@@ -79,18 +84,18 @@
         let (address, name) = (successor.handle.control_address(), successor.vm.clone());
         cluster.register_proxies();
         let client =
-            client::open(&address.to_string(), TEST_TIMEOUT).expect("the address is right");
+            client::open(&address.to_string(), TEST_TIMEOUT).expect("the address is valid");
         let answer = wait_until("the successor answers", async || {
             client.peer_floor(floor_request(&name)).await.ok()
         })
         .await;
-        assert!(answer.position >= written, "{} does not cover {written}", answer.position);
+        assert!(answer.position >= written, "{} is below {written}", answer.position);
     }
 
-    /// A caller without an identity writes through one of the primary's two homes, while replicas
-    /// apply late. Both homes know that no session with an identity wrote this record, so that such
-    /// a session's reads need not wait for it. Without that, each write of anybody would keep all of
-    /// them from the replicas.
+    /// A caller without a session identity writes through one of the primary's two homes, while replicas
+    /// apply late. Both homes know that no identified session wrote this record, so that the floor of
+    /// identified sessions stays below it. Otherwise every write would keep all identified sessions from
+    /// reading at replicas.
     pub async fn write_without_session_raises_no_session_floor() {
         let placements =
             [("vm-1", "medina"), ("vm-4", "medina"), ("vm-2", "depot"), ("vm-3", "sakiet")];
@@ -108,7 +113,7 @@
         }
         let writer = connect_without_session(&cluster.proxies[0]).await;
         writer.simple_query("INSERT INTO chairs VALUES (1)").await.unwrap();
-        // What a home did not see from its beginning on is covered by its first answer.
+        // A home's first answer covers all writes from before the home began to track the group.
         let first_write = cluster.member(FIRST_PRIMARY).log;
         let homes: Vec<_> = cluster.proxies[..2].iter().map(control_client).collect();
         for home in &homes {
@@ -121,29 +126,32 @@
         assert!(cluster.member(FIRST_PRIMARY).log > first_write);
         let answer = homes[0].peer_floor(floor_request("vm-2")).await.expect("the home answers");
         assert!(answer.position <= first_write, "{} is above {first_write}", answer.position);
-        wait_until("the other home knows of the write", async || {
+        wait_until("the other home knows that the write has no session", async || {
             let answer = homes[1].peer_floor(floor_request("vm-2")).await.ok()?;
             (answer.position <= first_write).then_some(())
         })
         .await;
     }
 
-    /// A home is cut off from the majority while others may go on in a new term. It can't know
-    /// what the session wrote there, so it gives no answer at all.
+    /// A home is partitioned from the majority, while the other members may continue in a new term. It can't
+    /// know what the session wrote there, so it answers floor requests with an error.
     pub async fn isolated_home_answers_no_floor_request() {
         let cluster = Cluster::start().await;
         cluster.inject(Fault::IsolateZone { zone: "medina".to_owned(), on: true }).await;
-        wait_until("the cut-off proxy sees that no majority answers", async || {
+        wait_until("the partitioned proxy detects the lost majority", async || {
             cluster.proxies[0].group().await.filter(|group| group.stalled)
         })
         .await;
         let address = cluster.proxies[0].handle.control_address().to_string();
-        let client = client::open(&address, TEST_TIMEOUT).expect("the address is right");
-        client.peer_floor(floor_request("vm-2")).await.expect_err("there is no barrier");
+        let client = client::open(&address, TEST_TIMEOUT).expect("the address is valid");
+        client
+            .peer_floor(floor_request("vm-2"))
+            .await
+            .expect_err("no barrier succeeds without a majority");
     }
 
-    /// A proxy is told to stop while a caller is in the middle of a transaction. The balancer sees
-    /// that it leaves, new callers are refused, and the transaction still commits.
+    /// A proxy is asked to stop while a caller has an open transaction. New callers are refused, and the
+    /// transaction still commits.
     pub async fn stop_cuts_no_transaction() {
         let mut cluster = Cluster::start().await;
         create_table(&cluster).await;
@@ -154,21 +162,23 @@
         let config = connection_string(&stopping, "desk-8");
         let published = std::sync::Arc::clone(stopping.handle.published());
         let stopped = tokio::spawn(stopping.handle.stop());
-        wait_until("no new callers are taken", async || published.load().stopping.then_some(()))
-            .await;
+        wait_until("the proxy publishes that it is stopping", async || {
+            published.load().stopping.then_some(())
+        })
+        .await;
         let refused = tokio_postgres::connect(&config, NoTls).await;
-        let refusal = refused.err().expect("a stopping proxy takes no callers");
+        let refusal = refused.err().expect("a stopping proxy refuses callers");
         assert_eq!(refusal.code().map(|code| code.code()), Some("57P01"), "{refusal}");
         caller.simple_query("COMMIT").await.unwrap();
         drop(caller);
-        stopped.await.expect("the proxy ends");
+        stopped.await.expect("the proxy stops");
         let reader = connect(&cluster.proxies[0], "desk-9").await;
         let rows = reader.simple_query("SELECT id FROM chairs").await.unwrap();
         assert_eq!(row_count(&rows), 1);
     }
 
-    /// A proxy says that it stops, long before the platform's list does. The others rank the homes
-    /// without it at once.
+    /// A stopping proxy announces this to its peers long before the platform removes it from the VM list. The
+    /// other proxies immediately choose homes without it.
     pub async fn stopping_proxy_is_home_to_nothing() {
         let mut cluster = Cluster::start().await;
         let stopping = cluster.proxies.remove(2);
@@ -187,7 +197,7 @@
         }
         caller.simple_query("COMMIT").await.unwrap();
         drop(caller);
-        stopped.await.expect("the proxy ends");
+        stopped.await.expect("the proxy stops");
     }
 
     async fn create_table(cluster: &Cluster) {
@@ -217,7 +227,7 @@
 
     fn control_client(proxy: &Proxy) -> jsonrpsee::http_client::HttpClient {
         let address = proxy.handle.control_address().to_string();
-        client::open(&address, TEST_TIMEOUT).expect("the address is right")
+        client::open(&address, TEST_TIMEOUT).expect("the address is valid")
     }
 
     async fn connect(proxy: &Proxy, session: &str) -> Client {
@@ -231,7 +241,7 @@
 
     async fn connect_with(config: &str) -> Client {
         let connected = tokio_postgres::connect(config, NoTls).await;
-        let (client, connection) = connected.expect("the proxy takes callers");
+        let (client, connection) = connected.expect("the proxy accepts callers");
         tokio::spawn(async move {
             let _ = connection.await;
         });
--- a/crates/proxy/tests/control_start.rs
+++ b/crates/proxy/tests/control_start.rs
@@ -1,4 +1,4 @@
-//! A proxy that starts while the platform is slow or answers nothing.
+//! Startup of a proxy, and configuration changes, while the platform is slow or does not respond.
 
 mod control_support;
 
@@ -15,18 +15,18 @@
 use skylark_proxy::process::peer::client;
 use skylark_standin::deployment::fault::Fault;
 
-/// Every call to the platform takes longer than the first limit of a call, and no peer has a
-/// version yet. A client that always gave up after that limit would ask for ever and never be
-/// ready. The limit grows until a call has its time; the platform serves one snapshot.
+/// Every call to the platform takes longer than the initial timeout, and no peer has a version yet. With a
+/// fixed timeout the proxy would retry forever and never become ready. The timeout grows until a call
+/// completes; the platform serves exactly one snapshot.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn proxy_starts_while_the_platform_is_slow() {
     let deployment = control_support::deployment().await;
     let slow = Fault::PlatformSlow { slow_ms: 2_500 };
-    deployment.inject(&slow).await.expect("the fault names what is there");
+    deployment.inject(&slow).await.expect("the fault's target exists");
     let platform = deployment.platform().address();
     let proxy = Proxy::start(settings("vm-1", "medina", platform, &[], PEER_INTERVAL_MS)).await;
     let address = proxy.handle.control_address().to_string();
-    let client = client::open(&address, TEST_TIMEOUT).expect("the address is right");
+    let client = client::open(&address, TEST_TIMEOUT).expect("the address is valid");
     wait_until("the proxy is ready", async || {
         client.health().await.ok().filter(|report| report.ready)
     })
@@ -34,9 +34,9 @@
     assert_eq!(deployment.platform().platform().counters.snapshots.get(), 1);
 }
 
-/// The platform answers nothing in any time that matters, and a peer has a version. Long calls to the
-/// platform hold the start up no longer than the first limit. Without exchanges only the
-/// questions at the start can bring the version.
+/// The platform takes an hour to respond, and a peer has a version. Calls to the platform delay the startup
+/// by no more than the initial timeout. Exchanges are disabled by a long interval, so that the version can
+/// only come from the requests at startup.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn proxy_starts_from_peers_while_the_platform_is_slow() {
     let mut cluster = Cluster::start_with_exchange_interval(&[("vm-1", "medina")], 60_000).await;
@@ -51,19 +51,19 @@
     .await;
 }
 
-/// Operators change the configuration while the platform takes 3 s for each call, longer than the
-/// limit of ordinary calls. Idle watches are given up 2 s after their wait and begun again; one that
-/// begins after a change is answered within its wait, so the change comes into force.
+/// Operators change the configuration while the platform takes 3 s for each call, longer than the timeout of
+/// ordinary calls. Idle watches are cancelled 2 s after their wait and restarted; a watch that starts after a
+/// change is answered within its wait, so the change is applied.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn changes_arrive_while_the_platform_is_slow() {
     let cluster = Cluster::start().await;
     cluster.wait_for_primary(FIRST_PRIMARY).await;
     cluster.inject(Fault::PlatformSlow { slow_ms: 3_000 }).await;
-    // The watches that were under way when the platform slowed down may still deliver once.
+    // A watch that started before the platform slowed down may deliver the first change, so two are made.
     for max_age_ms in [701, 702] {
         let revision = cluster.set_max_age(max_age_ms);
         for proxy in &cluster.proxies {
-            wait_until("the change is in force", async || {
+            wait_until("the change is applied", async || {
                 (proxy.status().await.revision >= revision).then_some(())
             })
             .await;
@@ -71,10 +71,11 @@
     }
 }
 
-/// A proxy finds no version while the platform is silent. Each call ends by its limit. 1. The limits
-/// double up to the highest one, so that a slow platform gets the time it needs. 2. The calls of a
-/// process become few: with the fixed limit of 2 s and the pause of 0.5 s there were some 130 within
-/// five minutes. 3. Processes don't call in step.
+/// A proxy finds no version because the platform does not respond, and each call times out.
+/// 1. The timeouts double up to the maximum, so that a slow platform gets the time it needs.
+/// 2. Calls become rare: with a fixed timeout of 2 s and a pause of 0.5 s a process would make about 130
+///    calls within five minutes.
+/// 3. The pauses are jittered by a seed, so that processes don't call in step.
 #[test]
 fn timeouts_grow_and_calls_become_rare_during_a_long_start() {
     const FIVE_MINUTES_MS: u64 = 300_000;
@@ -94,7 +95,7 @@
             let max_pause_ms = (500 << call_index.min(10)).min(first_version::MOST_PAUSE_MS);
             assert!(
                 (max_pause_ms / 2..=max_pause_ms).contains(&pause_ms),
-                "{pause_ms} at {call_index}"
+                "pause of {pause_ms} ms after call {call_index}"
             );
         }
         pause_sequences.push(pauses);
--- a/crates/proxy/tests/control_support/mod.rs
+++ b/crates/proxy/tests/control_support/mod.rs
@@ -1,6 +1,7 @@
-//! A small deployment of stand-ins with proxies around it, all in one process.
+//! A cluster for tests of the control side: a stand-in platform, three stand-in targets and complete proxies,
+//! all in one process.
 
-#![allow(dead_code, reason = "each test file uses a part of the support")]
+#![allow(dead_code, reason = "each test binary uses a part of the support")]
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,13 +28,13 @@
 use tokio_postgres::Client;
 use tokio_postgres::SimpleQueryMessage;
 
-/// The group of the deployment.
+/// The name of the deployment's only group.
 pub const GROUP: &str = "loans-1";
 
-/// How often the proxies of a test exchange versions.
+/// The default interval at which the proxies of a test exchange versions, in milliseconds.
 pub const PEER_INTERVAL_MS: u64 = 200;
 
-/// How long anything may take before a test fails. It bounds a hang and measures nothing.
+/// The timeout of each wait and call. It only bounds a hang; no test measures against it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 const DEPLOYMENT: &str = r#"{
@@ -62,19 +63,19 @@
   ],
 }"#;
 
-/// The target that leads at the start.
+/// The target that is the primary at the start.
 pub const FIRST_PRIMARY: &str = "loans-1-medina";
 
-/// The stand-ins.
+/// Starts the platform and the targets, with an empty VM list.
 pub async fn deployment() -> Deployment {
     let settings: DeploymentSettings =
-        skylark_settings::parse(DEPLOYMENT).expect("the deployment's settings are right");
+        skylark_settings::parse(DEPLOYMENT).expect("the deployment's settings are valid");
     let deployment = Deployment::start(&settings).await.expect("the stand-ins start");
     deployment.platform().platform().store.set_vms(Vec::new());
     deployment
 }
 
-/// Settings of a proxy on loopback with free ports.
+/// Returns the settings of a proxy that listens on free loopback ports.
 pub fn settings(
     vm: &str,
     zone: &str,
@@ -97,10 +98,10 @@
         }}"#,
         peers.join(", "),
     );
-    skylark_settings::parse(&text).expect("the proxy's settings are right")
+    skylark_settings::parse(&text).expect("the proxy's settings are valid")
 }
 
-/// A running proxy and its place.
+/// A running proxy with the names of its VM and availability zone.
 pub struct Proxy {
     pub vm: String,
     pub zone: String,
@@ -108,7 +109,6 @@
 }
 
 impl Proxy {
-    /// Starts a proxy.
     pub async fn start(settings: ProxySettings) -> Proxy {
         let (vm, zone) = (settings.vm.clone(), settings.zone.clone());
         let log = slog::Logger::root(slog::Discard, slog::o!());
@@ -116,7 +116,7 @@
         Proxy { vm, zone, handle }
     }
 
-    /// Its line in the platform's list.
+    /// Returns the proxy's entry for the platform's VM list.
     pub fn vm_record(&self) -> VmRecord {
         VmRecord {
             vm: self.vm.clone(),
@@ -127,33 +127,33 @@
         }
     }
 
-    /// What it answers to `skylarkctl status`.
+    /// Returns the report that `skylarkctl status` requests.
     pub async fn status(&self) -> StatusReport {
         let address = self.handle.control_address().to_string();
-        let client = client::open(&address, TEST_TIMEOUT).expect("the address is right");
+        let client = client::open(&address, TEST_TIMEOUT).expect("the address is valid");
         client.status().await.expect("a running proxy answers")
     }
 
-    /// What it decided about the group.
+    /// Returns the proxy's recent decisions about the group.
     pub async fn explain(&self) -> ExplainReport {
         let address = self.handle.control_address().to_string();
-        let client = client::open(&address, TEST_TIMEOUT).expect("the address is right");
+        let client = client::open(&address, TEST_TIMEOUT).expect("the address is valid");
         client.explain(GROUP.to_owned()).await.expect("a running proxy answers")
     }
 
-    /// The test's group in the status.
+    /// Returns the group's part of the status, if the proxy knows the group.
     pub async fn group(&self) -> Option<GroupReport> {
         self.status().await.groups.into_iter().find(|group| group.group == GROUP)
     }
 
-    /// The primary as this proxy knows it.
+    /// Returns the primary that this proxy believes in, with its term.
     pub async fn leader(&self) -> Option<(String, Term)> {
         let group = self.group().await?;
         Some((group.leader?, group.term))
     }
 }
 
-/// The stand-ins with one proxy in each zone.
+/// The platform, the targets and the proxies of a test.
 pub struct Cluster {
     pub deployment: Deployment,
     pub proxies: Vec<Proxy>,
@@ -161,7 +161,8 @@
 }
 
 impl Cluster {
-    /// Starts everything and waits until every proxy knows the first primary.
+    /// Starts one proxy in each zone and waits until every proxy knows the first primary and tracks the
+    /// group.
     pub async fn start() -> Cluster {
         let cluster = Cluster::start_with_placements(&[
             ("vm-1", "medina"),
@@ -179,12 +180,13 @@
         cluster
     }
 
-    /// Starts proxies at these places.
+    /// Starts a proxy for each pair of VM and zone, and registers them with the platform.
     pub async fn start_with_placements(placements: &[(&str, &str)]) -> Cluster {
         Cluster::start_with_exchange_interval(placements, PEER_INTERVAL_MS).await
     }
 
-    /// Starts proxies at these places that exchange versions this often.
+    /// Does the same as [`Cluster::start_with_placements`], with another interval between exchanges of
+    /// versions.
     pub async fn start_with_exchange_interval(
         placements: &[(&str, &str)],
         peer_interval_ms: u64,
@@ -198,7 +200,8 @@
         cluster
     }
 
-    /// Starts one more proxy, which the platform's list does not name yet.
+    /// Starts another proxy, with all previous ones as its peers. The platform's VM list does not contain it
+    /// until [`Cluster::register_proxies`] is called.
     pub async fn add(&mut self, vm: &str, zone: &str) -> &Proxy {
         let peers: Vec<SocketAddr> =
             self.proxies.iter().map(|proxy| proxy.handle.control_address()).collect();
@@ -208,60 +211,64 @@
         &self.proxies[self.proxies.len() - 1]
     }
 
-    /// Has the platform list all proxies.
+    /// Replaces the platform's VM list by the running proxies.
     pub fn register_proxies(&self) {
         let records = self.proxies.iter().map(Proxy::vm_record).collect();
         self.deployment.platform().platform().store.set_vms(records);
     }
 
-    /// Brings a fault about or ends it.
+    /// Starts or ends a fault of a stand-in.
     pub async fn inject(&self, fault: Fault) {
-        self.deployment.inject(&fault).await.expect("the fault names what is there");
+        self.deployment.inject(&fault).await.expect("the fault's target exists");
     }
 
-    /// A member's own status.
+    /// Returns a member's status, read from the stand-in itself.
     pub fn member(&self, target: &str) -> MemberStatus {
-        self.deployment.target(target).expect("the target is there").target().status()
+        self.deployment.target(target).expect("the target exists").target().status()
     }
 
-    /// The group's lead record in the platform.
+    /// Returns the group's lead record in the platform's store.
     pub fn lead_record(&self) -> Option<LeadRecord> {
         let object = self.deployment.platform().platform().store.get(ObjectKind::Lead, GROUP)?;
         serde_json::from_value(object.body).ok()
     }
 
-    /// Writes an operator's wish for another primary into the lead record.
+    /// Requests a planned change of primary, as an operator does, by setting `wanted` in the lead record.
     pub fn set_wanted_primary(&self, target: &str) {
         let store = &self.deployment.platform().platform().store;
-        let current = store.get(ObjectKind::Lead, GROUP).expect("the record is there");
+        let current = store.get(ObjectKind::Lead, GROUP).expect("the record exists");
         let mut body = current.body.clone();
         body["wanted"] = target.into();
-        store.put(ObjectKind::Lead, GROUP, current.version, body).expect("nobody else writes it");
+        store
+            .put(ObjectKind::Lead, GROUP, current.version, body)
+            .expect("there is no concurrent writer");
     }
 
-    /// Changes the read kind's staleness bound in the platform, and returns the store's revision.
+    /// Changes the read kind's staleness bound in the platform's store, and returns the store's new revision.
     pub fn set_max_age(&self, max_age_ms: u64) -> u64 {
         let store = &self.deployment.platform().platform().store;
-        let current = store.get(ObjectKind::Service, "loans-db").expect("the service is there");
+        let current = store.get(ObjectKind::Service, "loans-db").expect("the service exists");
         let mut body = current.body.clone();
         body["read_kinds"][0]["max_age_ms"] = max_age_ms.into();
         let put = store.put(ObjectKind::Service, "loans-db", current.version, body);
-        put.expect("nobody else writes it")
+        put.expect("there is no concurrent writer")
     }
 
-    /// Changes the group's member list in the platform.
+    /// Changes the group's member list in the platform's store.
     pub fn change_members<F>(&self, change: F)
     where
         F: FnOnce(&mut Vec<serde_json::Value>),
     {
         let store = &self.deployment.platform().platform().store;
-        let current = store.get(ObjectKind::Group, GROUP).expect("the group is there");
+        let current = store.get(ObjectKind::Group, GROUP).expect("the group exists");
         let mut body = current.body.clone();
         change(body["members"].as_array_mut().expect("members are a list"));
-        store.put(ObjectKind::Group, GROUP, current.version, body).expect("nobody else writes it");
+        store
+            .put(ObjectKind::Group, GROUP, current.version, body)
+            .expect("there is no concurrent writer");
     }
 
-    /// The members that believe to lead, with their terms.
+    /// Returns the members that believe that they lead, with their terms.
     pub fn primaries(&self) -> Vec<(String, Term)> {
         let targets = self.deployment.targets().iter().map(|server| server.target());
         targets
@@ -270,7 +277,7 @@
             .collect()
     }
 
-    /// Waits until every proxy knows this primary.
+    /// Waits until every proxy believes that `target` is the primary.
     pub async fn wait_for_primary(&self, target: &str) {
         for proxy in &self.proxies {
             wait_until(&format!("{} knows that {target} leads", proxy.vm), async || {
@@ -280,7 +287,7 @@
         }
     }
 
-    /// Everything that the proxies decided, for a failing test's message.
+    /// Returns the recent decisions of all proxies, for the message of a failing test.
     pub async fn explain(&self) -> String {
         let mut text = String::new();
         for proxy in &self.proxies {
@@ -294,8 +301,8 @@
         text
     }
 
-    /// Runs a statement that sets a test up, again while it is refused without having run: on a machine that is
-    /// busy with other tests, members may miss status requests for a moment, and writes are refused meanwhile.
+    /// Runs a setup statement, and retries it while it is refused as "not run". On a machine that is busy
+    /// with other tests, members may miss status requests for a moment, and writes are refused meanwhile.
     pub async fn run_setup_statement(&self, client: &Client, sql: &str) {
         wait_until(&format!("{sql} is served"), async || match client.simple_query(sql).await {
             Ok(_) => Some(()),
@@ -308,8 +315,9 @@
         .await;
     }
 
-    /// The answer to a query that has to be served. A refusal fails the test and shows what the proxies decided and
-    /// counted: the refusal alone doesn't tell which of them had no path to which target.
+    /// Runs a query that has to succeed and returns its response. An error fails the test and prints the
+    /// decisions and counters of all proxies, since the error alone doesn't tell which proxy could not reach
+    /// which target.
     pub async fn query_ok(&self, client: &Client, sql: &str) -> Vec<SimpleQueryMessage> {
         let error = match client.simple_query(sql).await {
             Ok(answer) => return answer,
@@ -329,7 +337,7 @@
         );
     }
 
-    /// Waits until every proxy knows one primary of a term above `term`, and returns it.
+    /// Waits until all proxies agree on a primary with a term above `term`, and returns both.
     pub async fn wait_for_primary_above_term(&self, term: Term) -> (String, Term) {
         let agreed = async || {
             let mut leaders = Vec::new();
@@ -342,11 +350,13 @@
         };
         match poll_until_timeout(agreed).await {
             Some(leader) => leader,
-            None => panic!("no new primary in time; decisions:\n{}", self.explain().await),
+            None => {
+                panic!("timed out waiting for a new primary; decisions:\n{}", self.explain().await)
+            }
         }
     }
 
-    /// Waits until a member follows in a term.
+    /// Waits until a member is a replica in exactly this term.
     pub async fn wait_until_following(&self, target: &str, term: Term) {
         wait_until(&format!("{target} follows in term {term}"), async || {
             let status = self.member(target);
@@ -355,9 +365,9 @@
         .await;
     }
 
-    /// Writes a row straight at a target and returns whether it took.
+    /// Runs a statement at a target, bypassing the proxies, and returns whether it succeeded.
     pub async fn write_to_target(&self, target: &str, sql: &str) -> bool {
-        let address = self.deployment.target(target).expect("the target is there").address();
+        let address = self.deployment.target(target).expect("the target exists").address();
         let config = format!(
             "host=127.0.0.1 port={} user=test dbname={GROUP} application_name=medina/test",
             address.port(),
@@ -371,14 +381,14 @@
     }
 }
 
-/// Waits until the probe gives an answer.
+/// Polls the probe until it returns a value. Panics after [`TEST_TIMEOUT`] with the condition's description.
 pub async fn wait_until<T, P>(condition: &str, probe: P) -> T
 where
     P: AsyncFnMut() -> Option<T>,
 {
     match poll_until_timeout(probe).await {
         Some(found) => found,
-        None => panic!("not in time: {condition}"),
+        None => panic!("timed out waiting until {condition}"),
     }
 }
 
--- a/crates/proxy/tests/feed_frames.rs
+++ b/crates/proxy/tests/feed_frames.rs
@@ -1,5 +1,5 @@
-//! The messages between a watcher and those that it tells survive the wire, and nothing else passes for
-//! one.
+//! Encoding of the messages that a watcher sends to its subscribers: a message is decoded unchanged, and
+//! malformed input is rejected.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use skylark_proxy::sessions::process::feed::Message;
 use skylark_proxy::sessions::process::feed::frame;
 
-/// The bytes before the body of a frame.
+/// The length of a frame's header in bytes.
 const HEADER_BYTES: usize = 4;
 
 fn table(count: u64) -> RouteTable {
@@ -35,7 +35,7 @@
 fn a_large_configuration_is_compressed_and_decoded_unchanged() {
     let routes = Arc::new(table(3_000));
     let message = Message::Routes(Arc::clone(&routes));
-    let plain = serde_json::to_vec(&message).expect("it is JSON");
+    let plain = serde_json::to_vec(&message).expect("the message is serialised");
     let frame = frame::encode(&message);
     assert!(frame.len() * 4 < plain.len(), "{} of {} bytes", frame.len(), plain.len());
     match frame::decode(&frame[HEADER_BYTES..]) {
@@ -44,17 +44,17 @@
     }
 }
 
-/// A few bytes that would fill all memory when they are unpacked.
+/// A small message that decompresses to 64 MiB is rejected before it fills the memory.
 #[test]
 fn a_message_that_decompresses_beyond_the_limit_is_rejected() {
     let mut body = flate2::write::ZlibEncoder::new(Vec::new(), flate2::Compression::fast());
-    std::io::Write::write_all(&mut body, &vec![b' '; 64 << 20]).expect("memory takes all");
-    let body = body.finish().expect("memory takes all");
+    std::io::Write::write_all(&mut body, &vec![b' '; 64 << 20]).expect("writes to memory succeed");
+    let body = body.finish().expect("writes to memory succeed");
     assert!(matches!(frame::decode(&body), Err(frame::FrameError::TooLarge)));
 }
 
 #[test]
-fn only_a_subscribe_line_with_a_revision_is_a_subscription() {
+fn only_a_subscribe_line_with_a_version_is_a_subscription() {
     assert_eq!(feed::subscribed_from(b"SUBSCRIBE 14\n"), Some(14));
     assert_eq!(feed::subscribed_from(b"SUBSCRIBE\n"), None);
     assert_eq!(feed::subscribed_from(b"SUBSCRIBE x\n"), None);
--- a/crates/proxy/tests/listing.rs
+++ b/crates/proxy/tests/listing.rs
@@ -1,4 +1,4 @@
-//! What changed between two lists of VMs leads from the one to the other, whatever they hold.
+//! Differences between VM lists: applied to the old list, they yield the new one.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use skylark_proxy::sessions::process::feed::listing::VmList;
 use skylark_proxy::sessions::store::VmAddress;
 
-/// A list with these VMs, each at a port.
+/// Returns a list of the VMs, given as a map from VM number to port.
 fn list(revision: u64, vms: &BTreeMap<u8, u16>) -> VmList {
     let vm = |(name, port): (&u8, &u16)| VmAddress {
         name: format!("vm-{name}").into(),
@@ -22,7 +22,7 @@
         before.with(before.changes_to(&after)) == after
     }
 
-    /// Hundreds of VMs are told of one that came without being sent the others again.
+    /// A difference contains only the added or changed VM, so that the update of a large fleet stays small.
     fn unchanged_vms_are_not_sent(vms: BTreeMap<u8, u16>, name: u8, port: u16) -> bool {
         let before = list(4, &vms);
         let mut next = vms.clone();
--- a/crates/proxy/tests/pool_users.rs
+++ b/crates/proxy/tests/pool_users.rs
@@ -1,4 +1,5 @@
-//! A pool whose target distinguishes users: who gets which connection, and which one gives way.
+//! A connection pool whose target has several users: which connection serves which user, and which one is
+//! closed to make room.
 
 use std::io;
 use std::sync::Arc;
@@ -17,19 +18,19 @@
 use skylark_proxy::connection::target_connection::OpenError;
 use skylark_proxy::process::clock::MonotonicClock;
 
-/// Far beyond what any of these tests waits for.
+/// The deadline of each acquisition, longer than any of these tests waits.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the target of a pool does.
+/// The fake target's state, which its connections share.
 #[derive(Debug, Default)]
 struct Target {
-    /// Whether it refuses new connections because it is leaving.
+    /// Whether the target refuses new connections because it is leaving.
     leaving: AtomicBool,
     open: AtomicU32,
     max_open: AtomicU32,
 }
 
-/// A connection that only knows whose it is.
+/// A connection that has no stream, only the user that it was opened for.
 #[derive(Debug)]
 struct FakeLink {
     target: Arc<Target>,
@@ -93,7 +94,7 @@
     }
 }
 
-/// A pool of at most `share` connections to a target.
+/// Creates a pool of at most `share` connections to a fake target.
 fn pool(share: u32) -> (Arc<Target>, Arc<Pool<FakeLink>>) {
     let target = Arc::new(Target::default());
     let policy =
@@ -118,12 +119,12 @@
     pool.take(user.as_ref(), None, Instant::now() + TIMEOUT).await
 }
 
-/// Whose connection it is.
+/// Returns the user that the leased connection was opened for.
 fn connection_user(lease: &mut Lease<FakeLink>) -> String {
     lease.connection().user.as_deref().unwrap_or("").to_owned()
 }
 
-/// Has each user take a connection and give it back.
+/// Takes a connection for each user in turn and returns it to the pool.
 async fn use_as(pool: &Arc<Pool<FakeLink>>, users: &[&str]) {
     for user in users {
         let mut lease = take(pool, user).await.expect("a connection can be opened");
@@ -140,15 +141,16 @@
 }
 
 cases! {
-    /// A statement of one organisation must never run on another's connection, though that is idle.
+    /// A statement of one organisation must never run on another organisation's connection, even if that is
+    /// idle.
     a_connection_serves_the_user_that_it_was_opened_for {
         let (target, pool) = pool(4);
         use_as(&pool, &["lake", "hill", "lake", "hill"]).await;
         assert_eq!(target.open.load(Ordering::Relaxed), 2);
     }
 
-    /// A pool at its limit: the connection that was not used for longest gives way, and the target never sees
-    /// more than the limit.
+    /// A pool at its limit closes the least recently used connection before it opens another, so that the
+    /// target never has more connections than the limit.
     the_least_recently_used_connection_is_closed {
         let (target, pool) = pool(2);
         use_as(&pool, &["lake", "hill", "lake", "wood"]).await;
@@ -159,23 +161,25 @@
         assert_eq!(target.max_open.load(Ordering::Relaxed), 2);
     }
 
-    /// All connections are in use by one organisation, and another one's statement waits.
-    /// 1. Both connections are held. 2. One goes back. 3. It gives way to the one that is waited for.
+    /// One organisation uses all connections, and a statement of another organisation waits.
+    /// 1. Both connections are leased. 2. One is returned to the pool. 3. It is closed, and a connection for
+    /// the waiting organisation is opened in its place.
     a_returned_connection_is_replaced_for_a_waiting_user {
         let (target, pool) = pool(2);
-        let held = take(&pool, "lake").await.expect("it can be opened");
-        let _other = take(&pool, "lake").await.expect("it can be opened");
+        let held = take(&pool, "lake").await.expect("a connection can be opened");
+        let _other = take(&pool, "lake").await.expect("a connection can be opened");
         let waiting = tokio::spawn({
             let pool = Arc::clone(&pool);
             async move { take(&pool, "hill").await.map(|mut lease| connection_user(&mut lease)) }
         });
         tokio::task::yield_now().await;
         held.give_back();
-        assert_eq!(waiting.await.expect("it ends"), Ok("hill".to_owned()));
+        assert_eq!(waiting.await.expect("the task ends"), Ok("hill".to_owned()));
         assert_eq!(target.max_open.load(Ordering::Relaxed), 2);
     }
 
-    /// A question that is nobody's runs on whatever connection is idle instead of having one closed for it.
+    /// A request without a user, such as a status query, runs on any idle connection instead of having one
+    /// closed.
     a_request_without_a_user_takes_any_connection {
         let (target, pool) = pool(1);
         use_as(&pool, &["lake"]).await;
@@ -184,12 +188,12 @@
         assert_eq!(target.open.load(Ordering::Relaxed), 1);
     }
 
-    /// A leaving target refuses new connections while one of its own is in a transaction.
-    /// 1. One connection is held. 2. The target leaves. 3. Whoever needs another connection is told at once: it
-    /// would wait for one that can only be refused.
+    /// A leaving target refuses new connections while an open transaction keeps one in use.
+    /// 1. One connection is leased. 2. The target begins to leave. 3. A request that needs another connection
+    /// fails immediately instead of waiting, since every new connection would be refused.
     a_refusing_target_fails_waiting_requests_immediately {
         let (target, pool) = pool(4);
-        let _held = take(&pool, "").await.expect("it can be opened");
+        let _held = take(&pool, "").await.expect("a connection can be opened");
         target.leaving.store(true, Ordering::Relaxed);
         let refused = take(&pool, "").await.map(|_| ());
         let Err(Failure::Said { sqlstate, .. }) = refused else { panic!("{refused:?}") };
--- a/crates/proxy/tests/quotas.rs
+++ b/crates/proxy/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! What a VM grants of limits when the list of VMs changes.
+//! Rate limit quotas that a VM grants when the list of VMs changes.
 
 use std::sync::Arc;
 
@@ -11,13 +11,14 @@
 const LIMIT: RateLimit = RateLimit { rate_milli_per_s: 50_000, burst_milli: 50_000 };
 
 fn vm(name: &str) -> VmAddress {
-    let peer_address = "127.0.0.1:1".parse().expect("it is an address");
+    let peer_address = "127.0.0.1:1".parse().expect("the address is valid");
     VmAddress { name: name.into(), zone: "zone-1".into(), peer_address }
 }
 
-/// A VM grants a part of a limit. The list changes twice with nothing granted in between: the VM stays an allocator,
-/// then it is none. It keeps no bucket: its successor grants that part, and a bucket that was kept would grant it a
-/// second time should this VM come back.
+/// A VM allocates a part of a rate limit. The VM list then changes twice without a grant in between: the VM
+/// is still an allocator after the first change, but not after the second. It has to drop its token bucket,
+/// since its successor now grants that part: a kept bucket would grant it a second time if this VM became an
+/// allocator again.
 #[test]
 fn a_former_allocator_drops_its_bucket() {
     let own: Arc<str> = "vm-1".into();
--- a/crates/proxy/tests/session_closing.rs
+++ b/crates/proxy/tests/session_closing.rs
@@ -1,23 +1,23 @@
-//! Callers of a process that is cut off or stops are let go one after the other.
+//! Delays after which a partitioned or stopping process closes its callers' connections.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use skylark_proxy::sessions::process::stop;
 
-/// How many sessions a VM of a large fleet has.
+/// The number of sessions of a VM in a large fleet.
 const SESSIONS: u64 = 96;
 
-/// The longest that a caller of a VM that is cut off is kept: half of the time between two questions of the
-/// balancer.
+/// The longest time until a partitioned VM closes a caller's connection: half of the load balancer's health
+/// check interval.
 const CUT_OFF_LIMIT: Duration = Duration::from_millis(500);
 
 fn closing_delays(is_stopping: bool) -> Vec<Duration> {
     (0..SESSIONS).map(|session| stop::closing_spread(session, is_stopping)).collect()
 }
 
-/// A zone is cut off, and nothing that its callers need is reached from there. Others can serve them, and each
-/// moment until they go is one of refusals.
+/// A partitioned zone can't serve its callers but other zones can, and until the connections are closed every
+/// request is refused. They are therefore closed sooner than at a stop.
 #[test]
 fn callers_of_an_isolated_process_are_closed_quickly() {
     let (cut_off, stopping) = (closing_delays(false), closing_delays(true));
@@ -25,11 +25,11 @@
     assert!(cut_off.iter().zip(&stopping).all(|(cut_off, stopping)| cut_off <= stopping));
 }
 
-/// They come back to the other VMs at different moments.
+/// Callers reconnect to the other VMs at different times instead of all at once.
 #[test]
 fn callers_are_closed_at_different_times() {
     for is_stopping in [true, false] {
         let delays: BTreeSet<Duration> = closing_delays(is_stopping).into_iter().collect();
-        assert!(delays.len() > 32, "{} moments", delays.len());
+        assert!(delays.len() > 32, "{} distinct delays", delays.len());
     }
 }
--- a/crates/proxy/tests/session_leader.rs
+++ b/crates/proxy/tests/session_leader.rs
@@ -1,4 +1,4 @@
-//! Which target is asked as the primary.
+//! The choice of the target that a session tries as the primary.
 
 use std::sync::Arc;
 
@@ -21,8 +21,8 @@
     assert_eq!(chosen_target(&belief, 0).as_deref(), Some("i-2"));
 }
 
-/// An entry of a primary that lost its lead while it was cut off stays as it was. News of a higher
-/// revision replaces it, and it does not come back by itself.
+/// A primary that lost its lead while partitioned leaves an outdated announcement behind. An announcement
+/// with a higher revision replaces it, and the outdated one is ignored if it arrives again.
 #[test]
 fn an_older_announcement_changes_nothing() {
     let mut belief = LeaderBelief::default();
@@ -51,7 +51,7 @@
     assert_eq!(chosen_target(&belief, 0).as_deref(), Some("i-3"));
 }
 
-/// Without a belief a target that leaves is not tried: it would be work that it may get no more.
+/// A leaving target should get no new work, so it is not tried unless it is believed to be the primary.
 #[test]
 fn a_leaving_target_is_asked_only_if_it_leads() {
     let mut belief = LeaderBelief::default();
--- a/crates/proxy/tests/traffic_acknowledge.rs
+++ b/crates/proxy/tests/traffic_acknowledge.rs
@@ -1,4 +1,5 @@
-//! Commits are acknowledged only once confirmed, and sessions see their own writes.
+//! Acknowledgement of commits only after a majority has confirmed them, and read-your-writes consistency of
+//! sessions.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 
 mod traffic_support;
 
-/// A replication that does not come to pass within a test.
+/// A replication lag of one hour, so that no record is replicated within a test.
 const REPLICATION_STOPPED: Lag = Lag { hold_us: 3_600_000_000, apply_us: 0 };
 
 async fn start_with_table(limits: TrafficLimits) -> (Cluster, Client) {
@@ -32,15 +33,16 @@
 }
 
 cases! {
-    /// The caller commits while no replica takes records; it must not see a success.
-    /// 1. The primary runs and commits the write. 2. No majority confirms it before the limit.
-    /// 3. The caller gets "outcome unknown" and its connection ends, since the commit may last.
+    /// A caller commits while no replica receives records, and must not see a success.
+    /// 1. The primary runs and commits the write. 2. No majority confirms it before the timeout.
+    /// 3. The caller gets "outcome unknown" and its connection is closed, since the commit may still be
+    /// durable.
     a_commit_without_confirmation_ends_unknown {
         let limits = TrafficLimits { confirm_ms: 100, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
         stop_replication(&cluster);
         let lost = client.query("INSERT INTO chairs VALUES (1)").await;
-        assert_eq!(lost.tags, [""; 0], "no success is seen");
+        assert_eq!(lost.tags, [""; 0], "no success is reported");
         assert_eq!(lost.error().sqlstate, "08007");
         assert_eq!(lost.error().detail, "outcome unknown");
         assert_eq!(lost.error().severity, "FATAL");
@@ -49,19 +51,20 @@
         assert_eq!(cluster.proxy().counter("writes.acknowledged"), 1, "only the table's creation");
     }
 
-    /// The target reports a commit at a position that can't be read.
-    /// 1. The primary commits. 2. No confirmation can be looked up for a position that is unknown.
-    /// 3. The caller gets "outcome unknown": a success could be a write that the next primary lacks.
+    /// The target reports a commit at a position that can't be parsed.
+    /// 1. The primary commits. 2. Without the position, the proxy can't tell whether the commit is confirmed.
+    /// 3. The caller gets "outcome unknown": after a success, the next primary might lack the write.
     a_commit_at_an_unreadable_position_ends_unknown {
         let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
         cluster.relays[0].garble_commits();
         let lost = client.query("INSERT INTO chairs VALUES (1)").await;
-        assert_eq!(lost.tags, [""; 0], "no success is seen");
+        assert_eq!(lost.tags, [""; 0], "no success is reported");
         assert_eq!((lost.error().sqlstate.as_str(), lost.status), ("08007", None));
         assert_eq!(lost.error().detail, "outcome unknown");
     }
 
-    /// The same for a COMMIT of a transaction, and for several statements in one message.
+    /// An unconfirmed commit also ends with "outcome unknown" if it is the COMMIT of a transaction or belongs
+    /// to several statements in one message.
     explicit_commits_are_held_back_too {
         let limits = TrafficLimits { confirm_ms: 100, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
@@ -75,7 +78,7 @@
         assert_eq!((lost.status, lost.error().detail.as_str()), (None, "outcome unknown"));
     }
 
-    /// The success comes as soon as a majority holds the record, and not before.
+    /// The success is sent once a majority has the record, and not before.
     a_success_waits_for_the_majority {
         let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
         stop_replication(&cluster);
@@ -86,9 +89,10 @@
         client.answer().await.ok();
     }
 
-    /// A newer term is confirmed while a commit of the old one waits.
-    /// 1. The old primary commits in term 1. 2. The others elect a primary of term 2, whose opening
-    /// record has the same index. 3. That index says nothing about the old record: unknown, at once.
+    /// A position of a newer term is confirmed while a commit of the old term waits.
+    /// 1. The old primary commits in term 1. 2. The others elect a primary in term 2, whose first record has
+    /// the same index. 3. Its confirmation does not cover the old record, so the caller gets "outcome
+    /// unknown" immediately.
     a_confirmation_of_another_term_does_not_count {
         let limits = TrafficLimits { confirm_ms: 60_000, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
@@ -100,7 +104,8 @@
         assert_eq!(lost.error().detail, "outcome unknown");
     }
 
-    /// A group whose confirmations stall refuses writes before running them, and goes on reading.
+    /// While a group's confirmations are stalled, its writes are refused before they run and its reads are
+    /// served.
     a_stalled_group_refuses_writes_as_not_run {
         let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
         cluster.proxy().publish(|published| published.groups[0].stalled = true);
@@ -115,7 +120,8 @@
         assert_eq!(cluster.proxy().counter("refused.confirmations_stalled"), 2);
     }
 
-    /// A planned move holds writes back for a moment; if it takes longer they are refused unrun.
+    /// A planned change of primary delays writes. If it takes longer than the limit, they are refused as "not
+    /// run".
     a_planned_move_delays_writes {
         let limits = TrafficLimits { primary_wait_ms: 100, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
@@ -129,10 +135,10 @@
         assert_eq!(client.query("SELECT count(*) FROM chairs").await.value(), "1");
     }
 
-    /// A session that wrote in term 2 reads through a proxy that still knows the primary of term 1.
-    /// 1. The old primary is cut off and answers reads happily. 2. It lacks the session's write.
-    /// 3. The read is refused as not run, by its token and by its identity alike, and a session
-    /// without writes is served.
+    /// A session that wrote in term 2 reads through a proxy that still believes in the primary of term 1.
+    /// 1. The old primary is partitioned and still answers reads. 2. It lacks the session's write.
+    /// 3. The read is refused as "not run", whether its floor comes from a token or from the session's
+    /// identity. A session without writes is served.
     an_old_primary_does_not_serve_a_newer_session {
         let limits = TrafficLimits { floor_wait_ms: 50, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
@@ -150,9 +156,10 @@
         assert_eq!(cluster.client().await.query("SELECT count(*) FROM chairs").await.value(), "0");
     }
 
-    /// A session without a token writes on one connection and reads on another at once.
-    /// 1. The write is recorded under its identity before its success is seen. 2. The replica in
-    /// reach lags. 3. The read waits for it, or goes to the primary, and sees the write.
+    /// A session without a token writes on one connection and immediately reads on another.
+    /// 1. The write's position is recorded under the session's identity before its success is sent. 2. The
+    /// replica that receives records applies them late. 3. The read waits for it or goes to the primary, and
+    /// sees the write.
     a_session_with_an_identity_sees_its_writes_elsewhere {
         let (cluster, mut writer) = start_with_table(TrafficLimits::default()).await;
         cluster.targets[1].target().set_lag(Lag { hold_us: 0, apply_us: 200_000 });
@@ -170,8 +177,8 @@
         assert_eq!(cluster.floors.lock()["clerk"], LogPosition::new(1, 5));
     }
 
-    /// A read whose replicas can't show their age goes to the primary; where that can't either, the
-    /// read is refused unrun.
+    /// A read with a staleness bound goes to the primary if the age of no replica is known. If the primary's
+    /// is unknown too, the read is refused as "not run".
     a_read_without_a_member_of_known_age_is_refused {
         let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
         client.query("SET skylark.read_kind = 'fresh'").await.ok();
@@ -188,9 +195,10 @@
         assert_eq!(refused.error().sqlstate, "57P03");
     }
 
-    /// A write waits for its turn while the group's confirmations begin to stall.
-    /// 1. The only connection is taken by a transaction. 2. The write queues. 3. The group stalls.
-    /// 4. The write gets its turn, and is refused as not run: sent now it would end as unknown.
+    /// The group's confirmations stall while a write is queued.
+    /// 1. A transaction uses the only connection. 2. The write is queued. 3. The confirmations stall.
+    /// 4. The write leaves the queue and is refused as "not run": if it were sent, its outcome would be
+    /// unknown.
     a_write_that_waited_is_checked_again {
         let cluster = Cluster::start_with(Setup { connections: 1, slots: 1, ..Setup::default() }).await;
         let mut client = cluster.client().await;
--- a/crates/proxy/tests/traffic_forward.rs
+++ b/crates/proxy/tests/traffic_forward.rs
@@ -1,4 +1,5 @@
-//! Requests that another proxy serves, since only a target's homes connect to it.
+//! Forwarding of requests between proxies. Only a target's homes connect to it, so the proxy that a caller is
+//! connected to, the entry, forwards requests for other targets to one of their homes.
 
 use postgres_protocol::message::frontend;
 use skylark_core::log_position::LogPosition;
@@ -11,13 +12,13 @@
 
 mod traffic_support;
 
-/// Proxy 0 is home to nothing; 1 and 2 share all members.
+/// Returns a setup in which proxy 0 is home to no member, and proxies 1 and 2 are both home to all.
 fn entry_and_two_homes() -> Setup {
     Setup { homes: vec![vec![], vec![0, 1, 2], vec![0, 1, 2]], ..Setup::default() }
 }
 
 cases! {
-    /// A caller at a proxy that is home to nothing writes, reads and sees its own work.
+    /// A caller at a proxy that is home to no member writes, reads and sees its own writes.
     an_entry_forwards_to_a_home {
         let cluster = Cluster::start_with(entry_and_two_homes()).await;
         let mut client = cluster.client().await;
@@ -39,7 +40,7 @@
         assert!(cluster.proxy().counter("forwards.sent") >= 6);
     }
 
-    /// A proxy that is home to the replicas alone forwards what must go to the primary.
+    /// A proxy that is home to the replicas only forwards the requests that must go to the primary.
     a_home_of_replicas_forwards_writes {
         let setup = Setup { homes: vec![vec![1, 2], vec![0]], ..Setup::default() };
         let cluster = Cluster::start_with(setup).await;
@@ -48,12 +49,12 @@
         client.query("SET skylark.read_kind = 'lookup'").await.ok();
         let forwarded = cluster.proxy().counter("forwards.sent");
         client.query("SELECT count(*) FROM chairs").await.ok();
-        assert_eq!(cluster.proxy().counter("forwards.sent"), forwarded, "the replica is its own");
+        assert_eq!(cluster.proxy().counter("forwards.sent"), forwarded, "the read is not forwarded");
         assert_eq!(cluster.proxies[1].counter("forwards.received"), 1);
     }
 
-    /// A commit at a home is held back there until it is confirmed, so the entry passes on no
-    /// success before, and "outcome unknown" instead of one that does not come.
+    /// The home holds the success of a commit back until it is confirmed. The entry therefore relays no
+    /// unconfirmed success, and relays "outcome unknown" if the confirmation times out.
     a_forwarded_commit_is_confirmed_at_the_home {
         let limits = TrafficLimits { confirm_ms: 100, ..TrafficLimits::default() };
         let cluster = Cluster::start_with(Setup { limits, ..entry_and_two_homes() }).await;
@@ -69,33 +70,34 @@
         assert_eq!((lost.tags.len(), lost.status), (0, None));
     }
 
-    /// One home is gone: its connection is refused, so nothing was sent, and the other one serves.
+    /// One home has stopped and refuses connections. Nothing was sent to it, so the request goes to the other
+    /// home.
     an_unreachable_home_is_skipped {
         let cluster = Cluster::start_with(entry_and_two_homes()).await;
         cluster.proxies[1].server_task.abort();
-        eventually("it has ended", || cluster.proxies[1].server_task.is_finished()).await;
+        eventually("the proxy has stopped", || cluster.proxies[1].server_task.is_finished()).await;
         let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT)").await.ok();
         assert!(cluster.proxy().counter("retry.connect_failed") >= 1);
         assert_eq!(cluster.proxies[2].counter("forwards.received"), 1);
     }
 
-    /// A home that stops refuses forwarded work as not run, and the other one takes it.
+    /// A stopping home refuses forwarded requests as "not run", and the entry sends them to the other home.
     a_stopping_home_is_skipped {
         let cluster = Cluster::start_with(entry_and_two_homes()).await;
         let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT)").await.ok();
         cluster.proxies[1].publish(|published| published.stopping = true);
-        eventually("it has ended", || cluster.proxies[1].server_task.is_finished()).await;
+        eventually("the proxy has stopped", || cluster.proxies[1].server_task.is_finished()).await;
         for id in 0..5 {
             client.query(&format!("INSERT INTO chairs VALUES ({id})")).await.ok();
         }
         assert_eq!(client.query("SELECT count(*) FROM chairs").await.value(), "5");
     }
 
-    /// The home's answer is lost on the way to the entry after the write ran.
-    /// 1. The entry forwards an insert; the target's answer is held up. 2. The home's process dies.
-    /// 3. The caller gets "outcome unknown"; no other home runs it again.
+    /// The connection to the target breaks after a forwarded write ran.
+    /// 1. The entry forwards an insert, and the target's response is held back. 2. The home's connection to
+    /// the target is closed. 3. The caller gets "outcome unknown", and no other home runs the insert again.
     a_forwarded_write_is_not_repeated {
         let cluster = Cluster::start_with(entry_and_two_homes()).await;
         let mut client = cluster.client().await;
@@ -111,11 +113,12 @@
         assert_eq!(other.query("SELECT count(*) FROM chairs").await.value(), "1");
     }
 
-    /// Two proxies that each take the other for the home don't pass a request back and forth.
+    /// Two proxies that each believe the other to be the only home don't forward a request to each other
+    /// endlessly.
     hops_are_bounded {
         let cluster = Cluster::start_with(entry_and_two_homes()).await;
         for proxy in &cluster.proxies[1..] {
-            // Each believes that only the other one is home.
+            // Each proxy's published homes name only the other one.
             let other = if proxy.address == cluster.proxies[1].address { 2 } else { 1 };
             proxy.publish(|published| {
                 let other = published.topology.vm_id(&traffic_support::vm_name(other)).expect("listed");
@@ -126,12 +129,12 @@
         assert_eq!((refused.error().sqlstate.as_str(), refused.error().detail.as_str()),
             ("57P03", "not run"));
         assert!(refused.error().message.contains("forwarded too often"), "{refused:?}");
-        // The entry asks both, and each passes it on once.
+        // The entry forwards to both proxies, and each of them forwards once.
         let sent = cluster.proxies.iter().map(|proxy| proxy.counter("forwards.sent")).sum::<u64>();
         assert_eq!(sent, 4);
     }
 
-    /// The deadline travels: the home gives the request up on its own, by what the entry left it.
+    /// The deadline is forwarded: the home itself times the request out, by the time that the entry left.
     a_deadline_is_forwarded {
         let cluster = Cluster::start_with(entry_and_two_homes()).await;
         let mut client = cluster.client().await;
@@ -144,11 +147,11 @@
             let homes = cluster.proxies[1..].iter();
             homes.map(|proxy| proxy.counter("refused.answer_timed_out")).sum::<u64>()
         };
-        eventually("the home gives it up", || at_homes() == 1).await;
+        eventually("the home times the request out", || at_homes() == 1).await;
     }
 
-    /// Settings, class and identity of the caller reach the home with each transaction, and stay
-    /// with nobody else on the same connection.
+    /// The caller's settings, class and session identity are forwarded with each transaction, and don't leak
+    /// to other callers on the same connection between proxies.
     session_state_is_forwarded_with_each_transaction {
         let cluster = Cluster::start_with(entry_and_two_homes()).await;
         let mut first = cluster.client().await;
@@ -164,8 +167,8 @@
         assert_eq!(cluster.floors.lock()["clerk"], LogPosition::new(1, 2));
     }
 
-    /// A transaction that arrives over a proxy's connection without its context is refused unrun:
-    /// it would run without its session's floor.
+    /// A transaction that arrives over a connection between proxies without its context is refused as "not
+    /// run", since it would run without its session's floor.
     a_forwarded_request_needs_its_context {
         let cluster = Cluster::start().await;
         let parameters = [("skylark.forwarded", "vm-9")];
--- a/crates/proxy/tests/traffic_limits.rs
+++ b/crates/proxy/tests/traffic_limits.rs
@@ -1,5 +1,5 @@
-//! Bounds on callers: each has a refusal and a counter, and the others go on undisturbed. A stop
-//! cuts nothing.
+//! Limits on callers: each has its own refusal and counter, and other callers are not affected. Also the
+//! graceful stop.
 
 use std::time::Duration;
 
@@ -24,7 +24,8 @@
 }
 
 cases! {
-    /// A message larger than the limit is refused by its header, and the connection ends.
+    /// A message whose header announces more bytes than the limit is refused before its body arrives, and the
+    /// connection is closed. A batch counts with the total of its messages.
     an_oversized_message_is_refused {
         let cluster = start_with_limits(|limits| limits.message_bytes = 10_000).await;
         let mut client = cluster.client().await;
@@ -44,7 +45,8 @@
         assert_eq!(cluster.proxy().counter("refused.message_too_large"), 2);
     }
 
-    /// A caller that sleeps in a transaction loses it, and its connection serves others.
+    /// A caller that is idle in a transaction for too long is disconnected, its transaction is rolled back,
+    /// and the connection to the target serves other callers.
     an_idle_transaction_is_ended {
         let cluster = start_with_limits(|limits| limits.idle_in_transaction_ms = 100).await;
         let mut client = cluster.client().await;
@@ -59,8 +61,8 @@
         assert_eq!(cluster.proxy().counter("refused.idle_in_transaction"), 1);
     }
 
-    /// A caller that begins a message and does not go on is told so and closed; one that is idle
-    /// between messages is not.
+    /// A caller that does not complete a message in time gets an error and is disconnected. A caller that is
+    /// idle between messages is not.
     a_slow_sender_is_closed {
         let cluster = start_with_limits(|limits| limits.slow_sender_ms = 50).await;
         let mut idle = cluster.client().await;
@@ -73,7 +75,7 @@
         assert_eq!(cluster.proxy().counter("refused.caller_too_slow"), 1);
     }
 
-    /// A caller that does not read its answer is closed, and the target's connection comes back.
+    /// A caller that does not read its response is disconnected, and the connection to the target is freed.
     a_slow_reader_is_closed {
         let cluster = start_with_limits(|limits| limits.slow_reader_ms = 100).await;
         let mut client = cluster.client().await;
@@ -84,12 +86,12 @@
         }
         client.send("SELECT text FROM wide").await;
         let counted = || cluster.proxy().counter("refused.caller_too_slow") == 1;
-        eventually("the caller is given up", counted).await;
+        eventually("the caller is disconnected", counted).await;
         let mut other = cluster.client().await;
         other.query("SELECT 1").await.ok();
     }
 
-    /// Connections are bounded for the process and for each user.
+    /// Connections are limited for the process and for each user.
     connections_are_bounded {
         let cluster = start_with_limits(|limits| {
             limits.connections = 3;
@@ -106,13 +108,13 @@
         assert_eq!(refused.error().sqlstate, "53300");
         assert_eq!(refused.error().hint, "retry after 1000 ms");
         drop((first, second, third));
-        eventually("places are free", || cluster.proxy().counter("callers.ended") == 3).await;
+        eventually("the callers have ended", || cluster.proxy().counter("callers.ended") == 3).await;
         cluster.client().await;
         assert_eq!(cluster.proxy().counter("refused.too_many_connections"), 2);
     }
 
-    /// Connections that never finish their start-up are bounded in number and time, and callers
-    /// that have started go on.
+    /// Connections that don't finish their start-up are limited in number and time, and callers that have
+    /// finished it are not affected.
     half_open_connections_are_bounded {
         let cluster = start_with_limits(|limits| {
             limits.half_open = 20;
@@ -126,19 +128,20 @@
             flood.push(Client::connect_raw(address).await);
         }
         let refused = || cluster.proxy().counter("refused.too_many_connections");
-        eventually("those beyond the bound are closed", || refused() == 40).await;
+        eventually("the connections beyond the limit are closed", || refused() == 40).await;
         bystander.query("SELECT 1").await.ok();
         let timed_out = || cluster.proxy().counter("refused.startup_timed_out") == 20;
         eventually("the others time out", timed_out).await;
         let ended = flood[59].answer().await;
         assert_eq!(ended.error().sqlstate, "08P01");
-        assert_eq!(flood[0].answer().await.types, "", "the oldest made room without a word");
+        assert_eq!(flood[0].answer().await.types, "", "the oldest is closed without an error");
         cluster.client().await.query("SELECT 1").await.ok();
     }
 
-    /// A flood of connections that send nothing must not keep callers out.
-    /// 1. The flood takes every place of a start-up, and no start-up times out yet. 2. A caller
-    /// connects. 3. The oldest of the flood gives up its place, and the caller is served.
+    /// A flood of connections that send nothing must not block callers.
+    /// 1. The flood takes all slots for connections in their start-up, and none of them has timed out yet. 2.
+    /// A caller connects. 3. The oldest connection of the flood is closed to free its slot, and the caller is
+    /// served.
     a_half_open_flood_does_not_block_callers {
         let cluster = start_with_limits(|limits| {
             limits.half_open = 20;
@@ -155,8 +158,9 @@
         assert_eq!(cluster.proxy().counter("refused.startup_timed_out"), 0);
     }
 
-    /// The queue in front of a target is bounded: of 8 places one class gets 5, and one user 4 of
-    /// these. A wait that passes the deadline is given up. Both are true refusals.
+    /// The queue of a target is bounded: of its 8 places one class gets at most 5, and one user at most 4 of
+    /// these. A request whose deadline passes in the queue is removed. Both are refused as "not run", and did
+    /// not run.
     the_queue_is_bounded {
         let cluster = start_with_limits(|limits| limits.queue_length = 8).await;
         let mut holders = Vec::new();
@@ -193,9 +197,10 @@
         assert_eq!(refused.status, Some('I'));
     }
 
-    /// The process stops while callers are idle, in a transaction and in a statement.
-    /// 1. The idle one is told to connect again. 2. The transaction goes on to its COMMIT, and the
-    /// statement to its answer; both are whole. 3. New callers are told that it stops.
+    /// The process stops while one caller is idle, one has an open transaction and one waits for a statement.
+    /// 1. The idle caller gets an error that asks it to reconnect. 2. The transaction continues to its
+    /// COMMIT, and the statement to its response; both complete. 3. New callers are refused because the
+    /// process is stopping.
     a_stop_interrupts_no_request {
         let cluster = start_with_limits(|_| ()).await;
         let mut idle = cluster.client().await;
@@ -222,7 +227,7 @@
         eventually("the process ends", || cluster.proxy().server_task.is_finished()).await;
     }
 
-    /// A transaction that outlives the grace does not keep the process.
+    /// A transaction that is open at the end of the grace period does not keep the process from stopping.
     a_stop_ends_open_transactions_after_the_grace_period {
         let cluster = start_with_limits(|limits| limits.stop_grace_ms = 100).await;
         let mut open = cluster.client().await;
--- a/crates/proxy/tests/traffic_pool.rs
+++ b/crates/proxy/tests/traffic_pool.rs
@@ -1,4 +1,5 @@
-//! Pooled connections never carry one caller's work, answer or session over to another.
+//! Isolation of callers that share pooled connections: no transaction, response or session setting of one
+//! caller reaches another.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 
 mod traffic_support;
 
-/// A world whose targets accept one connection, so that callers follow each other on it.
+/// Starts a cluster whose targets accept one connection each, so that consecutive callers use the same one.
 async fn start_with_one_connection(limits: TrafficLimits) -> (Cluster, Client) {
     let cluster =
         Cluster::start_with(Setup { connections: 1, slots: 1, limits, ..Setup::default() }).await;
@@ -22,9 +23,10 @@
 }
 
 cases! {
-    /// A caller dies in the middle of its transaction, and the next caller gets its connection.
-    /// 1. The first inserts without committing. 2. Its socket closes. 3. The connection is rolled
-    /// back before anybody else has it, so the second sees nothing and commits only its own work.
+    /// A caller disconnects in an open transaction, and the next caller gets its pooled connection.
+    /// 1. The first caller inserts without committing. 2. Its socket closes. 3. The transaction is rolled
+    /// back before the connection is reused, so the second caller does not see the insert and commits only
+    /// its own.
     a_disconnected_caller_leaves_no_transaction {
         let (cluster, mut first) = start_with_one_connection(TrafficLimits::default()).await;
         first.query("BEGIN").await.ok();
@@ -37,9 +39,11 @@
         assert_eq!(cluster.proxy().counter("answers.drained"), 1);
     }
 
-    /// A caller goes away while its answer is under way, and another one asks at once.
-    /// 1. The target's answer to the first is held up. 2. The first closes its socket. 3. The answer
-    /// comes late. 4. The second caller gets its own answer, on the drained or another connection.
+    /// A caller disconnects while its response is outstanding, and another caller sends a request
+    /// immediately.
+    /// 1. The target's response to the first caller is held back. 2. The first caller closes its socket. 3.
+    /// The response arrives late. 4. The second caller gets its own response, on the drained or on another
+    /// connection.
     a_late_answer_reaches_no_other_caller {
         let limits = TrafficLimits { drain_ms: 10_000, ..TrafficLimits::default() };
         let (cluster, mut first) = start_with_one_connection(limits).await;
@@ -55,9 +59,10 @@
         assert_eq!(answer.rows.len(), 1);
     }
 
-    /// A statement passes its deadline, and its late answer must not meet the next request.
-    /// 1. The answer is held up past the deadline. 2. The caller is told that the outcome is unknown,
-    /// and its connection ends. 3. The late answer is drained; the next caller gets its own.
+    /// A statement exceeds its deadline, and its late response must not be taken for that of the next
+    /// request.
+    /// 1. The response is held back past the deadline. 2. The caller gets "outcome unknown" and its
+    /// connection is closed. 3. The late response is drained, and the next caller gets its own.
     an_answer_after_the_deadline_reaches_nobody {
         let limits = TrafficLimits { drain_ms: 10_000, ..TrafficLimits::default() };
         let (cluster, mut first) = start_with_one_connection(limits).await;
@@ -73,9 +78,9 @@
         assert_eq!(cluster.proxy().counter("refused.answer_timed_out"), 1);
     }
 
-    /// A connection whose answer does not end in time is closed, not handed on.
+    /// A pooled connection whose outstanding response can't be drained in time is closed instead of reused.
     a_connection_that_is_not_drained_in_time_is_closed {
-        // The target counts the closed connection for a moment, and tells the next one to wait.
+        // The target still counts the closed connection for a moment and refuses the next one until then.
         let limits =
             TrafficLimits { drain_ms: 50, primary_wait_ms: 10_000, ..TrafficLimits::default() };
         let (cluster, mut first) = start_with_one_connection(limits).await;
@@ -88,10 +93,11 @@
         assert_eq!(second.query("SELECT 'mine'").await.value(), "mine");
     }
 
-    /// A caller's settings of the target's parameters follow it from connection to connection, and
-    /// no other caller has them.
-    /// 1. The first sets a parameter. 2. The second uses the same connection and sees the default.
-    /// 3. The first sees its own value again.
+    /// A caller's settings of the target's parameters apply on each connection that it uses, and to no other
+    /// caller.
+    /// 1. The first caller sets a parameter. 2. The second caller uses the same connection and sees the
+    /// default.
+    /// 3. The first caller sees its own value again.
     session_settings_follow_their_caller {
         let (cluster, mut first) = start_with_one_connection(TrafficLimits::default()).await;
         let mut second = cluster.client().await;
@@ -103,9 +109,10 @@
         assert!(cluster.proxy().counter("connections.reset") >= 2);
     }
 
-    /// A cancel hits the request that it is meant for, and no later one on the same connection.
-    /// 1. The first caller's statement waits for its answer; a cancel with its key is passed on.
-    /// 2. A cancel with the key of an idle caller, or with a wrong secret, is not.
+    /// A cancel request affects only the request of the caller whose key it has, and no later one on the same
+    /// connection.
+    /// 1. The first caller's statement waits for its response; a cancel request with its key is forwarded.
+    /// 2. A cancel request with the key of an idle caller or with a wrong secret is ignored.
     a_cancel_hits_only_its_own_request {
         let (cluster, mut first) = start_with_one_connection(TrafficLimits::default()).await;
         let second = cluster.client().await;
@@ -115,18 +122,19 @@
         cancel(&cluster, second.cancel_key).await;
         cancel(&cluster, (first.cancel_key.0, first.cancel_key.1 ^ 1)).await;
         let counters = &cluster.proxy();
-        eventually("both are ignored", || counters.counter("cancels.ignored") == 2).await;
+        eventually("both cancel requests are ignored", || counters.counter("cancels.ignored") == 2).await;
         cancel(&cluster, first.cancel_key).await;
-        eventually("the cancel is passed on", || counters.counter("cancels.forwarded") == 1).await;
+        eventually("the cancel request is forwarded", || counters.counter("cancels.forwarded") == 1).await;
         cluster.relays[0].hold_responses(false);
         first.answer().await;
-        // The cancelled connection may still be hit, so the next request has another one.
+        // The cancel may still take effect on the cancelled connection, so the next request uses another one.
         let closed = || counters.counter("connections.closed") >= 1;
         eventually("the cancelled connection is closed", closed).await;
         assert_eq!(first.query("SELECT 'next'").await.value(), "next");
     }
 
-    /// Many callers on few connections each get the answers to their own questions.
+    /// Many callers that share few connections, some of which disconnect early, each get the responses to
+    /// their own requests.
     answers_never_cross {
         let cluster = Cluster::start_with(Setup { connections: 2, slots: 2, ..Setup::default() }).await;
         let mut callers = Vec::new();
@@ -146,13 +154,13 @@
             }));
         }
         for caller in callers {
-            caller.await.expect("the caller got its own answers");
+            caller.await.expect("the caller got its own responses");
         }
     }
 
-    /// A target closed its idle connections; the next write meets a dead one before it is sent.
-    /// 1. The pool holds a connection that the target closed. 2. A caller writes. 3. The dead
-    /// connection is noticed before anything is sent, so the write runs on a new one, not "unknown".
+    /// A target closed its idle connections, and the next write must not end with "outcome unknown".
+    /// 1. The pool has a connection that the target closed. 2. A caller writes. 3. The proxy detects the
+    /// closed connection before it sends anything, so the write runs on a new one.
     a_connection_closed_while_idle_is_replaced {
         let (cluster, mut client) = start_with_one_connection(TrafficLimits::default()).await;
         client.query("SELECT 1").await.ok();
--- a/crates/proxy/tests/traffic_prepared.rs
+++ b/crates/proxy/tests/traffic_prepared.rs
@@ -1,5 +1,5 @@
-//! The extended protocol: prepared statements outlive pooled connections, and batches are answered
-//! in order whatever the proxy adds or leaves out.
+//! The extended query protocol: prepared statements survive a change of pooled connection, and batches are
+//! answered in order even if the proxy adds or omits messages on the way to the target.
 
 use postgres_protocol::IsNull;
 use postgres_protocol::message::frontend;
@@ -69,8 +69,8 @@
 }
 
 cases! {
-    /// A stock client prepares, binds binary parameters, and works in transactions; more callers
-    /// than connections use the same statements.
+    /// Clients of a standard library prepare statements, bind binary parameters and use transactions. More
+    /// callers than connections use the same statements.
     tokio_postgres_clients_share_few_connections {
         let cluster = start_with_connections(2, TrafficLimits::default()).await;
         let mut callers = Vec::new();
@@ -106,10 +106,10 @@
         assert_eq!(row.get::<_, i64>(0), 80);
     }
 
-    /// A caller's statement works on a connection that never saw its Parse.
-    /// 1. The caller prepares on the only connection. 2. The connection is cut. 3. Its next Bind goes
-    /// to a new connection, where the proxy prepares the statement first; the caller sees only its
-    /// own answers.
+    /// A caller's prepared statement works on a connection on which it was not prepared.
+    /// 1. The caller prepares a statement on the only connection. 2. The connection is closed. 3. The next
+    /// Bind goes to a new connection, on which the proxy first prepares the statement. The caller sees only
+    /// the responses to its own messages.
     a_statement_survives_its_connection {
         let cluster = start_with_connections(1, TrafficLimits::default()).await;
         let mut client = cluster.client().await;
@@ -122,7 +122,8 @@
         assert_eq!(cluster.proxy().counter("statements.prepared_again"), 1);
     }
 
-    /// Two callers give the same name to different statements, and the same statement two names.
+    /// Statement names are local to a caller: two callers use one name for different statements, and two
+    /// names for the same statement.
     names_belong_to_their_caller {
         let cluster = start_with_connections(1, TrafficLimits::default()).await;
         let mut first = cluster.client().await;
@@ -143,8 +144,8 @@
         assert_eq!(run(&mut first, "s", None).await.error().sqlstate, "26000");
     }
 
-    /// The unnamed statement lasts until the next one, also when the batches that use it run on
-    /// different connections.
+    /// A caller's unnamed statement lasts until its next unnamed Parse, even if another caller prepares its
+    /// own on the same connection in between.
     the_unnamed_statement_survives_other_callers {
         let cluster = start_with_connections(1, TrafficLimits::default()).await;
         let mut client = cluster.client().await;
@@ -159,7 +160,8 @@
         assert_eq!(run(&mut other, "", None).await.value(), "other");
     }
 
-    /// A connection remembers a bounded number of statements; the oldest makes room unseen.
+    /// The number of prepared statements on a connection is bounded; the proxy closes the oldest one without
+    /// the caller noticing. The number per caller is bounded too, and exceeding it is refused.
     statements_on_a_connection_are_bounded {
         let limits = TrafficLimits {
             prepared_per_connection: 4,
@@ -186,7 +188,7 @@
         assert_eq!((refused.error().sqlstate.as_str(), refused.status), ("0A000", Some('I')));
     }
 
-    /// An error in a batch skips the rest of it, and its statements are prepared by none.
+    /// An error in a batch skips its remaining messages, and the statements in them are not prepared.
     an_error_skips_the_rest_of_the_batch {
         let cluster = start_with_connections(1, TrafficLimits::default()).await;
         let mut client = cluster.client().await;
@@ -199,7 +201,7 @@
         parse(&mut client, "good", "SELECT 'good'");
         sync(&mut client).await.ok();
         assert_eq!(run(&mut client, "good", None).await.value(), "good");
-        // The same with the messages flushed one by one.
+        // Repeats the check with messages that are flushed one by one.
         parse(&mut client, "worse", "SELECT FROM WHERE");
         frontend::flush(&mut client.output);
         client.flush().await;
@@ -210,7 +212,7 @@
         assert_eq!(run(&mut client, "good", None).await.value(), "good");
     }
 
-    /// Flushed messages are answered before the Sync, on one connection, as one transaction.
+    /// Flushed messages are answered before the Sync, and run on one connection in one transaction.
     flushed_messages_are_answered_at_once {
         let cluster = start_with_connections(2, TrafficLimits::default()).await;
         let mut client = cluster.client().await;
@@ -229,8 +231,9 @@
         assert_eq!(other.query("SELECT count(*) FROM chairs").await.value(), "1");
     }
 
-    /// A batch without a transaction commits at its Sync: its success is held back until confirmed.
-    /// 1. No replica takes records. 2. Of two inserts each CommandComplete comes before the commit.
+    /// A batch outside a transaction commits at its Sync, and its success is held back until it is confirmed.
+    /// 1. No replica receives records. 2. The CommandComplete of both inserts arrives before the commit's
+    /// position.
     /// 3. The caller sees no success, and "outcome unknown" at the end.
     a_batch_is_held_back_until_confirmed {
         let limits = TrafficLimits { confirm_ms: 100, ..TrafficLimits::default() };
@@ -248,7 +251,8 @@
         assert_eq!(lost.error().detail, "outcome unknown");
     }
 
-    /// What the proxy answers itself works in batches too, mixed with what a target answers.
+    /// Statements that the proxy answers itself also work in batches, mixed with statements that a target
+    /// answers.
     parameters_work_in_batches {
         let cluster = start_with_connections(1, TrafficLimits::default()).await;
         let client = connect_tokio_postgres(&cluster).await;
@@ -275,7 +279,7 @@
         assert_eq!(answer.types, "12DC12DCZ");
     }
 
-    /// A forwarded batch is prepared at the home's connection like any other.
+    /// The statements of a forwarded batch are prepared on the home's connection to the target.
     batches_are_forwarded {
         let setup = Setup { homes: vec![vec![], vec![0, 1, 2]], connections: 2, ..Setup::default() };
         let cluster = Cluster::start_with(setup).await;
@@ -292,8 +296,8 @@
         assert_eq!(row.get::<_, i64>(0), 6);
     }
 
-    /// A large batch whose answers are larger than any buffer does not lock up: the target's answers
-    /// are read while the rest of the batch is still being sent.
+    /// A large batch whose responses exceed all buffers does not deadlock, because the proxy reads the
+    /// target's responses while it still sends the rest of the batch.
     a_large_batch_does_not_deadlock {
         let cluster = start_with_connections(1, TrafficLimits::default()).await;
         let mut client = cluster.client().await;
@@ -314,7 +318,7 @@
         let mut buffer = vec![0; 1 << 16];
         while received < 400 * 20_000 {
             let read = tokio::io::AsyncReadExt::read(&mut read, &mut buffer).await.expect("read");
-            assert!(read > 0, "the answer comes whole");
+            assert!(read > 0, "the response is complete");
             received += read;
         }
         sending.await.expect("all was sent");
--- a/crates/proxy/tests/traffic_queries.rs
+++ b/crates/proxy/tests/traffic_queries.rs
@@ -1,4 +1,5 @@
-//! What callers can ask: simple queries, transactions, errors, and what the proxy answers itself.
+//! The callers' interface: start-up, simple queries, transactions, errors, and the parameters that the proxy
+//! answers itself.
 
 use postgres_protocol::IsNull;
 use postgres_protocol::message::frontend;
@@ -9,7 +10,7 @@
 mod traffic_support;
 
 cases! {
-    /// A write and a read go through, and the token is reported.
+    /// A write and a read succeed, and the write's token is reported as a parameter.
     a_write_and_a_read_go_through {
         let cluster = Cluster::start().await;
         let mut client = cluster.client().await;
@@ -23,10 +24,11 @@
         assert_eq!(client.query("SHOW skylark.last_reason").await.value(), "primary");
     }
 
-    /// A session roams and comes back, and takes the token that a connection last reported.
-    /// 1. It writes here, and the connection reports that floor. 2. It writes elsewhere and brings the
-    /// newer token by SET, by a batch, or at a start-up. 3. Unless that is reported too, the older
-    /// token goes on with the session, and its next read may miss the newer write.
+    /// A session that moves between proxies continues with the token that a connection last reported.
+    /// 1. The session writes on this connection, which reports its token. 2. It writes at another proxy and
+    /// sets the newer token here with SET, in a batch, or at the start-up. 3. The connection has to report
+    /// the newer token too. Otherwise the session continues with the older one, and its next read may miss
+    /// the newer write.
     a_token_set_by_the_caller_is_reported {
         let cluster = Cluster::start().await;
         let mut client = cluster.client().await;
@@ -48,7 +50,8 @@
         assert_eq!(client.token.as_deref(), Some("loans:1/9"));
     }
 
-    /// A transaction keeps its connection until its end; an error fails it, and a rollback ends it.
+    /// A transaction keeps its connection until it ends. An error fails the transaction, and a ROLLBACK ends
+    /// it.
     transactions_and_errors_pass_through {
         let cluster = Cluster::start().await;
         let mut client = cluster.client().await;
@@ -67,7 +70,7 @@
         assert_eq!(other.query("SELECT count(*) FROM chairs").await.value(), "1");
     }
 
-    /// Several requests written at once are answered one by one, in order.
+    /// Several requests that are sent together are answered in order.
     pipelined_queries_are_answered_in_order {
         let cluster = Cluster::start().await;
         let mut client = cluster.client().await;
@@ -81,7 +84,7 @@
         }
     }
 
-    /// A large answer passes whole.
+    /// A large response is relayed completely.
     a_large_answer_passes_whole {
         let cluster = Cluster::start().await;
         let mut client = cluster.client().await;
@@ -95,7 +98,8 @@
         assert!(all.rows.iter().all(|row| row[0].as_deref() == Some(text.as_str())));
     }
 
-    /// A declared read goes to a replica of the own zone or another one, and says so.
+    /// A read with a declared kind goes to a replica, and the session's parameters show the target and the
+    /// reason.
     declared_reads_go_to_replicas {
         let cluster = Cluster::start().await;
         let mut client = cluster.client().await;
@@ -106,10 +110,10 @@
         let served = client.query("SHOW skylark.last_target").await.value().to_owned();
         assert!(["loans-2", "loans-3"].contains(&served.as_str()), "{served}");
         assert_eq!(client.query("SHOW skylark.last_reason").await.value(), "replica");
-        // What writes is no read, whatever kind is set.
+        // A statement that writes goes to the primary, even if a read kind is set.
         client.query("INSERT INTO chairs VALUES (1)").await.ok();
         assert_eq!(client.query("SHOW skylark.last_target").await.value(), "loans-1");
-        // The session's own write shows at once, from wherever it is read.
+        // The session sees its own write immediately, at any target.
         assert_eq!(client.query("SELECT count(*) FROM chairs").await.value(), "1");
         client.query("BEGIN READ ONLY").await.ok();
         client.query("SELECT count(*) FROM chairs").await.ok();
@@ -119,7 +123,8 @@
         assert_eq!(client.query("SHOW skylark.last_target").await.value(), "loans-1");
     }
 
-    /// Parameters can be set at start-up, by options and by SET; what is not accepted says why.
+    /// The proxy's parameters can be set at start-up, by the `options` parameter and by SET. The error of a
+    /// rejected value says why.
     parameters_are_answered_by_the_proxy {
         let cluster = Cluster::start().await;
         let parameters = [
@@ -159,7 +164,8 @@
         assert_eq!(client.query("SHOW skylark.deadline_ms").await.value(), "");
     }
 
-    /// COPY, function calls and a mixed statement about the session are refused, not run.
+    /// COPY, function calls, and messages that mix a SET of a proxy parameter with other statements are
+    /// refused as "not run".
     unsupported_features_are_refused {
         let cluster = Cluster::start().await;
         let mut client = cluster.client().await;
@@ -177,7 +183,7 @@
         assert_eq!(cluster.proxy().counter("refused.unsupported"), 4);
     }
 
-    /// A start-up that can't be served gets a clear error and a close, and others go on.
+    /// An invalid start-up gets an error and its connection is closed. Other callers are not affected.
     bad_startups_get_a_clear_error {
         let cluster = Cluster::start().await;
         let mut bystander = cluster.client().await;
@@ -209,7 +215,7 @@
         assert_eq!(bystander.query("SELECT 1").await.value(), "1");
     }
 
-    /// A request for encryption is answered with "no", and the start-up goes on in the clear.
+    /// A request for TLS is answered with `N`, and the start-up continues without encryption.
     encryption_is_declined {
         use tokio::io::AsyncReadExt;
         let cluster = Cluster::start().await;
--- a/crates/proxy/tests/traffic_retry.rs
+++ b/crates/proxy/tests/traffic_retry.rs
@@ -1,4 +1,5 @@
-//! A request runs at most once: what may have run is not repeated, and "not run" is true.
+//! At-most-once execution: a request that may have run is not repeated, and a request that is refused as "not
+//! run" did not run.
 
 use std::time::Duration;
 
@@ -27,16 +28,16 @@
 }
 
 cases! {
-    /// The connection breaks after a write was sent; its answer is lost and it ran.
-    /// 1. The target runs the insert; its answer is held up. 2. The connection is cut. 3. The caller
-    /// gets "outcome unknown" once, and the row is there once: nothing was repeated.
+    /// The connection to the target breaks after a write ran, and its response is lost.
+    /// 1. The target runs the insert, and its response is held back. 2. The connection is closed. 3. The
+    /// caller gets "outcome unknown" once, and the table has one row: the insert was not repeated.
     a_write_whose_answer_is_lost_is_not_repeated {
         let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
         cluster.relays[0].hold_responses(true);
         let commits = || cluster.targets[0].target().counters().commits.get();
         let before = commits();
         client.send("INSERT INTO chairs VALUES (1)").await;
-        eventually("the target runs it", || commits() > before).await;
+        eventually("the target has run the statement", || commits() > before).await;
         cluster.relays[0].close_connections().await;
         let lost = client.answer().await;
         assert_eq!((lost.error().sqlstate.as_str(), lost.error().detail.as_str()),
@@ -51,24 +52,26 @@
             matches!(event, ControlEvent::TargetFailed { evidence: TargetEvidence::Broken, .. })
         };
         let reported = || cluster.proxy().control_events.lock().iter().any(broken);
-        eventually("the control side hears of it", reported).await;
+        eventually("the failure is reported to the control thread", reported).await;
         cluster.relays[0].hold_responses(false);
         assert_eq!(rows(&cluster).await, "1");
     }
 
-    /// The same for a statement that is a read but not declared as one: it may call a function.
+    /// A SELECT whose response is lost is not repeated either, unless it is declared as a read: it may call a
+    /// function that writes.
     an_undeclared_read_is_not_repeated {
         let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
         cluster.relays[0].hold_responses(true);
         let reads = || cluster.targets[0].target().counters().reads.get();
         let before = reads();
         client.send("SELECT 1").await;
-        eventually("the target runs it", || reads() > before).await;
+        eventually("the target has run the statement", || reads() > before).await;
         cluster.relays[0].close_connections().await;
         assert_eq!(client.answer().await.error().detail, "outcome unknown");
     }
 
-    /// A declared read whose connection breaks is asked elsewhere, and the caller sees one answer.
+    /// A declared read whose connection breaks is retried on another target, and the caller sees one
+    /// response.
     a_declared_read_is_retried_on_another_target {
         let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
         client.query("SET skylark.read_kind = 'lookup'").await.ok();
@@ -87,10 +90,10 @@
         assert_eq!(client.query("SHOW skylark.last_target").await.value(), "loans-1");
     }
 
-    /// Callers read while a replica's process is gone and the control side has not noticed.
-    /// 1. The replica resets its connections and refuses new ones. 2. The first reads find out and are
-    /// tried elsewhere. 3. Later ones pass it over: each that found out anew would spend the retry
-    /// budget, and soon reads would be refused although another replica is idle.
+    /// Callers read while a replica's process is down and the control thread has not detected it.
+    /// 1. The replica resets its connections and refuses new ones. 2. The first reads fail there and are
+    /// retried on another target. 3. Later reads skip the replica: if each tried it first, they would exhaust
+    /// the retry budget, and reads would be refused although another replica is idle.
     reads_skip_a_target_that_refuses_connections {
         let limits = TrafficLimits { retry_budget_percent: 0, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
@@ -103,15 +106,16 @@
         assert_eq!(cluster.proxy().counter("refused.retry_budget_spent"), 0);
     }
 
-    /// A write meets a primary that was replaced a moment ago, which refuses it unrun.
-    /// 1. Another member leads term 2; the proxy does not know yet. 2. The old one answers 25006.
-    /// 3. The proxy waits for the news and sends the write to the new primary: it runs once.
+    /// A write is sent to a primary that was just replaced, which refuses it without running it.
+    /// 1. Another member leads in term 2, which the proxy does not know yet. 2. The old primary responds with
+    /// 25006.
+    /// 3. The proxy waits until the new primary is published and sends it the write, which runs once.
     a_write_refused_by_the_old_primary_goes_to_the_new_one {
         let limits = TrafficLimits { primary_wait_ms: 5_000, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
         cluster.make_primary(1, 2);
         client.send("INSERT INTO chairs VALUES (1)").await;
-        eventually("the refusal is seen", || cluster.proxy().counter("retry.not_primary") == 1).await;
+        eventually("the refusal is counted", || cluster.proxy().counter("retry.not_primary") == 1).await;
         cluster.proxy().publish_leader(1, 2);
         client.answer().await.ok();
         assert_eq!(client.token.as_deref(), Some("loans:2/4"));
@@ -120,10 +124,10 @@
             matches!(event, ControlEvent::TargetFailed { evidence: TargetEvidence::NotPrimary, .. })
         };
         let reported = || cluster.proxy().control_events.lock().iter().any(not_primary);
-        eventually("the control side hears of it", reported).await;
+        eventually("the failure is reported to the control thread", reported).await;
     }
 
-    /// No new primary comes about: the caller is told that its write did not run, and it did not.
+    /// No new primary is elected in time: the write is refused as "not run", and did not run.
     a_write_without_a_primary_is_refused_as_not_run {
         let limits = TrafficLimits { primary_wait_ms: 50, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
@@ -143,7 +147,7 @@
         assert_eq!(rows(&cluster).await, "0");
     }
 
-    /// The target can't be connected to, so nothing was sent: refused as not run, soon.
+    /// No connection to the target can be opened, so nothing was sent, and the write is refused as "not run".
     a_write_to_an_unreachable_target_is_refused_as_not_run {
         let limits = TrafficLimits { primary_wait_ms: 50, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
@@ -155,8 +159,9 @@
         assert!(cluster.proxy().counter("retry.connect_failed") >= 1);
     }
 
-    /// A transaction's connection breaks before its COMMIT was sent: rolled back, and said so; the
-    /// caller's connection goes on. With the COMMIT under way nobody can know.
+    /// If a transaction's connection breaks before the COMMIT was sent, the transaction is rolled back, the
+    /// caller gets "not run", and its own connection stays open. After the COMMIT was sent, the outcome is
+    /// unknown.
     a_lost_transaction_is_rolled_back_or_unknown {
         let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
         client.query("BEGIN").await.ok();
@@ -178,7 +183,7 @@
         assert_eq!(rows(&cluster).await, "1");
     }
 
-    /// A leaving primary refuses new transactions unrun; one that is open finishes there.
+    /// A leaving primary refuses new transactions as "not run", and completes open ones.
     a_leaving_target_gets_no_new_work {
         let limits = TrafficLimits { primary_wait_ms: 50, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
@@ -195,7 +200,8 @@
         assert_eq!(rows(&cluster).await, "2");
     }
 
-    /// The retry budget bounds what a failing primary is hit with.
+    /// The retry budget bounds the retries sent to a failing primary: once it is exhausted, requests are
+    /// refused without a retry.
     a_spent_retry_budget_refuses_requests_as_not_run {
         let limits = TrafficLimits {
             primary_wait_ms: 0,
--- a/crates/proxy/tests/traffic_support/client.rs
+++ b/crates/proxy/tests/traffic_support/client.rs
@@ -1,4 +1,4 @@
-//! A client that sends and shows single messages.
+//! A protocol client for tests that sends single messages and exposes the messages of each response.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 use super::GROUP;
 use super::TIMEOUT;
 
-/// An error answer.
+/// The fields of an ErrorResponse message.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct ErrorAnswer {
     pub severity: String,
@@ -23,41 +23,41 @@
     pub hint: String,
 }
 
-/// What was answered up to a ReadyForQuery or the end of the connection.
+/// The messages received up to a ReadyForQuery or the end of the connection.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Answer {
     pub rows: Vec<Vec<Option<String>>>,
     pub tags: Vec<String>,
     pub errors: Vec<ErrorAnswer>,
     pub parameters: Vec<(String, String)>,
-    /// The types of all messages in order.
+    /// The type bytes of all messages in order.
     pub types: String,
-    /// The status of the ReadyForQuery, or `None` at the end of the connection.
+    /// The transaction status of the ReadyForQuery, or `None` if the connection ended before it.
     pub status: Option<char>,
 }
 
 impl Answer {
-    /// The only value.
+    /// Returns the first value of the first row. Panics on an error, without a row, or if the value is null.
     pub fn value(&self) -> &str {
-        assert_eq!(self.errors, [], "the request is answered");
+        assert_eq!(self.errors, [], "the request succeeds");
         self.rows[0][0].as_deref().expect("the value is not null")
     }
 
-    /// The only error.
+    /// Returns the error. Panics unless there is exactly one.
     pub fn error(&self) -> &ErrorAnswer {
         assert_eq!(self.errors.len(), 1, "one error in {self:?}");
         &self.errors[0]
     }
 
-    /// Asserts success.
+    /// Asserts that there was no error and that the connection is still open.
     pub fn ok(&self) -> &Answer {
-        assert_eq!(self.errors, [], "the request is answered");
-        assert!(self.status.is_some(), "the connection goes on");
+        assert_eq!(self.errors, [], "the request succeeds");
+        assert!(self.status.is_some(), "the connection is still open");
         self
     }
 }
 
-/// A connection of a caller.
+/// A caller's connection to a proxy.
 pub struct Client {
     pub stream: TcpStream,
     input: BytesMut,
@@ -67,19 +67,19 @@
 }
 
 impl Client {
-    /// Connects as user `desk` with these further parameters, and passes the start-up.
+    /// Connects as user `desk` with additional start-up parameters. Panics if the start-up is refused.
     pub async fn connect(address: SocketAddr, parameters: &[(&str, &str)]) -> Client {
         let (client, greeting) = Client::try_connect(address, parameters).await;
         assert_eq!(greeting.errors, [], "the start-up succeeds");
         client
     }
 
-    /// Connects and returns the answer to the start-up too.
+    /// Does the same as [`Client::connect`], but returns the response to the start-up instead of checking it.
     pub async fn try_connect(address: SocketAddr, parameters: &[(&str, &str)]) -> (Client, Answer) {
         let mut client = Client::connect_raw(address).await;
         let mut all = vec![("user", "desk"), ("database", GROUP)];
         all.extend_from_slice(parameters);
-        // A later value for the same name stands in for the usual one.
+        // A later value for the same name replaces the default.
         let last = |name: &str| all.iter().rposition(|(known, _)| *known == name);
         let unique: Vec<_> = all
             .iter()
@@ -93,7 +93,7 @@
         (client, answer)
     }
 
-    /// A connection on which nothing was sent.
+    /// Opens a connection without sending a start-up message.
     pub async fn connect_raw(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).await.expect("the proxy listens");
         stream.set_nodelay(true).expect("a socket option");
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Sends what was written.
+    /// Sends the messages in `output`.
     pub async fn flush(&mut self) {
         let output = self.output.split();
         self.stream.write_all(&output).await.expect("the proxy reads");
@@ -118,18 +118,18 @@
         self.flush().await;
     }
 
-    /// Sends a simple query and reads its answer.
+    /// Sends a simple query and reads its response.
     pub async fn query(&mut self, sql: &str) -> Answer {
         self.send(sql).await;
         self.answer().await
     }
 
-    /// Reads up to the next ReadyForQuery or the end.
+    /// Reads up to the next ReadyForQuery or the end of the connection.
     pub async fn answer(&mut self) -> Answer {
         self.answer_until('Z').await
     }
 
-    /// Reads up to a message of this type, a ReadyForQuery or the end.
+    /// Reads up to a message of type `last`, a ReadyForQuery or the end of the connection.
     pub async fn answer_until(&mut self, last: char) -> Answer {
         let mut answer = Answer::default();
         loop {
@@ -202,17 +202,19 @@
 
     async fn read(&mut self) -> bool {
         let read = self.stream.read_buf(&mut self.input);
-        let read = tokio::time::timeout(TIMEOUT, read).await.expect("an answer comes in time");
-        // A reset ends the connection like a close.
+        let read = tokio::time::timeout(TIMEOUT, read)
+            .await
+            .expect("the response arrives before the timeout");
+        // A reset counts as the end of the connection.
         !matches!(read, Ok(0) | Err(_))
     }
 }
 
 impl Client {
-    /// Sends a simple query and closes the connection without reading.
+    /// Sends a simple query and closes the sending side without reading the response.
     pub async fn query_and_disconnect(&mut self, sql: &str) {
         self.send(sql).await;
-        // The request is on its way before the socket closes.
+        // Gives the proxy time to read the request before the socket closes.
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         let _ = self.stream.shutdown().await;
     }
--- a/crates/proxy/tests/traffic_support/fault_relay.rs
+++ b/crates/proxy/tests/traffic_support/fault_relay.rs
@@ -1,4 +1,5 @@
-//! A gate in front of a target: it holds answers back and cuts connections when told to.
+//! A TCP relay in front of a target that injects faults: it delays responses, closes connections, and delays
+//! or corrupts the position of commits.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,30 +15,32 @@
 
 use super::SETTLE_TIME;
 
-/// The parameter that carries a commit's position, and what stands before it in its message.
+/// The name of the ParameterStatus parameter that carries a commit's position.
 const COMMIT_PARAMETER: &[u8] = b"group.commit";
+
+/// The length of a message's type and length fields, which precede the parameter's name.
 const FRAME_HEADER_BYTES: usize = 5;
 
-/// What a gate does now.
+/// The faults that a relay currently injects.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Mode {
-    /// Answers of the target are held back.
+    /// The target's responses are held back.
     pub hold_responses: bool,
-    /// Each change cuts all connections.
+    /// A counter of which each change closes all connections accepted before it.
     pub generation: u32,
-    /// New connections are closed at once.
+    /// New connections are closed immediately.
     pub refuse: bool,
-    /// What comes before a commit's position is passed on some time before it.
+    /// The bytes before a commit's position are relayed [`SETTLE_TIME`] before the position.
     pub split_commits: bool,
-    /// A commit's position arrives as something that is none.
+    /// A commit's position is overwritten so that it can't be parsed.
     pub garble_commits: bool,
 }
 
-/// A gate.
+/// A running relay to one target.
 pub struct FaultRelay {
     address: SocketAddr,
     mode: watch::Sender<Mode>,
-    /// The number of cuts before each open connection.
+    /// The generation at which each open connection was accepted.
     open: Arc<Mutex<Vec<u32>>>,
 }
 
@@ -51,7 +54,8 @@
         let opened = Arc::clone(&open);
         tokio::spawn(async move {
             while let Ok((client_stream, _)) = listener.accept().await {
-                // A cut that comes while the way on is being opened cuts this connection too.
+                // Read before connecting to the target, so that closing the connections meanwhile also closes
+                // this one.
                 let before = *modes.borrow();
                 if before.refuse {
                     continue;
@@ -63,7 +67,7 @@
                     relay_connection(client_stream, target_stream, modes, before.generation).await;
                     let mut opened = opened.lock();
                     let own = opened.iter().position(|generation| *generation == before.generation);
-                    opened.swap_remove(own.expect("each connection is noted"));
+                    opened.swap_remove(own.expect("each open connection has an entry"));
                 });
             }
         });
@@ -74,22 +78,22 @@
         self.address
     }
 
-    /// Holds the target's answers back, or lets them go.
+    /// Holds the target's responses back, or releases them.
     pub fn hold_responses(&self, hold: bool) {
         self.mode.send_modify(|mode| mode.hold_responses = hold);
     }
 
-    /// Passes on what comes before a commit's position some time before it.
+    /// Relays the bytes before each commit's position [`SETTLE_TIME`] before the position.
     pub fn split_commits(&self) {
         self.mode.send_modify(|mode| mode.split_commits = true);
     }
 
-    /// Makes each commit's position unreadable.
+    /// Overwrites each commit's position so that it can't be parsed.
     pub fn garble_commits(&self) {
         self.mode.send_modify(|mode| mode.garble_commits = true);
     }
 
-    /// Cuts all connections.
+    /// Closes all connections and waits until they are closed. New ones are accepted.
     pub async fn close_connections(&self) {
         self.mode.send_modify(|mode| mode.generation += 1);
         self.wait_for_old_connections_to_close().await;
@@ -98,10 +102,10 @@
     async fn wait_for_old_connections_to_close(&self) {
         let generation = self.mode.borrow().generation;
         let gone = || self.open.lock().iter().all(|before| *before >= generation);
-        super::eventually("all connections are cut", gone).await;
+        super::eventually("all connections are closed", gone).await;
     }
 
-    /// Cuts all connections and lets no new ones through.
+    /// Closes all connections and, if `refuse` is set, closes each new one immediately.
     pub async fn refuse(&self, refuse: bool) {
         self.mode.send_modify(|mode| {
             mode.refuse = refuse;
--- a/crates/proxy/tests/traffic_support/mod.rs
+++ b/crates/proxy/tests/traffic_support/mod.rs
@@ -1,4 +1,5 @@
-//! Traffic threads over stand-in targets, with a control side that is driven by the tests.
+//! A cluster for tests of the traffic threads: real traffic threads in front of stand-in targets, with a stub
+//! of the control thread whose published state the tests set.
 
 #![allow(dead_code)]
 
@@ -50,19 +51,20 @@
 pub mod client;
 pub mod fault_relay;
 
-/// The group of all tests.
+/// The name of the only group, which is also the database's name.
 pub const GROUP: &str = "loans";
 
-/// The zones of its three members and of the proxies.
+/// The availability zones of the group's three members; proxies are assigned to them in turn.
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-/// Longer than anything takes that is going to happen.
+/// The timeout of each wait, far longer than any expected event takes.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Long enough to show that something does not happen; a slow machine can only hide a failure.
+/// The time after which an event that has not happened is taken as not happening. On a slow machine this can
+/// only hide a failure, never cause one.
 pub const SETTLE_TIME: Duration = Duration::from_millis(150);
 
-/// A test's runtime.
+/// Runs a test's future on a runtime of its own, with a timeout.
 pub fn block_on<F>(future: F) -> F::Output
 where
     F: Future,
@@ -74,10 +76,10 @@
         .expect("a runtime starts");
     runtime
         .block_on(async { tokio::time::timeout(TIMEOUT * 2, future).await })
-        .expect("ends in time")
+        .expect("the test ends before the timeout")
 }
 
-/// Names each case: an asynchronous test on a runtime of its own.
+/// Declares each case as a test that runs its asynchronous body on a runtime of its own.
 #[macro_export]
 macro_rules! cases {
     ($($(#[doc = $doc:literal])+ $name:ident $body:block)*) => {
@@ -89,28 +91,29 @@
     };
 }
 
-/// Waits until something holds.
+/// Polls until the condition holds. Panics after [`TIMEOUT`] with the condition's description.
 pub async fn eventually<F>(condition: &str, mut holds: F)
 where
     F: FnMut() -> bool,
 {
     let started = std::time::Instant::now();
     while !holds() {
-        assert!(started.elapsed() < TIMEOUT, "never came about: {condition}");
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting until {condition}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// How a world is set up.
+/// The options of a [`Cluster`].
 #[derive(Clone)]
 pub struct Setup {
-    /// One proxy for each entry, with the members (counted from 0) that it is home to.
+    /// One proxy for each entry, with the indices (from 0) of the members that it is home to, that is,
+    /// connects to. A proxy with none forwards its callers' requests to the homes.
     pub homes: Vec<Vec<usize>>,
-    /// The limits of all proxies.
+    /// The limits that all proxies use.
     pub limits: TrafficLimits,
-    /// How many connections a target accepts.
+    /// The number of connections that each target accepts.
     pub connections: u32,
-    /// How many statements a target runs at once.
+    /// The number of statements that each target runs concurrently.
     pub slots: u32,
 }
 
@@ -125,32 +128,32 @@
     }
 }
 
-/// Three targets of one group in three zones, a gate in front of each, and proxies.
+/// Three targets of one group in three zones, a fault-injecting relay in front of each, and proxies.
 pub struct Cluster {
     pub targets: Vec<TargetServer>,
     pub relays: Vec<FaultRelay>,
     pub proxies: Vec<Proxy>,
-    /// The floors that the control side knows by session, shared by all proxies.
+    /// The position of each session's last acknowledged write, shared by the control stubs of all proxies.
     pub floors: Arc<Mutex<FastMap<String, LogPosition>>>,
     network: Arc<Network>,
 }
 
-/// One process's traffic threads.
+/// The traffic threads of one process, and the state that they share with its control stub.
 pub struct Proxy {
     pub address: std::net::SocketAddr,
     pub slot: PublishedSlot,
     pub counters: Arc<Counters>,
     pub live: Arc<GroupLive>,
     pub clock: MonotonicClock,
-    /// Members whose reports do not reach the control side.
+    /// The indices of members whose status reports don't reach the control stub.
     pub muted: Arc<Mutex<FastSet<usize>>>,
-    /// Events other than about floors.
+    /// The events that the control stub received, except those about floors.
     pub control_events: Arc<Mutex<Vec<ControlEvent>>>,
     pub server_task: JoinHandle<()>,
 }
 
 impl Cluster {
-    /// The usual world: one proxy that is home to all members.
+    /// Starts the default cluster: one proxy that is home to all members.
     pub async fn start() -> Cluster {
         Cluster::start_with(Setup::default()).await
     }
@@ -303,7 +306,7 @@
         Proxy { address, slot, counters, live, clock, muted, control_events, server_task }
     }
 
-    /// Publishes what the members report, as the control thread does.
+    /// Publishes the members' status reports, as the control thread does.
     fn publish_member_statuses(
         &self,
         live: &Arc<GroupLive>,
@@ -335,38 +338,39 @@
         }
     }
 
-    /// The first proxy.
+    /// Returns the first proxy.
     pub fn proxy(&self) -> &Proxy {
         &self.proxies[0]
     }
 
-    /// Waits until a member shows a record.
+    /// Waits until a member has applied the log up to a position.
     pub async fn wait_applied(&self, index: usize, position: LogPosition) {
         let mut statuses = self.targets[index].target().subscribe();
         let shown = statuses.wait_for(|status| status.applied >= position);
-        let _ = tokio::time::timeout(TIMEOUT, shown).await.expect("the member applies the record");
+        let _ = tokio::time::timeout(TIMEOUT, shown).await.expect("the member applies the log");
     }
 
-    /// Waits until the first proxy knows that all members show a record.
+    /// Waits until the first proxy's published state shows that all members have applied the log up to a
+    /// position.
     pub async fn wait_applied_published(&self, position: LogPosition) {
         let live = &self.proxy().live;
         let known = || live.members.iter().all(|member| *member.applied.lock() >= position);
-        eventually("all members show the record", known).await;
+        eventually("all members have applied the log", known).await;
     }
 
-    /// Makes a member lead a term, as a driver does.
+    /// Promotes a member in a term and makes the others follow it, as the driver of a failover does.
     pub fn make_primary(&self, index: usize, term: u64) {
         make_primary(&self.targets, index, term);
     }
 
-    /// A client of the first proxy.
+    /// Connects a client to the first proxy.
     pub async fn client(&self) -> client::Client {
         client::Client::connect(self.proxy().address, &[]).await
     }
 }
 
 impl Proxy {
-    /// Publishes a changed version.
+    /// Publishes a modified copy of the current state.
     pub fn publish<F>(&self, change: F)
     where
         F: FnOnce(&mut Published),
@@ -384,13 +388,13 @@
         self.slot.store(Arc::new(next));
     }
 
-    /// Publishes another leader.
+    /// Publishes a member as the primary of a term.
     pub fn publish_leader(&self, index: usize, term: u64) {
         let leader = Leader { term: Term(term), target: TargetId(index as u32) };
         self.publish(|published| published.groups[0].leader = Some(leader));
     }
 
-    /// The value of a counter.
+    /// Returns the value of a counter. Panics if there is no counter of this name.
     pub fn counter(&self, name: &str) -> u64 {
         let all = self.counters.snapshot();
         let found = all.iter().find(|(known, _)| known == name);
@@ -398,12 +402,12 @@
     }
 }
 
-/// The name of the member at a place, counted from 0.
+/// Returns the name of the member with an index, which counts from 0.
 pub fn member_name(index: usize) -> String {
     format!("{GROUP}-{}", index + 1)
 }
 
-/// The name of a proxy's VM.
+/// Returns the name of the VM of the proxy with an index.
 pub fn vm_name(proxy_index: usize) -> String {
     format!("vm-{proxy_index}")
 }
