--- a/crates/proxy/tests/control_failover.rs
+++ b/crates/proxy/tests/control_failover.rs
@@ -185,8 +185,8 @@
         })
         .await;
         let explained = cluster.explain().await;
-        let given_up = "give up the wished change of primary";
-        assert!(explained.contains(given_up), "{explained}");
+        let abandoned_text = "give up the wished change of primary";
+        assert!(explained.contains(abandoned_text), "{explained}");
         assert!(explained.contains("change of primary: started"), "{explained}");
         assert!(!explained.contains("term 0"), "{explained}");
         assert_eq!(cluster.primaries(), [(FIRST_PRIMARY.to_owned(), Term(1))]);
--- a/crates/proxy/tests/control_sessions.rs
+++ b/crates/proxy/tests/control_sessions.rs
@@ -1,8 +1,8 @@
 //! Consistency of sessions that move between proxies without a token, and the graceful stop of a proxy.
 //!
 //! A member's homes are the proxies that connect to it. The primary's homes record the position of each
-//! session's last write; other proxies ask them for it as the floor, the lowest position that the session's
-//! reads may see.
+//! session's last write; other proxies ask them for it as the floor, the lowest log position that a
+//! target must have applied to serve the session's reads.
 
 mod control_support;
 
@@ -150,8 +150,8 @@
             .expect_err("no barrier succeeds without a majority");
     }
 
-    /// A proxy is asked to stop while a caller has an open transaction. New callers are refused, and the
-    /// transaction still commits.
+    /// A proxy is asked to stop while a caller has an open transaction. It publishes that it is stopping, new
+    /// callers are refused, and the transaction still commits.
     pub async fn stop_cuts_no_transaction() {
         let mut cluster = Cluster::start().await;
         create_table(&cluster).await;
--- a/crates/proxy/tests/control_spreading.rs
+++ b/crates/proxy/tests/control_spreading.rs
@@ -235,14 +235,14 @@
         };
         for proxy in &cluster.proxies {
             wait_until("the proxy is listed as a home", async || {
-                is_listed_as_home(proxy).await.filter(|named| *named)
+                is_listed_as_home(proxy).await.filter(|is_listed| *is_listed)
             })
             .await;
         }
         drop(cluster.proxies.remove(2));
         for proxy in &cluster.proxies {
             wait_until("the dead proxy is not listed as a home", async || {
-                is_listed_as_home(proxy).await.filter(|named| !named)
+                is_listed_as_home(proxy).await.filter(|is_listed| !is_listed)
             })
             .await;
         }
@@ -262,7 +262,7 @@
             let count = server.recv(&mut datagram).await.ok()?;
             let text = std::str::from_utf8(&datagram[..count]).ok()?;
             let line = "skylark.control.platform_answers:1|g|#vm:vm-1,zone:medina";
-            text.lines().any(|it| it == line).then_some(())
+            text.lines().any(|metric| metric == line).then_some(())
         })
         .await;
     }
--- a/crates/proxy/tests/pool_users.rs
+++ b/crates/proxy/tests/pool_users.rs
@@ -162,18 +162,19 @@
     }
 
     /// One organisation uses all connections, and a statement of another organisation waits.
-    /// 1. Both connections are leased. 2. One is returned to the pool. 3. It is closed, and a connection for
-    /// the waiting organisation is opened in its place.
+    /// 1. Both connections are leased.
+    /// 2. One is returned to the pool.
+    /// 3. It is closed, and a connection for the waiting organisation is opened in its place.
     a_returned_connection_is_replaced_for_a_waiting_user {
         let (target, pool) = pool(2);
-        let held = take(&pool, "lake").await.expect("a connection can be opened");
+        let returned = take(&pool, "lake").await.expect("a connection can be opened");
         let _other = take(&pool, "lake").await.expect("a connection can be opened");
         let waiting = tokio::spawn({
             let pool = Arc::clone(&pool);
             async move { take(&pool, "hill").await.map(|mut lease| connection_user(&mut lease)) }
         });
         tokio::task::yield_now().await;
-        held.give_back();
+        returned.give_back();
         assert_eq!(waiting.await.expect("the task ends"), Ok("hill".to_owned()));
         assert_eq!(target.max_open.load(Ordering::Relaxed), 2);
     }
@@ -189,11 +190,13 @@
     }
 
     /// A leaving target refuses new connections while an open transaction keeps one in use.
-    /// 1. One connection is leased. 2. The target begins to leave. 3. A request that needs another connection
-    /// fails immediately instead of waiting, since every new connection would be refused.
+    /// 1. One connection is leased.
+    /// 2. The target begins to leave.
+    /// 3. A request that needs another connection fails immediately instead of waiting, since every new
+    ///    connection would be refused.
     a_refusing_target_fails_waiting_requests_immediately {
         let (target, pool) = pool(4);
-        let _held = take(&pool, "").await.expect("a connection can be opened");
+        let _leased = take(&pool, "").await.expect("a connection can be opened");
         target.leaving.store(true, Ordering::Relaxed);
         let refused = take(&pool, "").await.map(|_| ());
         let Err(Failure::Said { sqlstate, .. }) = refused else { panic!("{refused:?}") };
--- a/crates/proxy/tests/session_closing.rs
+++ b/crates/proxy/tests/session_closing.rs
@@ -10,7 +10,7 @@
 
 /// The longest time until a partitioned VM closes a caller's connection: half of the load balancer's health
 /// check interval.
-const CUT_OFF_LIMIT: Duration = Duration::from_millis(500);
+const ISOLATED_LIMIT: Duration = Duration::from_millis(500);
 
 fn closing_delays(is_stopping: bool) -> Vec<Duration> {
     (0..SESSIONS).map(|session| stop::closing_spread(session, is_stopping)).collect()
@@ -20,9 +20,9 @@
 /// request is refused. They are therefore closed sooner than at a stop.
 #[test]
 fn callers_of_an_isolated_process_are_closed_quickly() {
-    let (cut_off, stopping) = (closing_delays(false), closing_delays(true));
-    assert!(cut_off.iter().all(|spread| *spread < CUT_OFF_LIMIT));
-    assert!(cut_off.iter().zip(&stopping).all(|(cut_off, stopping)| cut_off <= stopping));
+    let (isolated, stopping) = (closing_delays(false), closing_delays(true));
+    assert!(isolated.iter().all(|delay| *delay < ISOLATED_LIMIT));
+    assert!(isolated.iter().zip(&stopping).all(|(isolated, stopping)| isolated <= stopping));
 }
 
 /// Callers reconnect to the other VMs at different times instead of all at once.
--- a/crates/proxy/tests/traffic_acknowledge.rs
+++ b/crates/proxy/tests/traffic_acknowledge.rs
@@ -34,9 +34,10 @@
 
 cases! {
     /// A caller commits while no replica receives records, and must not see a success.
-    /// 1. The primary runs and commits the write. 2. No majority confirms it before the timeout.
+    /// 1. The primary runs and commits the write.
+    /// 2. No majority confirms it before the timeout.
     /// 3. The caller gets "outcome unknown" and its connection is closed, since the commit may still be
-    /// durable.
+    ///    durable.
     a_commit_without_confirmation_ends_unknown {
         let limits = TrafficLimits { confirm_ms: 100, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
@@ -52,7 +53,8 @@
     }
 
     /// The target reports a commit at a position that can't be parsed.
-    /// 1. The primary commits. 2. Without the position, the proxy can't tell whether the commit is confirmed.
+    /// 1. The primary commits.
+    /// 2. Without the position, the proxy can't tell whether the commit is confirmed.
     /// 3. The caller gets "outcome unknown": after a success, the next primary might lack the write.
     a_commit_at_an_unreadable_position_ends_unknown {
         let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
@@ -90,9 +92,9 @@
     }
 
     /// A position of a newer term is confirmed while a commit of the old term waits.
-    /// 1. The old primary commits in term 1. 2. The others elect a primary in term 2, whose first record has
-    /// the same index. 3. Its confirmation does not cover the old record, so the caller gets "outcome
-    /// unknown" immediately.
+    /// 1. The old primary commits in term 1.
+    /// 2. The others elect a primary in term 2, whose first record has the same index.
+    /// 3. Its confirmation does not cover the old record, so the caller gets "outcome unknown" immediately.
     a_confirmation_of_another_term_does_not_count {
         let limits = TrafficLimits { confirm_ms: 60_000, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
@@ -136,9 +138,10 @@
     }
 
     /// A session that wrote in term 2 reads through a proxy that still believes in the primary of term 1.
-    /// 1. The old primary is partitioned and still answers reads. 2. It lacks the session's write.
+    /// 1. The old primary is partitioned and still answers reads.
+    /// 2. It lacks the session's write.
     /// 3. The read is refused as "not run", whether its floor comes from a token or from the session's
-    /// identity. A session without writes is served.
+    ///    identity. A session without writes is served.
     an_old_primary_does_not_serve_a_newer_session {
         let limits = TrafficLimits { floor_wait_ms: 50, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
@@ -157,9 +160,9 @@
     }
 
     /// A session without a token writes on one connection and immediately reads on another.
-    /// 1. The write's position is recorded under the session's identity before its success is sent. 2. The
-    /// replica that receives records applies them late. 3. The read waits for it or goes to the primary, and
-    /// sees the write.
+    /// 1. The write's position is recorded under the session's identity before its success is sent.
+    /// 2. The replica that receives records applies them late.
+    /// 3. The read waits for it or goes to the primary, and sees the write.
     a_session_with_an_identity_sees_its_writes_elsewhere {
         let (cluster, mut writer) = start_with_table(TrafficLimits::default()).await;
         cluster.targets[1].target().set_lag(Lag { hold_us: 0, apply_us: 200_000 });
@@ -196,10 +199,12 @@
     }
 
     /// The group's confirmations stall while a write is queued.
-    /// 1. A transaction uses the only connection. 2. The write is queued. 3. The confirmations stall.
+    /// 1. A transaction uses the only connection.
+    /// 2. The write is queued.
+    /// 3. The confirmations stall.
     /// 4. The write leaves the queue and is refused as "not run": if it were sent, its outcome would be
-    /// unknown.
-    a_write_that_waited_is_checked_again {
+    ///    unknown.
+    a_queued_write_is_checked_again {
         let cluster = Cluster::start_with(Setup { connections: 1, slots: 1, ..Setup::default() }).await;
         let mut client = cluster.client().await;
         client.query("CREATE TABLE chairs (id INT)").await.ok();
--- a/crates/proxy/tests/traffic_forward.rs
+++ b/crates/proxy/tests/traffic_forward.rs
@@ -96,8 +96,9 @@
     }
 
     /// The connection to the target breaks after a forwarded write ran.
-    /// 1. The entry forwards an insert, and the target's response is held back. 2. The home's connection to
-    /// the target is closed. 3. The caller gets "outcome unknown", and no other home runs the insert again.
+    /// 1. The entry forwards an insert, and the target's response is held back.
+    /// 2. The home's connection to the target is closed.
+    /// 3. The caller gets "outcome unknown", and no other home runs the insert again.
     a_forwarded_write_is_not_repeated {
         let cluster = Cluster::start_with(entry_and_two_homes()).await;
         let mut client = cluster.client().await;
--- a/crates/proxy/tests/traffic_limits.rs
+++ b/crates/proxy/tests/traffic_limits.rs
@@ -139,9 +139,9 @@
     }
 
     /// A flood of connections that send nothing must not block callers.
-    /// 1. The flood takes all slots for connections in their start-up, and none of them has timed out yet. 2.
-    /// A caller connects. 3. The oldest connection of the flood is closed to free its slot, and the caller is
-    /// served.
+    /// 1. The flood takes all slots for connections in their start-up, and none of them has timed out yet.
+    /// 2. A caller connects.
+    /// 3. The oldest connection of the flood is closed to free its slot, and the caller is served.
     a_half_open_flood_does_not_block_callers {
         let cluster = start_with_limits(|limits| {
             limits.half_open = 20;
@@ -198,9 +198,9 @@
     }
 
     /// The process stops while one caller is idle, one has an open transaction and one waits for a statement.
-    /// 1. The idle caller gets an error that asks it to reconnect. 2. The transaction continues to its
-    /// COMMIT, and the statement to its response; both complete. 3. New callers are refused because the
-    /// process is stopping.
+    /// 1. The idle caller gets an error that asks it to reconnect.
+    /// 2. The transaction continues to its COMMIT, and the statement to its response; both complete.
+    /// 3. New callers are refused because the process is stopping.
     a_stop_interrupts_no_request {
         let cluster = start_with_limits(|_| ()).await;
         let mut idle = cluster.client().await;
--- a/crates/proxy/tests/traffic_pool.rs
+++ b/crates/proxy/tests/traffic_pool.rs
@@ -24,9 +24,10 @@
 
 cases! {
     /// A caller disconnects in an open transaction, and the next caller gets its pooled connection.
-    /// 1. The first caller inserts without committing. 2. Its socket closes. 3. The transaction is rolled
-    /// back before the connection is reused, so the second caller does not see the insert and commits only
-    /// its own.
+    /// 1. The first caller inserts without committing.
+    /// 2. Its socket closes.
+    /// 3. The transaction is rolled back before the connection is reused, so the second caller does not see
+    ///    the insert and commits only its own.
     a_disconnected_caller_leaves_no_transaction {
         let (cluster, mut first) = start_with_one_connection(TrafficLimits::default()).await;
         first.query("BEGIN").await.ok();
@@ -41,9 +42,10 @@
 
     /// A caller disconnects while its response is outstanding, and another caller sends a request
     /// immediately.
-    /// 1. The target's response to the first caller is held back. 2. The first caller closes its socket. 3.
-    /// The response arrives late. 4. The second caller gets its own response, on the drained or on another
-    /// connection.
+    /// 1. The target's response to the first caller is held back.
+    /// 2. The first caller closes its socket.
+    /// 3. The response arrives late.
+    /// 4. The second caller gets its own response, on the drained or on another connection.
     a_late_answer_reaches_no_other_caller {
         let limits = TrafficLimits { drain_ms: 10_000, ..TrafficLimits::default() };
         let (cluster, mut first) = start_with_one_connection(limits).await;
@@ -61,8 +63,9 @@
 
     /// A statement exceeds its deadline, and its late response must not be taken for that of the next
     /// request.
-    /// 1. The response is held back past the deadline. 2. The caller gets "outcome unknown" and its
-    /// connection is closed. 3. The late response is drained, and the next caller gets its own.
+    /// 1. The response is held back past the deadline.
+    /// 2. The caller gets "outcome unknown" and its connection is closed.
+    /// 3. The late response is drained, and the next caller gets its own.
     an_answer_after_the_deadline_reaches_nobody {
         let limits = TrafficLimits { drain_ms: 10_000, ..TrafficLimits::default() };
         let (cluster, mut first) = start_with_one_connection(limits).await;
@@ -95,8 +98,8 @@
 
     /// A caller's settings of the target's parameters apply on each connection that it uses, and to no other
     /// caller.
-    /// 1. The first caller sets a parameter. 2. The second caller uses the same connection and sees the
-    /// default.
+    /// 1. The first caller sets a parameter.
+    /// 2. The second caller uses the same connection and sees the default.
     /// 3. The first caller sees its own value again.
     session_settings_follow_their_caller {
         let (cluster, mut first) = start_with_one_connection(TrafficLimits::default()).await;
@@ -113,7 +116,7 @@
     /// connection.
     /// 1. The first caller's statement waits for its response; a cancel request with its key is forwarded.
     /// 2. A cancel request with the key of an idle caller or with a wrong secret is ignored.
-    a_cancel_hits_only_its_own_request {
+    a_cancel_affects_only_its_own_request {
         let (cluster, mut first) = start_with_one_connection(TrafficLimits::default()).await;
         let second = cluster.client().await;
         cluster.relays[0].hold_responses(true);
@@ -121,21 +124,21 @@
         tokio::time::sleep(SETTLE_TIME).await;
         cancel(&cluster, second.cancel_key).await;
         cancel(&cluster, (first.cancel_key.0, first.cancel_key.1 ^ 1)).await;
-        let counters = &cluster.proxy();
-        eventually("both cancel requests are ignored", || counters.counter("cancels.ignored") == 2).await;
+        let first_proxy = &cluster.proxy();
+        eventually("both cancel requests are ignored", || first_proxy.counter("cancels.ignored") == 2).await;
         cancel(&cluster, first.cancel_key).await;
-        eventually("the cancel request is forwarded", || counters.counter("cancels.forwarded") == 1).await;
+        eventually("the cancel request is forwarded", || first_proxy.counter("cancels.forwarded") == 1).await;
         cluster.relays[0].hold_responses(false);
         first.answer().await;
         // The cancel may still take effect on the cancelled connection, so the next request uses another one.
-        let closed = || counters.counter("connections.closed") >= 1;
+        let closed = || first_proxy.counter("connections.closed") >= 1;
         eventually("the cancelled connection is closed", closed).await;
         assert_eq!(first.query("SELECT 'next'").await.value(), "next");
     }
 
     /// Many callers that share few connections, some of which disconnect early, each get the responses to
     /// their own requests.
-    answers_never_cross {
+    callers_get_only_their_own_answers {
         let cluster = Cluster::start_with(Setup { connections: 2, slots: 2, ..Setup::default() }).await;
         let mut callers = Vec::new();
         for caller in 0..16 {
@@ -159,8 +162,9 @@
     }
 
     /// A target closed its idle connections, and the next write must not end with "outcome unknown".
-    /// 1. The pool has a connection that the target closed. 2. A caller writes. 3. The proxy detects the
-    /// closed connection before it sends anything, so the write runs on a new one.
+    /// 1. The pool has a connection that the target closed.
+    /// 2. A caller writes.
+    /// 3. The proxy detects the closed connection before it sends anything, so the write runs on a new one.
     a_connection_closed_while_idle_is_replaced {
         let (cluster, mut client) = start_with_one_connection(TrafficLimits::default()).await;
         client.query("SELECT 1").await.ok();
--- a/crates/proxy/tests/traffic_prepared.rs
+++ b/crates/proxy/tests/traffic_prepared.rs
@@ -107,9 +107,10 @@
     }
 
     /// A caller's prepared statement works on a connection on which it was not prepared.
-    /// 1. The caller prepares a statement on the only connection. 2. The connection is closed. 3. The next
-    /// Bind goes to a new connection, on which the proxy first prepares the statement. The caller sees only
-    /// the responses to its own messages.
+    /// 1. The caller prepares a statement on the only connection.
+    /// 2. The connection is closed.
+    /// 3. The next Bind goes to a new connection, on which the proxy first prepares the statement. The caller
+    ///    sees only the responses to its own messages.
     a_statement_survives_its_connection {
         let cluster = start_with_connections(1, TrafficLimits::default()).await;
         let mut client = cluster.client().await;
@@ -124,7 +125,7 @@
 
     /// Statement names are local to a caller: two callers use one name for different statements, and two
     /// names for the same statement.
-    names_belong_to_their_caller {
+    statement_names_are_local_to_a_caller {
         let cluster = start_with_connections(1, TrafficLimits::default()).await;
         let mut first = cluster.client().await;
         let mut second = cluster.client().await;
@@ -232,8 +233,8 @@
     }
 
     /// A batch outside a transaction commits at its Sync, and its success is held back until it is confirmed.
-    /// 1. No replica receives records. 2. The CommandComplete of both inserts arrives before the commit's
-    /// position.
+    /// 1. No replica receives records.
+    /// 2. The CommandComplete of both inserts arrives before the commit's position.
     /// 3. The caller sees no success, and "outcome unknown" at the end.
     a_batch_is_held_back_until_confirmed {
         let limits = TrafficLimits { confirm_ms: 100, ..TrafficLimits::default() };
--- a/crates/proxy/tests/traffic_queries.rs
+++ b/crates/proxy/tests/traffic_queries.rs
@@ -25,10 +25,10 @@
     }
 
     /// A session that moves between proxies continues with the token that a connection last reported.
-    /// 1. The session writes on this connection, which reports its token. 2. It writes at another proxy and
-    /// sets the newer token here with SET, in a batch, or at the start-up. 3. The connection has to report
-    /// the newer token too. Otherwise the session continues with the older one, and its next read may miss
-    /// the newer write.
+    /// 1. The session writes on this connection, which reports its token.
+    /// 2. It writes at another proxy and sets the newer token here with SET, in a batch, or at the start-up.
+    /// 3. The connection has to report the newer token too. Otherwise the session continues with the older
+    ///    one, and its next read may miss the newer write.
     a_token_set_by_the_caller_is_reported {
         let cluster = Cluster::start().await;
         let mut client = cluster.client().await;
--- a/crates/proxy/tests/traffic_retry.rs
+++ b/crates/proxy/tests/traffic_retry.rs
@@ -29,8 +29,9 @@
 
 cases! {
     /// The connection to the target breaks after a write ran, and its response is lost.
-    /// 1. The target runs the insert, and its response is held back. 2. The connection is closed. 3. The
-    /// caller gets "outcome unknown" once, and the table has one row: the insert was not repeated.
+    /// 1. The target runs the insert, and its response is held back.
+    /// 2. The connection is closed.
+    /// 3. The caller gets "outcome unknown" once, and the table has one row: the insert was not repeated.
     a_write_whose_answer_is_lost_is_not_repeated {
         let (cluster, mut client) = start_with_table(TrafficLimits::default()).await;
         cluster.relays[0].hold_responses(true);
@@ -91,9 +92,10 @@
     }
 
     /// Callers read while a replica's process is down and the control thread has not detected it.
-    /// 1. The replica resets its connections and refuses new ones. 2. The first reads fail there and are
-    /// retried on another target. 3. Later reads skip the replica: if each tried it first, they would exhaust
-    /// the retry budget, and reads would be refused although another replica is idle.
+    /// 1. The replica resets its connections and refuses new ones.
+    /// 2. The first reads fail there and are retried on another target.
+    /// 3. Later reads skip the replica: if each tried it first, they would exhaust the retry budget, and
+    ///    reads would be refused although another replica is idle.
     reads_skip_a_target_that_refuses_connections {
         let limits = TrafficLimits { retry_budget_percent: 0, ..TrafficLimits::default() };
         let (cluster, mut client) = start_with_table(limits).await;
@@ -107,8 +109,8 @@
     }
 
     /// A write is sent to a primary that was just replaced, which refuses it without running it.
-    /// 1. Another member leads in term 2, which the proxy does not know yet. 2. The old primary responds with
-    /// 25006.
+    /// 1. Another member leads in term 2, which the proxy does not know yet.
+    /// 2. The old primary responds with 25006.
     /// 3. The proxy waits until the new primary is published and sends it the write, which runs once.
     a_write_refused_by_the_old_primary_goes_to_the_new_one {
         let limits = TrafficLimits { primary_wait_ms: 5_000, ..TrafficLimits::default() };
--- a/crates/proxy/tests/traffic_support/client.rs
+++ b/crates/proxy/tests/traffic_support/client.rs
@@ -15,7 +15,7 @@
 
 /// The fields of an ErrorResponse message.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct ErrorAnswer {
+pub struct ErrorFields {
     pub severity: String,
     pub sqlstate: String,
     pub message: String,
@@ -28,7 +28,7 @@
 pub struct Answer {
     pub rows: Vec<Vec<Option<String>>>,
     pub tags: Vec<String>,
-    pub errors: Vec<ErrorAnswer>,
+    pub errors: Vec<ErrorFields>,
     pub parameters: Vec<(String, String)>,
     /// The type bytes of all messages in order.
     pub types: String,
@@ -44,7 +44,7 @@
     }
 
     /// Returns the error. Panics unless there is exactly one.
-    pub fn error(&self) -> &ErrorAnswer {
+    pub fn error(&self) -> &ErrorFields {
         assert_eq!(self.errors.len(), 1, "one error in {self:?}");
         &self.errors[0]
     }
@@ -69,22 +69,23 @@
 impl Client {
     /// Connects as user `desk` with additional start-up parameters. Panics if the start-up is refused.
     pub async fn connect(address: SocketAddr, parameters: &[(&str, &str)]) -> Client {
-        let (client, greeting) = Client::try_connect(address, parameters).await;
-        assert_eq!(greeting.errors, [], "the start-up succeeds");
+        let (client, startup_answer) = Client::try_connect(address, parameters).await;
+        assert_eq!(startup_answer.errors, [], "the start-up succeeds");
         client
     }
 
     /// Does the same as [`Client::connect`], but returns the response to the start-up instead of checking it.
     pub async fn try_connect(address: SocketAddr, parameters: &[(&str, &str)]) -> (Client, Answer) {
         let mut client = Client::connect_raw(address).await;
-        let mut all = vec![("user", "desk"), ("database", GROUP)];
-        all.extend_from_slice(parameters);
+        let mut startup_parameters = vec![("user", "desk"), ("database", GROUP)];
+        startup_parameters.extend_from_slice(parameters);
         // A later value for the same name replaces the default.
-        let last = |name: &str| all.iter().rposition(|(known, _)| *known == name);
-        let unique: Vec<_> = all
+        let last_index =
+            |name: &str| startup_parameters.iter().rposition(|(known, _)| *known == name);
+        let unique: Vec<_> = startup_parameters
             .iter()
             .enumerate()
-            .filter(|(index, (name, _))| last(name) == Some(*index))
+            .filter(|(index, (name, _))| last_index(name) == Some(*index))
             .map(|(_, pair)| *pair)
             .collect();
         frontend::startup_message(unique, &mut client.output).expect("no zero bytes");
@@ -129,8 +130,8 @@
         self.answer_until('Z').await
     }
 
-    /// Reads up to a message of type `last`, a ReadyForQuery or the end of the connection.
-    pub async fn answer_until(&mut self, last: char) -> Answer {
+    /// Reads up to a message of type `last_type`, a ReadyForQuery or the end of the connection.
+    pub async fn answer_until(&mut self, last_type: char) -> Answer {
         let mut answer = Answer::default();
         loop {
             let tag = self.input.first().map(|tag| *tag as char);
@@ -144,7 +145,7 @@
             let tag = tag.expect("a message begins with its type");
             answer.types.push(tag);
             self.record_message(&mut answer, message);
-            if tag == last || answer.status.is_some() {
+            if tag == last_type || answer.status.is_some() {
                 return answer;
             }
         }
@@ -162,7 +163,7 @@
             }
             Message::CommandComplete(body) => answer.tags.push(body.tag().expect("tag").to_owned()),
             Message::ErrorResponse(body) => {
-                let mut error = ErrorAnswer::default();
+                let mut error = ErrorFields::default();
                 let fields: Vec<_> = body
                     .fields()
                     .map(|field| {
--- a/crates/proxy/tests/traffic_support/fault_relay.rs
+++ b/crates/proxy/tests/traffic_support/fault_relay.rs
@@ -41,7 +41,7 @@
     address: SocketAddr,
     mode: watch::Sender<Mode>,
     /// The generation at which each open connection was accepted.
-    open: Arc<Mutex<Vec<u32>>>,
+    open_generations: Arc<Mutex<Vec<u32>>>,
 }
 
 impl FaultRelay {
@@ -49,29 +49,37 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
         let address = listener.local_addr().expect("bound");
         let mode = watch::Sender::new(Mode::default());
-        let modes = mode.clone();
-        let open: Arc<Mutex<Vec<u32>>> = Arc::default();
-        let opened = Arc::clone(&open);
+        let mode_sender = mode.clone();
+        let open_generations: Arc<Mutex<Vec<u32>>> = Arc::default();
+        let opened = Arc::clone(&open_generations);
         tokio::spawn(async move {
             while let Ok((client_stream, _)) = listener.accept().await {
                 // Read before connecting to the target, so that closing the connections meanwhile also closes
                 // this one.
-                let before = *modes.borrow();
-                if before.refuse {
+                let accepted_mode = *mode_sender.borrow();
+                if accepted_mode.refuse {
                     continue;
                 }
                 let Ok(target_stream) = TcpStream::connect(target).await else { continue };
-                opened.lock().push(before.generation);
-                let (modes, opened) = (modes.clone(), Arc::clone(&opened));
+                opened.lock().push(accepted_mode.generation);
+                let (mode_sender, opened) = (mode_sender.clone(), Arc::clone(&opened));
                 tokio::spawn(async move {
-                    relay_connection(client_stream, target_stream, modes, before.generation).await;
+                    relay_connection(
+                        client_stream,
+                        target_stream,
+                        mode_sender,
+                        accepted_mode.generation,
+                    )
+                    .await;
                     let mut opened = opened.lock();
-                    let own = opened.iter().position(|generation| *generation == before.generation);
-                    opened.swap_remove(own.expect("each open connection has an entry"));
+                    let entry = opened
+                        .iter()
+                        .position(|generation| *generation == accepted_mode.generation);
+                    opened.swap_remove(entry.expect("each open connection has an entry"));
                 });
             }
         });
-        FaultRelay { address, mode, open }
+        FaultRelay { address, mode, open_generations }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -101,8 +109,9 @@
 
     async fn wait_for_old_connections_to_close(&self) {
         let generation = self.mode.borrow().generation;
-        let gone = || self.open.lock().iter().all(|before| *before >= generation);
-        super::eventually("all connections are closed", gone).await;
+        let all_closed =
+            || self.open_generations.lock().iter().all(|accepted| *accepted >= generation);
+        super::eventually("all connections are closed", all_closed).await;
     }
 
     /// Closes all connections and, if `refuse` is set, closes each new one immediately.
@@ -118,18 +127,18 @@
 async fn relay_connection(
     client_stream: TcpStream,
     target_stream: TcpStream,
-    modes: watch::Sender<Mode>,
-    before: u32,
+    mode_sender: watch::Sender<Mode>,
+    accepted_generation: u32,
 ) {
     client_stream.set_nodelay(true).expect("a socket option");
     target_stream.set_nodelay(true).expect("a socket option");
     let (client_read, client_write) = client_stream.into_split();
     let (target_read, target_write) = target_stream.into_split();
-    let mut generation = modes.subscribe();
+    let mut mode_changes = mode_sender.subscribe();
     tokio::select! {
         () = copy(client_read, target_write, None) => (),
-        () = copy(target_read, client_write, Some(modes.subscribe())) => (),
-        _ = generation.wait_for(|mode| mode.generation != before) => (),
+        () = copy(target_read, client_write, Some(mode_sender.subscribe())) => (),
+        _ = mode_changes.wait_for(|mode| mode.generation != accepted_generation) => (),
     }
 }
 
@@ -140,21 +149,21 @@
 ) {
     let mut bytes = vec![0; 64 << 10];
     while let Ok(count @ 1..) = from.read(&mut bytes).await {
-        let at = bytes[..count]
+        let commit_offset = bytes[..count]
             .windows(COMMIT_PARAMETER.len())
             .position(|window| window == COMMIT_PARAMETER);
-        let garbles = response_mode
+        let garble = response_mode
             .as_ref()
             .is_some_and(|response_mode| response_mode.borrow().garble_commits);
-        if let (true, Some(at)) = (garbles, at) {
-            bytes[at + COMMIT_PARAMETER.len() + 1] = b'?';
+        if let (true, Some(commit_offset)) = (garble, commit_offset) {
+            bytes[commit_offset + COMMIT_PARAMETER.len() + 1] = b'?';
         }
         let mut rest = &bytes[..count];
         if let Some(mut response_mode) = response_mode.clone() {
             let _ = response_mode.wait_for(|mode| !mode.hold_responses).await;
-            let splits = response_mode.borrow().split_commits;
-            if let (true, Some(at)) = (splits, at) {
-                let (before, after) = rest.split_at(at - FRAME_HEADER_BYTES);
+            let split = response_mode.borrow().split_commits;
+            if let (true, Some(commit_offset)) = (split, commit_offset) {
+                let (before, after) = rest.split_at(commit_offset - FRAME_HEADER_BYTES);
                 if to.write_all(before).await.is_err() {
                     return;
                 }
--- a/crates/proxy/tests/traffic_support/mod.rs
+++ b/crates/proxy/tests/traffic_support/mod.rs
@@ -79,7 +79,7 @@
         .expect("the test ends before the timeout")
 }
 
-/// Declares each case as a test that runs its asynchronous body on a runtime of its own.
+/// Declares each case as a test that runs its asynchronous body on a runtime of its member_status.
 #[macro_export]
 macro_rules! cases {
     ($($(#[doc = $doc:literal])+ $name:ident $body:block)*) => {
@@ -252,12 +252,14 @@
         proxy_index: usize,
         listener: TcpListener,
     ) -> Proxy {
-        let own = topology.vm_id(&vm_name(proxy_index)).expect("the proxy is listed");
+        let own_vm_id = topology.vm_id(&vm_name(proxy_index)).expect("the proxy is listed");
         let homes = (0..3)
             .map(|index| {
-                let ranked = setup.homes.iter().enumerate();
-                let at = ranked.filter(|(_, homes)| homes.contains(&index));
-                at.map(|(home, _)| topology.vm_id(&vm_name(home)).expect("listed")).collect()
+                let homes_by_proxy = setup.homes.iter().enumerate();
+                let home_indices = homes_by_proxy.filter(|(_, homes)| homes.contains(&index));
+                home_indices
+                    .map(|(home, _)| topology.vm_id(&vm_name(home)).expect("listed"))
+                    .collect()
             })
             .collect();
         let live = Arc::new(GroupLive {
@@ -274,7 +276,7 @@
         };
         let published = Published {
             topology: Arc::clone(topology),
-            own_vm: Some(own),
+            own_vm: Some(own_vm_id),
             groups: vec![view],
             homes,
             ready: true,
@@ -315,22 +317,22 @@
     ) {
         let all: Vec<_> = self.targets.iter().map(|server| server.target().subscribe()).collect();
         for index in 0..3 {
-            let mut own = all[index].clone();
+            let mut member_status = all[index].clone();
             let (all, live, muted) = (all.clone(), Arc::clone(live), Arc::clone(muted));
             tokio::spawn(async move {
                 loop {
-                    let reported_statuses: Vec<MemberStatus> = all
+                    let reported: Vec<MemberStatus> = all
                         .iter()
                         .enumerate()
                         .filter(|(other, _)| !muted.lock().contains(other))
                         .map(|(_, status)| status.borrow().clone())
                         .collect();
-                    let status = own.borrow_and_update().clone();
+                    let status = member_status.borrow_and_update().clone();
                     if !muted.lock().contains(&index) {
-                        publish_status(&live, index, &status, &reported_statuses, clock);
+                        publish_status(&live, index, &status, &reported, clock);
                     }
                     tokio::select! {
-                        changed = own.changed() => if changed.is_err() { return },
+                        changed = member_status.changed() => if changed.is_err() { return },
                         () = tokio::time::sleep(Duration::from_millis(20)) => (),
                     }
                 }
@@ -346,16 +348,18 @@
     /// Waits until a member has applied the log up to a position.
     pub async fn wait_applied(&self, index: usize, position: LogPosition) {
         let mut statuses = self.targets[index].target().subscribe();
-        let shown = statuses.wait_for(|status| status.applied >= position);
-        let _ = tokio::time::timeout(TIMEOUT, shown).await.expect("the member applies the log");
+        let applied_status = statuses.wait_for(|status| status.applied >= position);
+        let _ = tokio::time::timeout(TIMEOUT, applied_status)
+            .await
+            .expect("the member applies the log");
     }
 
     /// Waits until the first proxy's published state shows that all members have applied the log up to a
     /// position.
     pub async fn wait_applied_published(&self, position: LogPosition) {
         let live = &self.proxy().live;
-        let known = || live.members.iter().all(|member| *member.applied.lock() >= position);
-        eventually("all members have applied the log", known).await;
+        let all_applied = || live.members.iter().all(|member| *member.applied.lock() >= position);
+        eventually("all members have applied the log", all_applied).await;
     }
 
     /// Promotes a member in a term and makes the others follow it, as the driver of a failover does.
@@ -397,7 +401,7 @@
     /// Returns the value of a counter. Panics if there is no counter of this name.
     pub fn counter(&self, name: &str) -> u64 {
         let all = self.counters.snapshot();
-        let found = all.iter().find(|(known, _)| known == name);
+        let found = all.iter().find(|(counter_name, _)| counter_name == name);
         found.unwrap_or_else(|| panic!("there is no counter `{name}`")).1
     }
 }
@@ -428,7 +432,7 @@
     live: &GroupLive,
     index: usize,
     status: &MemberStatus,
-    reported_statuses: &[MemberStatus],
+    reported: &[MemberStatus],
     clock: MonotonicClock,
 ) {
     let member = &live.members[index];
@@ -436,12 +440,12 @@
     member.reachable.store(true, Ordering::Relaxed);
     member.leaving.store(status.leaving, Ordering::Relaxed);
     member.fresh_as_of_us.store(clock.now_us(), Ordering::Release);
-    let confirms = reported_statuses.iter().filter(|other| other.confirms(status.log)).count();
+    let confirms = reported.iter().filter(|other| other.confirms(status.log)).count();
     if confirms >= 2 {
         live.confirmed.send_if_modified(|confirmed| {
-            let grows = status.log > *confirmed;
+            let advances = status.log > *confirmed;
             *confirmed = status.log.max(*confirmed);
-            grows
+            advances
         });
     }
 }
