--- a/crates/proxy/tests/listing.rs
+++ b/crates/proxy/tests/listing.rs
@@ -1,4 +1,4 @@
-//! What changed between two lists of VMs leads from the one to the other, whatever they hold.
+//! Differences between VM lists: applied to the old list, they yield the new one.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use skylark_proxy::sessions::process::feed::listing::VmList;
 use skylark_proxy::sessions::store::VmAddress;
 
-/// A list with these VMs, each at a port.
+/// Returns a list of the VMs, given as a map from VM number to port.
 fn list(revision: u64, vms: &BTreeMap<u8, u16>) -> VmList {
     let vm = |(name, port): (&u8, &u16)| VmAddress {
         name: format!("vm-{name}").into(),
@@ -17,13 +17,13 @@
 }
 
 quickcheck! {
-    fn changes_lead_to_the_next_list(before: BTreeMap<u8, u16>, after: BTreeMap<u8, u16>) -> bool {
+    fn changes_transform_a_list_into_the_next(before: BTreeMap<u8, u16>, after: BTreeMap<u8, u16>) -> bool {
         let (before, after) = (list(4, &before), list(9, &after));
         before.with(before.changes_to(&after)) == after
     }
 
-    /// Hundreds of VMs are told of one that came without being sent the others again.
-    fn what_did_not_change_is_not_told(vms: BTreeMap<u8, u16>, name: u8, port: u16) -> bool {
+    /// A difference contains only the added or changed VM, so that the update of a large fleet stays small.
+    fn unchanged_vms_are_not_sent(vms: BTreeMap<u8, u16>, name: u8, port: u16) -> bool {
         let before = list(4, &vms);
         let mut next = vms.clone();
         let is_new = next.insert(name, port) != Some(port);
--- a/crates/proxy/tests/traffic_prepared.rs
+++ b/crates/proxy/tests/traffic_prepared.rs
@@ -1,5 +1,5 @@
-//! The extended protocol: prepared statements outlive pooled connections, and batches are answered
-//! in order whatever the proxy adds or leaves out.
+//! The extended query protocol: prepared statements survive a change of pooled connection, and batches are
+//! answered in order even if the proxy adds or omits messages on the way to the target.
 
 use postgres_protocol::IsNull;
 use postgres_protocol::message::frontend;
@@ -7,28 +7,29 @@
 use skylark_proxy::connection::limits::TrafficLimits;
 use skylark_standin::target::options::Lag;
 use tokio_postgres::NoTls;
+use traffic_support::Cluster;
 use traffic_support::GROUP;
 use traffic_support::Setup;
-use traffic_support::World;
 use traffic_support::client::Answer;
 use traffic_support::client::Client;
 
 mod traffic_support;
 
-async fn stock_client(world: &World) -> tokio_postgres::Client {
+async fn connect_tokio_postgres(cluster: &Cluster) -> tokio_postgres::Client {
     let mut config = tokio_postgres::Config::new();
-    config.host("127.0.0.1").port(world.proxy().address.port()).user("desk").dbname(GROUP);
+    config.host("127.0.0.1").port(cluster.proxy().address.port()).user("desk").dbname(GROUP);
     let (client, connection) = config.connect(NoTls).await.expect("the client connects");
     tokio::spawn(connection);
     client
 }
 
-async fn few_connections(connections: u32, limits: TrafficLimits) -> World {
-    let world = World::with(Setup { connections, slots: 2, limits, ..Setup::default() }).await;
-    let mut client = world.client().await;
+async fn start_with_connections(connections: u32, limits: TrafficLimits) -> Cluster {
+    let cluster =
+        Cluster::start_with(Setup { connections, slots: 2, limits, ..Setup::default() }).await;
+    let mut client = cluster.client().await;
     client.query("CREATE TABLE chairs (id INT, name TEXT)").await.ok();
-    world.wait_known(LogPosition::new(1, 2)).await;
-    world
+    cluster.wait_applied_published(LogPosition::new(1, 2)).await;
+    cluster
 }
 
 fn parse(client: &mut Client, name: &str, sql: &str) {
@@ -68,13 +69,13 @@
 }
 
 cases! {
-    /// A stock client prepares, binds binary parameters, and works in transactions; more callers
-    /// than connections use the same statements.
-    stock_clients_share_few_connections {
-        let world = few_connections(2, TrafficLimits::default()).await;
+    /// Clients of a standard library prepare statements, bind binary parameters and use transactions. More
+    /// callers than connections use the same statements.
+    tokio_postgres_clients_share_few_connections {
+        let cluster = start_with_connections(2, TrafficLimits::default()).await;
         let mut callers = Vec::new();
         for caller in 0..8_i32 {
-            let mut client = stock_client(&world).await;
+            let mut client = connect_tokio_postgres(&cluster).await;
             callers.push(tokio::spawn(async move {
                 let insert = "INSERT INTO chairs VALUES ($1, $2)";
                 let insert = client.prepare(insert).await.expect("prepares");
@@ -100,32 +101,34 @@
         for caller in callers {
             caller.await.expect("the caller ends well");
         }
-        let client = stock_client(&world).await;
+        let client = connect_tokio_postgres(&cluster).await;
         let row = client.query_one("SELECT count(*) FROM chairs", &[]).await.expect("counts");
         assert_eq!(row.get::<_, i64>(0), 80);
     }
 
-    /// A caller's statement works on a connection that never saw its Parse.
-    /// 1. The caller prepares on the only connection. 2. The connection is cut. 3. Its next Bind goes
-    /// to a new connection, where the proxy prepares the statement first; the caller sees only its
-    /// own answers.
+    /// A caller's prepared statement works on a connection on which it was not prepared.
+    /// 1. The caller prepares a statement on the only connection.
+    /// 2. The connection is closed.
+    /// 3. The next Bind goes to a new connection, on which the proxy first prepares the statement. The caller
+    ///    sees only the responses to its own messages.
     a_statement_survives_its_connection {
-        let world = few_connections(1, TrafficLimits::default()).await;
-        let mut client = world.client().await;
+        let cluster = start_with_connections(1, TrafficLimits::default()).await;
+        let mut client = cluster.client().await;
         parse(&mut client, "pick", "SELECT $1::text");
         assert_eq!(sync(&mut client).await.ok().types, "1Z");
-        world.gates[0].cut().await;
+        cluster.relays[0].close_connections().await;
         let answer = run(&mut client, "pick", Some("a")).await;
         assert_eq!((answer.value(), answer.types.as_str()), ("a", "2DCZ"));
         assert_eq!(run(&mut client, "pick", Some("b")).await.value(), "b");
-        assert_eq!(world.proxy().counter("statements.prepared_again"), 1);
+        assert_eq!(cluster.proxy().counter("statements.prepared_again"), 1);
     }
 
-    /// Two callers give the same name to different statements, and the same statement two names.
-    names_belong_to_their_caller {
-        let world = few_connections(1, TrafficLimits::default()).await;
-        let mut first = world.client().await;
-        let mut second = world.client().await;
+    /// Statement names are local to a caller: two callers use one name for different statements, and two
+    /// names for the same statement.
+    statement_names_are_local_to_a_caller {
+        let cluster = start_with_connections(1, TrafficLimits::default()).await;
+        let mut first = cluster.client().await;
+        let mut second = cluster.client().await;
         parse(&mut first, "s", "SELECT 'first'");
         sync(&mut first).await.ok();
         parse(&mut second, "s", "SELECT 'second'");
@@ -142,15 +145,15 @@
         assert_eq!(run(&mut first, "s", None).await.error().sqlstate, "26000");
     }
 
-    /// The unnamed statement lasts until the next one, also when the batches that use it run on
-    /// different connections.
-    the_unnamed_statement_lasts {
-        let world = few_connections(1, TrafficLimits::default()).await;
-        let mut client = world.client().await;
+    /// A caller's unnamed statement lasts until its next unnamed Parse, even if another caller prepares its
+    /// own on the same connection in between.
+    the_unnamed_statement_survives_other_callers {
+        let cluster = start_with_connections(1, TrafficLimits::default()).await;
+        let mut client = cluster.client().await;
         parse(&mut client, "", "SELECT $1::text");
         frontend::describe(b'S', "", &mut client.output).expect("a describe");
         assert_eq!(sync(&mut client).await.ok().types, "1tTZ");
-        let mut other = world.client().await;
+        let mut other = cluster.client().await;
         parse(&mut other, "", "SELECT 'other'");
         assert_eq!(sync(&mut other).await.ok().types, "1Z");
         let answer = run(&mut client, "", Some("mine")).await;
@@ -158,15 +161,16 @@
         assert_eq!(run(&mut other, "", None).await.value(), "other");
     }
 
-    /// A connection remembers a bounded number of statements; the oldest makes room unseen.
+    /// The number of prepared statements on a connection is bounded; the proxy closes the oldest one without
+    /// the caller noticing. The number per caller is bounded too, and exceeding it is refused.
     statements_on_a_connection_are_bounded {
         let limits = TrafficLimits {
             prepared_per_connection: 4,
             prepared_per_caller: 20,
             ..TrafficLimits::default()
         };
-        let world = few_connections(1, limits).await;
-        let mut client = world.client().await;
+        let cluster = start_with_connections(1, limits).await;
+        let mut client = cluster.client().await;
         for round in 0..3 {
             for number in 0..20 {
                 let name = format!("s{number}");
@@ -185,10 +189,10 @@
         assert_eq!((refused.error().sqlstate.as_str(), refused.status), ("0A000", Some('I')));
     }
 
-    /// An error in a batch skips the rest of it, and its statements are prepared by none.
+    /// An error in a batch skips its remaining messages, and the statements in them are not prepared.
     an_error_skips_the_rest_of_the_batch {
-        let world = few_connections(1, TrafficLimits::default()).await;
-        let mut client = world.client().await;
+        let cluster = start_with_connections(1, TrafficLimits::default()).await;
+        let mut client = cluster.client().await;
         parse(&mut client, "bad", "SELECT FROM WHERE");
         parse(&mut client, "good", "SELECT 'good'");
         bind_text(&mut client, "", "good", None);
@@ -198,7 +202,7 @@
         parse(&mut client, "good", "SELECT 'good'");
         sync(&mut client).await.ok();
         assert_eq!(run(&mut client, "good", None).await.value(), "good");
-        // The same with the messages flushed one by one.
+        // Repeats the check with messages that are flushed one by one.
         parse(&mut client, "worse", "SELECT FROM WHERE");
         frontend::flush(&mut client.output);
         client.flush().await;
@@ -209,10 +213,10 @@
         assert_eq!(run(&mut client, "good", None).await.value(), "good");
     }
 
-    /// Flushed messages are answered before the Sync, on one connection, as one transaction.
+    /// Flushed messages are answered before the Sync, and run on one connection in one transaction.
     flushed_messages_are_answered_at_once {
-        let world = few_connections(2, TrafficLimits::default()).await;
-        let mut client = world.client().await;
+        let cluster = start_with_connections(2, TrafficLimits::default()).await;
+        let mut client = cluster.client().await;
         parse(&mut client, "put", "INSERT INTO chairs VALUES (1, $1)");
         frontend::flush(&mut client.output);
         client.flush().await;
@@ -222,23 +226,24 @@
         frontend::flush(&mut client.output);
         client.flush().await;
         assert_eq!(client.answer_until('C').await.types, "2C");
-        let mut other = world.client().await;
+        let mut other = cluster.client().await;
         assert_eq!(other.query("SELECT count(*) FROM chairs").await.value(), "0");
         sync(&mut client).await.ok();
         assert_eq!(other.query("SELECT count(*) FROM chairs").await.value(), "1");
     }
 
-    /// A batch without a transaction commits at its Sync: its success is held back until confirmed.
-    /// 1. No replica takes records. 2. Of two inserts each CommandComplete comes before the commit.
+    /// A batch outside a transaction commits at its Sync, and its success is held back until it is confirmed.
+    /// 1. No replica receives records.
+    /// 2. The CommandComplete of both inserts arrives before the commit's position.
     /// 3. The caller sees no success, and "outcome unknown" at the end.
     a_batch_is_held_back_until_confirmed {
         let limits = TrafficLimits { confirm_ms: 100, ..TrafficLimits::default() };
-        let world = few_connections(1, limits).await;
-        for replica in &world.targets[1..] {
+        let cluster = start_with_connections(1, limits).await;
+        for replica in &cluster.targets[1..] {
             replica.target().set_lag(Lag { hold_us: 3_600_000_000, apply_us: 0 });
         }
-        world.gates[0].split_commits();
-        let mut client = world.client().await;
+        cluster.relays[0].split_commits();
+        let mut client = cluster.client().await;
         parse(&mut client, "", "INSERT INTO chairs VALUES (1, 'x')");
         bind_text(&mut client, "", "", None);
         execute(&mut client, "");
@@ -247,10 +252,11 @@
         assert_eq!(lost.error().detail, "outcome unknown");
     }
 
-    /// What the proxy answers itself works in batches too, mixed with what a target answers.
+    /// Statements that the proxy answers itself also work in batches, mixed with statements that a target
+    /// answers.
     parameters_work_in_batches {
-        let world = few_connections(1, TrafficLimits::default()).await;
-        let client = stock_client(&world).await;
+        let cluster = start_with_connections(1, TrafficLimits::default()).await;
+        let client = connect_tokio_postgres(&cluster).await;
         client.execute("SET skylark.read_kind = 'lookup'", &[]).await.expect("sets");
         let row = client.query_one("SHOW skylark.read_kind", &[]).await.expect("shows");
         assert_eq!(row.get::<_, String>(0), "lookup");
@@ -262,7 +268,7 @@
         assert_ne!(row.get::<_, String>(0), "loans-1", "the declared read goes to a replica");
         let copy = client.execute("COPY chairs FROM STDIN", &[]).await;
         assert_eq!(copy.expect_err("refused").code().expect("a code").code(), "0A000");
-        let mut raw = world.client().await;
+        let mut raw = cluster.client().await;
         parse(&mut raw, "vm", "SHOW skylark.vm");
         bind_text(&mut raw, "", "vm", None);
         execute(&mut raw, "");
@@ -274,12 +280,12 @@
         assert_eq!(answer.types, "12DC12DCZ");
     }
 
-    /// A forwarded batch is prepared at the home's connection like any other.
+    /// The statements of a forwarded batch are prepared on the home's connection to the target.
     batches_are_forwarded {
         let setup = Setup { homes: vec![vec![], vec![0, 1, 2]], connections: 2, ..Setup::default() };
-        let world = World::with(setup).await;
-        world.client().await.query("CREATE TABLE chairs (id INT, name TEXT)").await.ok();
-        let mut client = stock_client(&world).await;
+        let cluster = Cluster::start_with(setup).await;
+        cluster.client().await.query("CREATE TABLE chairs (id INT, name TEXT)").await.ok();
+        let mut client = connect_tokio_postgres(&cluster).await;
         let insert = client.prepare("INSERT INTO chairs VALUES ($1, $2)").await.expect("prepares");
         for id in 0..5_i32 {
             client.execute(&insert, &[&id, &"x"]).await.expect("inserts");
@@ -291,11 +297,11 @@
         assert_eq!(row.get::<_, i64>(0), 6);
     }
 
-    /// A large batch whose answers are larger than any buffer does not lock up: the target's answers
-    /// are read while the rest of the batch is still being sent.
-    a_large_batch_does_not_lock_up {
-        let world = few_connections(1, TrafficLimits::default()).await;
-        let mut client = world.client().await;
+    /// A large batch whose responses exceed all buffers does not deadlock, because the proxy reads the
+    /// target's responses while it still sends the rest of the batch.
+    a_large_batch_does_not_deadlock {
+        let cluster = start_with_connections(1, TrafficLimits::default()).await;
+        let mut client = cluster.client().await;
         let text = "x".repeat(20_000);
         for _ in 0..400 {
             parse(&mut client, "", "SELECT $1::text");
@@ -313,7 +319,7 @@
         let mut buffer = vec![0; 1 << 16];
         while received < 400 * 20_000 {
             let read = tokio::io::AsyncReadExt::read(&mut read, &mut buffer).await.expect("read");
-            assert!(read > 0, "the answer comes whole");
+            assert!(read > 0, "the response is complete");
             received += read;
         }
         sending.await.expect("all was sent");
--- a/crates/proxy/tests/traffic_support/client.rs
+++ b/crates/proxy/tests/traffic_support/client.rs
@@ -1,4 +1,4 @@
-//! A client that sends and shows single messages.
+//! A protocol client for tests that sends single messages and exposes the messages of each response.
 
 use std::net::SocketAddr;
 
@@ -11,11 +11,11 @@
 use tokio::net::TcpStream;
 
 use super::GROUP;
-use super::LONG;
+use super::TIMEOUT;
 
-/// An error answer.
+/// The fields of an ErrorResponse message.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
-pub struct ErrorAnswer {
+pub struct ErrorFields {
     pub severity: String,
     pub sqlstate: String,
     pub message: String,
@@ -23,68 +23,69 @@
     pub hint: String,
 }
 
-/// What was answered up to a ReadyForQuery or the end of the connection.
+/// The messages received up to a ReadyForQuery or the end of the connection.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Answer {
     pub rows: Vec<Vec<Option<String>>>,
     pub tags: Vec<String>,
-    pub errors: Vec<ErrorAnswer>,
+    pub errors: Vec<ErrorFields>,
     pub parameters: Vec<(String, String)>,
-    /// The types of all messages in order.
+    /// The type bytes of all messages in order.
     pub types: String,
-    /// The status of the ReadyForQuery, or `None` at the end of the connection.
+    /// The transaction status of the ReadyForQuery, or `None` if the connection ended before it.
     pub status: Option<char>,
 }
 
 impl Answer {
-    /// The only value.
+    /// Returns the first value of the first row. Panics on an error, without a row, or if the value is null.
     pub fn value(&self) -> &str {
-        assert_eq!(self.errors, [], "the request is answered");
+        assert_eq!(self.errors, [], "the request succeeds");
         self.rows[0][0].as_deref().expect("the value is not null")
     }
 
-    /// The only error.
-    pub fn error(&self) -> &ErrorAnswer {
+    /// Returns the error. Panics unless there is exactly one.
+    pub fn error(&self) -> &ErrorFields {
         assert_eq!(self.errors.len(), 1, "one error in {self:?}");
         &self.errors[0]
     }
 
-    /// Asserts success.
+    /// Asserts that there was no error and that the connection is still open.
     pub fn ok(&self) -> &Answer {
-        assert_eq!(self.errors, [], "the request is answered");
-        assert!(self.status.is_some(), "the connection goes on");
+        assert_eq!(self.errors, [], "the request succeeds");
+        assert!(self.status.is_some(), "the connection is still open");
         self
     }
 }
 
-/// A connection of a caller.
+/// A caller's connection to a proxy.
 pub struct Client {
     pub stream: TcpStream,
     input: BytesMut,
     pub output: BytesMut,
-    pub key: (i32, i32),
+    pub cancel_key: (i32, i32),
     pub token: Option<String>,
 }
 
 impl Client {
-    /// Connects as user `desk` with these further parameters, and passes the start-up.
+    /// Connects as user `desk` with additional start-up parameters. Panics if the start-up is refused.
     pub async fn connect(address: SocketAddr, parameters: &[(&str, &str)]) -> Client {
-        let (client, greeting) = Client::try_connect(address, parameters).await;
-        assert_eq!(greeting.errors, [], "the start-up succeeds");
+        let (client, startup_answer) = Client::try_connect(address, parameters).await;
+        assert_eq!(startup_answer.errors, [], "the start-up succeeds");
         client
     }
 
-    /// Connects and returns the answer to the start-up too.
+    /// Does the same as [`Client::connect`], but returns the response to the start-up instead of checking it.
     pub async fn try_connect(address: SocketAddr, parameters: &[(&str, &str)]) -> (Client, Answer) {
-        let mut client = Client::bare(address).await;
-        let mut all = vec![("user", "desk"), ("database", GROUP)];
-        all.extend_from_slice(parameters);
-        // A later value for the same name stands in for the usual one.
-        let last = |name: &str| all.iter().rposition(|(known, _)| *known == name);
-        let unique: Vec<_> = all
+        let mut client = Client::connect_raw(address).await;
+        let mut startup_parameters = vec![("user", "desk"), ("database", GROUP)];
+        startup_parameters.extend_from_slice(parameters);
+        // A later value for the same name replaces the default.
+        let last_index =
+            |name: &str| startup_parameters.iter().rposition(|(known, _)| *known == name);
+        let unique: Vec<_> = startup_parameters
             .iter()
             .enumerate()
-            .filter(|(place, (name, _))| last(name) == Some(*place))
+            .filter(|(index, (name, _))| last_index(name) == Some(*index))
             .map(|(_, pair)| *pair)
             .collect();
         frontend::startup_message(unique, &mut client.output).expect("no zero bytes");
@@ -93,14 +94,20 @@
         (client, answer)
     }
 
-    /// A connection on which nothing was sent.
-    pub async fn bare(address: SocketAddr) -> Client {
+    /// Opens a connection without sending a start-up message.
+    pub async fn connect_raw(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).await.expect("the proxy listens");
         stream.set_nodelay(true).expect("a socket option");
-        Client { stream, input: BytesMut::new(), output: BytesMut::new(), key: (0, 0), token: None }
+        Client {
+            stream,
+            input: BytesMut::new(),
+            output: BytesMut::new(),
+            cancel_key: (0, 0),
+            token: None,
+        }
     }
 
-    /// Sends what was written.
+    /// Sends the messages in `output`.
     pub async fn flush(&mut self) {
         let output = self.output.split();
         self.stream.write_all(&output).await.expect("the proxy reads");
@@ -112,19 +119,19 @@
         self.flush().await;
     }
 
-    /// Sends a simple query and reads its answer.
+    /// Sends a simple query and reads its response.
     pub async fn query(&mut self, sql: &str) -> Answer {
         self.send(sql).await;
         self.answer().await
     }
 
-    /// Reads up to the next ReadyForQuery or the end.
+    /// Reads up to the next ReadyForQuery or the end of the connection.
     pub async fn answer(&mut self) -> Answer {
         self.answer_until('Z').await
     }
 
-    /// Reads up to a message of this type, a ReadyForQuery or the end.
-    pub async fn answer_until(&mut self, last: char) -> Answer {
+    /// Reads up to a message of type `last_type`, a ReadyForQuery or the end of the connection.
+    pub async fn answer_until(&mut self, last_type: char) -> Answer {
         let mut answer = Answer::default();
         loop {
             let tag = self.input.first().map(|tag| *tag as char);
@@ -137,14 +144,14 @@
             };
             let tag = tag.expect("a message begins with its type");
             answer.types.push(tag);
-            self.note(&mut answer, message);
-            if tag == last || answer.status.is_some() {
+            self.record_message(&mut answer, message);
+            if tag == last_type || answer.status.is_some() {
                 return answer;
             }
         }
     }
 
-    fn note(&mut self, answer: &mut Answer, message: Message) {
+    fn record_message(&mut self, answer: &mut Answer, message: Message) {
         match message {
             Message::DataRow(row) => {
                 let ranges: Vec<_> = row.ranges().collect().expect("ranges");
@@ -156,7 +163,7 @@
             }
             Message::CommandComplete(body) => answer.tags.push(body.tag().expect("tag").to_owned()),
             Message::ErrorResponse(body) => {
-                let mut error = ErrorAnswer::default();
+                let mut error = ErrorFields::default();
                 let fields: Vec<_> = body
                     .fields()
                     .map(|field| {
@@ -186,7 +193,9 @@
                 }
                 answer.parameters.push((name.to_owned(), value.to_owned()));
             }
-            Message::BackendKeyData(body) => self.key = (body.process_id(), body.secret_key()),
+            Message::BackendKeyData(body) => {
+                self.cancel_key = (body.process_id(), body.secret_key())
+            }
             Message::ReadyForQuery(body) => answer.status = Some(body.status() as char),
             _ => (),
         }
@@ -194,17 +203,19 @@
 
     async fn read(&mut self) -> bool {
         let read = self.stream.read_buf(&mut self.input);
-        let read = tokio::time::timeout(LONG, read).await.expect("an answer comes in time");
-        // A reset ends the connection like a close.
+        let read = tokio::time::timeout(TIMEOUT, read)
+            .await
+            .expect("the response arrives before the timeout");
+        // A reset counts as the end of the connection.
         !matches!(read, Ok(0) | Err(_))
     }
 }
 
 impl Client {
-    /// Sends a simple query and closes the connection without reading.
-    pub async fn query_and_leave(&mut self, sql: &str) {
+    /// Sends a simple query and closes the sending side without reading the response.
+    pub async fn query_and_disconnect(&mut self, sql: &str) {
         self.send(sql).await;
-        // The request is on its way before the socket closes.
+        // Gives the proxy time to read the request before the socket closes.
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         let _ = self.stream.shutdown().await;
     }
--- a/crates/proxy/tests/traffic_support/mod.rs
+++ b/crates/proxy/tests/traffic_support/mod.rs
@@ -1,4 +1,5 @@
-//! Traffic threads over stand-in targets, with a control side that is driven by the tests.
+//! A cluster for tests of the traffic threads: real traffic threads in front of stand-in targets, with a stub
+//! of the control thread whose published state the tests set.
 
 #![allow(dead_code)]
 
@@ -45,24 +46,25 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use self::gate::Gate;
+use self::fault_relay::FaultRelay;
 
 pub mod client;
-pub mod gate;
+pub mod fault_relay;
 
-/// The group of all tests.
+/// The name of the only group, which is also the database's name.
 pub const GROUP: &str = "loans";
 
-/// The zones of its three members and of the proxies.
+/// The availability zones of the group's three members; proxies are assigned to them in turn.
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-/// Longer than anything takes that is going to happen.
-pub const LONG: Duration = Duration::from_secs(20);
+/// The timeout of each wait, far longer than any expected event takes.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Long enough to show that something does not happen; a slow machine can only hide a failure.
-pub const SHORT: Duration = Duration::from_millis(150);
+/// The time after which an event that has not happened is taken as not happening. On a slow machine this can
+/// only hide a failure, never cause one.
+pub const SETTLE_TIME: Duration = Duration::from_millis(150);
 
-/// A test's runtime.
+/// Runs a test's future on a runtime of its own, with a timeout.
 pub fn block_on<F>(future: F) -> F::Output
 where
     F: Future,
@@ -72,10 +74,12 @@
         .enable_all()
         .build()
         .expect("a runtime starts");
-    runtime.block_on(async { tokio::time::timeout(LONG * 2, future).await }).expect("ends in time")
+    runtime
+        .block_on(async { tokio::time::timeout(TIMEOUT * 2, future).await })
+        .expect("the test ends before the timeout")
 }
 
-/// Names each case: an asynchronous test on a runtime of its own.
+/// Declares each case as a test that runs its asynchronous body on a runtime of its member_status.
 #[macro_export]
 macro_rules! cases {
     ($($(#[doc = $doc:literal])+ $name:ident $body:block)*) => {
@@ -87,28 +91,29 @@
     };
 }
 
-/// Waits until something holds.
-pub async fn eventually<F>(what: &str, mut holds: F)
+/// Polls until the condition holds. Panics after [`TIMEOUT`] with the condition's description.
+pub async fn eventually<F>(condition: &str, mut holds: F)
 where
     F: FnMut() -> bool,
 {
     let started = std::time::Instant::now();
     while !holds() {
-        assert!(started.elapsed() < LONG, "never came about: {what}");
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting until {condition}");
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// How a world is set up.
+/// The options of a [`Cluster`].
 #[derive(Clone)]
 pub struct Setup {
-    /// One proxy for each entry, with the members (counted from 0) that it is home to.
+    /// One proxy for each entry, with the indices (from 0) of the members that it is home to, that is,
+    /// connects to. A proxy with none forwards its callers' requests to the homes.
     pub homes: Vec<Vec<usize>>,
-    /// The limits of all proxies.
+    /// The limits that all proxies use.
     pub limits: TrafficLimits,
-    /// How many connections a target accepts.
+    /// The number of connections that each target accepts.
     pub connections: u32,
-    /// How many statements a target runs at once.
+    /// The number of statements that each target runs concurrently.
     pub slots: u32,
 }
 
@@ -123,56 +128,56 @@
     }
 }
 
-/// Three targets of one group in three zones, a gate in front of each, and proxies.
-pub struct World {
+/// Three targets of one group in three zones, a fault-injecting relay in front of each, and proxies.
+pub struct Cluster {
     pub targets: Vec<TargetServer>,
-    pub gates: Vec<Gate>,
+    pub relays: Vec<FaultRelay>,
     pub proxies: Vec<Proxy>,
-    /// The floors that the control side knows by session, shared by all proxies.
+    /// The position of each session's last acknowledged write, shared by the control stubs of all proxies.
     pub floors: Arc<Mutex<FastMap<String, LogPosition>>>,
     network: Arc<Network>,
 }
 
-/// One process's traffic threads.
+/// The traffic threads of one process, and the state that they share with its control stub.
 pub struct Proxy {
     pub address: std::net::SocketAddr,
     pub slot: PublishedSlot,
     pub counters: Arc<Counters>,
     pub live: Arc<GroupLive>,
     pub clock: MonotonicClock,
-    /// Members whose reports do not reach the control side.
+    /// The indices of members whose status reports don't reach the control stub.
     pub muted: Arc<Mutex<FastSet<usize>>>,
-    /// Events other than about floors.
-    pub seen: Arc<Mutex<Vec<ControlEvent>>>,
-    pub serving: JoinHandle<()>,
+    /// The events that the control stub received, except those about floors.
+    pub control_events: Arc<Mutex<Vec<ControlEvent>>>,
+    pub server_task: JoinHandle<()>,
 }
 
-impl World {
-    /// The usual world: one proxy that is home to all members.
-    pub async fn start() -> World {
-        World::with(Setup::default()).await
+impl Cluster {
+    /// Starts the default cluster: one proxy that is home to all members.
+    pub async fn start() -> Cluster {
+        Cluster::start_with(Setup::default()).await
     }
 
-    pub async fn with(setup: Setup) -> World {
+    pub async fn start_with(setup: Setup) -> Cluster {
         let network = Network::new();
         let mut targets = Vec::new();
-        let mut gates = Vec::new();
-        for (place, zone) in ZONES.iter().enumerate() {
-            let mut options = TargetOptions::new(&member(place), GROUP, zone);
+        let mut relays = Vec::new();
+        for (index, zone) in ZONES.iter().enumerate() {
+            let mut options = TargetOptions::new(&member_name(index), GROUP, zone);
             options.connections = setup.connections;
             options.slots = setup.slots;
             let server = TargetServer::start(options, &network).await.expect("a port is free");
-            gates.push(Gate::start(server.address()).await);
+            relays.push(FaultRelay::start(server.address()).await);
             targets.push(server);
         }
-        lead(&targets, 0, 1);
-        let mut world =
-            World { targets, gates, proxies: Vec::new(), floors: Arc::default(), network };
-        world.start_proxies(&setup).await;
-        for place in 0..3 {
-            world.wait_applied(place, LogPosition::new(1, 1)).await;
+        make_primary(&targets, 0, 1);
+        let mut cluster =
+            Cluster { targets, relays, proxies: Vec::new(), floors: Arc::default(), network };
+        cluster.start_proxies(&setup).await;
+        for index in 0..3 {
+            cluster.wait_applied(index, LogPosition::new(1, 1)).await;
         }
-        world
+        cluster
     }
 
     async fn start_proxies(&mut self, setup: &Setup) {
@@ -183,21 +188,21 @@
         let addresses: Vec<_> =
             listeners.iter().map(|listener| listener.local_addr().expect("bound")).collect();
         let topology = Arc::new(self.topology(setup, &addresses));
-        for (number, listener) in listeners.into_iter().enumerate() {
-            let proxy = self.start_proxy(setup, &topology, number, listener);
+        for (proxy_index, listener) in listeners.into_iter().enumerate() {
+            let proxy = self.start_proxy(setup, &topology, proxy_index, listener);
             self.proxies.push(proxy);
         }
     }
 
     fn topology(&self, setup: &Setup, addresses: &[std::net::SocketAddr]) -> Topology {
         let members: Vec<_> = self
-            .gates
+            .relays
             .iter()
             .enumerate()
-            .map(|(place, gate)| {
+            .map(|(index, relay)| {
                 json!({
-                    "target": member(place), "zone": ZONES[place],
-                    "address": gate.address().to_string(),
+                    "target": member_name(index), "zone": ZONES[index],
+                    "address": relay.address().to_string(),
                     "slots": setup.slots, "connections": setup.connections,
                 })
             })
@@ -222,9 +227,9 @@
         let vms = addresses
             .iter()
             .enumerate()
-            .map(|(number, address)| VmRecord {
-                vm: vm(number),
-                zone: ZONES[number % 3].to_owned(),
+            .map(|(proxy_index, address)| VmRecord {
+                vm: vm_name(proxy_index),
+                zone: ZONES[proxy_index % 3].to_owned(),
                 address: address.to_string(),
                 control_address: address.to_string(),
                 state: VmState::Live,
@@ -244,22 +249,24 @@
         &self,
         setup: &Setup,
         topology: &Arc<Topology>,
-        number: usize,
+        proxy_index: usize,
         listener: TcpListener,
     ) -> Proxy {
-        let own = topology.vm_id(&vm(number)).expect("the proxy is listed");
+        let own_vm_id = topology.vm_id(&vm_name(proxy_index)).expect("the proxy is listed");
         let homes = (0..3)
-            .map(|place| {
-                let ranked = setup.homes.iter().enumerate();
-                let at = ranked.filter(|(_, homes)| homes.contains(&place));
-                at.map(|(home, _)| topology.vm_id(&vm(home)).expect("listed")).collect()
+            .map(|index| {
+                let homes_by_proxy = setup.homes.iter().enumerate();
+                let home_indices = homes_by_proxy.filter(|(_, homes)| homes.contains(&index));
+                home_indices
+                    .map(|(home, _)| topology.vm_id(&vm_name(home)).expect("listed"))
+                    .collect()
             })
             .collect();
         let live = Arc::new(GroupLive {
             confirmed: watch::Sender::new(LogPosition::default()),
             members: (0..3).map(|_| MemberLive::default()).collect(),
         });
-        let tracked = !setup.homes[number].is_empty();
+        let tracked = !setup.homes[proxy_index].is_empty();
         let view = GroupView {
             leader: Some(Leader { term: Term(1), target: TargetId(0) }),
             moving: false,
@@ -269,7 +276,7 @@
         };
         let published = Published {
             topology: Arc::clone(topology),
-            own_vm: Some(own),
+            own_vm: Some(own_vm_id),
             groups: vec![view],
             homes,
             ready: true,
@@ -280,52 +287,52 @@
         let counters = Arc::new(Counters::default());
         let clock = MonotonicClock::start();
         let muted = Arc::default();
-        let seen = Arc::default();
+        let control_events = Arc::default();
         if tracked {
-            self.follow_members(&live, clock, &muted);
+            self.publish_member_statuses(&live, clock, &muted);
         }
-        tokio::spawn(control_side(events, Arc::clone(&self.floors), Arc::clone(&seen)));
+        tokio::spawn(control_stub(events, Arc::clone(&self.floors), Arc::clone(&control_events)));
         let address = listener.local_addr().expect("bound");
-        let serving = tokio::spawn(traffic::serve(TrafficOptions {
+        let server_task = tokio::spawn(traffic::serve(TrafficOptions {
             threads: 2,
             listener,
             slot: Arc::clone(&slot),
             control,
             counters: Arc::clone(&counters),
             limits: setup.limits.clone(),
-            vm: vm(number),
-            zone: ZONES[number % 3].to_owned(),
+            vm: vm_name(proxy_index),
+            zone: ZONES[proxy_index % 3].to_owned(),
             clock,
             log: slog::Logger::root(slog::Discard, slog::o!()),
         }));
-        Proxy { address, slot, counters, live, clock, muted, seen, serving }
+        Proxy { address, slot, counters, live, clock, muted, control_events, server_task }
     }
 
-    /// Publishes what the members report, as the control thread does.
-    fn follow_members(
+    /// Publishes the members' status reports, as the control thread does.
+    fn publish_member_statuses(
         &self,
         live: &Arc<GroupLive>,
         clock: MonotonicClock,
         muted: &Arc<Mutex<FastSet<usize>>>,
     ) {
         let all: Vec<_> = self.targets.iter().map(|server| server.target().subscribe()).collect();
-        for place in 0..3 {
-            let mut own = all[place].clone();
+        for index in 0..3 {
+            let mut member_status = all[index].clone();
             let (all, live, muted) = (all.clone(), Arc::clone(live), Arc::clone(muted));
             tokio::spawn(async move {
                 loop {
-                    let heard: Vec<MemberStatus> = all
+                    let reported: Vec<MemberStatus> = all
                         .iter()
                         .enumerate()
                         .filter(|(other, _)| !muted.lock().contains(other))
                         .map(|(_, status)| status.borrow().clone())
                         .collect();
-                    let status = own.borrow_and_update().clone();
-                    if !muted.lock().contains(&place) {
-                        note(&live, place, &status, &heard, clock);
+                    let status = member_status.borrow_and_update().clone();
+                    if !muted.lock().contains(&index) {
+                        publish_status(&live, index, &status, &reported, clock);
                     }
                     tokio::select! {
-                        changed = own.changed() => if changed.is_err() { return },
+                        changed = member_status.changed() => if changed.is_err() { return },
                         () = tokio::time::sleep(Duration::from_millis(20)) => (),
                     }
                 }
@@ -333,38 +340,41 @@
         }
     }
 
-    /// The first proxy.
+    /// Returns the first proxy.
     pub fn proxy(&self) -> &Proxy {
         &self.proxies[0]
     }
 
-    /// Waits until a member shows a record.
-    pub async fn wait_applied(&self, place: usize, position: LogPosition) {
-        let mut statuses = self.targets[place].target().subscribe();
-        let shown = statuses.wait_for(|status| status.applied >= position);
-        let _ = tokio::time::timeout(LONG, shown).await.expect("the member applies the record");
+    /// Waits until a member has applied the log up to a position.
+    pub async fn wait_applied(&self, index: usize, position: LogPosition) {
+        let mut statuses = self.targets[index].target().subscribe();
+        let applied_status = statuses.wait_for(|status| status.applied >= position);
+        let _ = tokio::time::timeout(TIMEOUT, applied_status)
+            .await
+            .expect("the member applies the log");
     }
 
-    /// Waits until the first proxy knows that all members show a record.
-    pub async fn wait_known(&self, position: LogPosition) {
+    /// Waits until the first proxy's published state shows that all members have applied the log up to a
+    /// position.
+    pub async fn wait_applied_published(&self, position: LogPosition) {
         let live = &self.proxy().live;
-        let known = || live.members.iter().all(|member| *member.applied.lock() >= position);
-        eventually("all members show the record", known).await;
+        let all_applied = || live.members.iter().all(|member| *member.applied.lock() >= position);
+        eventually("all members have applied the log", all_applied).await;
     }
 
-    /// Makes a member lead a term, as a driver does.
-    pub fn lead(&self, place: usize, term: u64) {
-        lead(&self.targets, place, term);
+    /// Promotes a member in a term and makes the others follow it, as the driver of a failover does.
+    pub fn make_primary(&self, index: usize, term: u64) {
+        make_primary(&self.targets, index, term);
     }
 
-    /// A client of the first proxy.
+    /// Connects a client to the first proxy.
     pub async fn client(&self) -> client::Client {
         client::Client::connect(self.proxy().address, &[]).await
     }
 }
 
 impl Proxy {
-    /// Publishes a changed version.
+    /// Publishes a modified copy of the current state.
     pub fn publish<F>(&self, change: F)
     where
         F: FnOnce(&mut Published),
@@ -382,68 +392,68 @@
         self.slot.store(Arc::new(next));
     }
 
-    /// Publishes another leader.
-    pub fn publish_leader(&self, place: usize, term: u64) {
-        let leader = Leader { term: Term(term), target: TargetId(place as u32) };
+    /// Publishes a member as the primary of a term.
+    pub fn publish_leader(&self, index: usize, term: u64) {
+        let leader = Leader { term: Term(term), target: TargetId(index as u32) };
         self.publish(|published| published.groups[0].leader = Some(leader));
     }
 
-    /// The value of a counter.
+    /// Returns the value of a counter. Panics if there is no counter of this name.
     pub fn counter(&self, name: &str) -> u64 {
         let all = self.counters.snapshot();
-        let found = all.iter().find(|(known, _)| known == name);
+        let found = all.iter().find(|(counter_name, _)| counter_name == name);
         found.unwrap_or_else(|| panic!("there is no counter `{name}`")).1
     }
 }
 
-/// The name of the member at a place, counted from 0.
-pub fn member(place: usize) -> String {
-    format!("{GROUP}-{}", place + 1)
+/// Returns the name of the member with an index, which counts from 0.
+pub fn member_name(index: usize) -> String {
+    format!("{GROUP}-{}", index + 1)
 }
 
-/// The name of a proxy's VM.
-pub fn vm(number: usize) -> String {
-    format!("vm-{number}")
+/// Returns the name of the VM of the proxy with an index.
+pub fn vm_name(proxy_index: usize) -> String {
+    format!("vm-{proxy_index}")
 }
 
-fn lead(targets: &[TargetServer], place: usize, term: u64) {
+fn make_primary(targets: &[TargetServer], index: usize, term: u64) {
     for server in targets {
         server.target().raise_term(Term(term), "test");
     }
-    targets[place].target().promote(Term(term), "test");
+    targets[index].target().promote(Term(term), "test");
     for (other, server) in targets.iter().enumerate() {
-        if other != place {
-            server.target().follow(Term(term), targets[place].address());
+        if other != index {
+            server.target().follow(Term(term), targets[index].address());
         }
     }
 }
 
-fn note(
+fn publish_status(
     live: &GroupLive,
-    place: usize,
+    index: usize,
     status: &MemberStatus,
-    heard: &[MemberStatus],
+    reported: &[MemberStatus],
     clock: MonotonicClock,
 ) {
-    let member = &live.members[place];
+    let member = &live.members[index];
     *member.applied.lock() = status.applied;
     member.reachable.store(true, Ordering::Relaxed);
     member.leaving.store(status.leaving, Ordering::Relaxed);
     member.fresh_as_of_us.store(clock.now_us(), Ordering::Release);
-    let confirms = heard.iter().filter(|other| other.confirms(status.log)).count();
+    let confirms = reported.iter().filter(|other| other.confirms(status.log)).count();
     if confirms >= 2 {
         live.confirmed.send_if_modified(|confirmed| {
-            let grows = status.log > *confirmed;
+            let advances = status.log > *confirmed;
             *confirmed = status.log.max(*confirmed);
-            grows
+            advances
         });
     }
 }
 
-async fn control_side(
+async fn control_stub(
     mut events: mpsc::UnboundedReceiver<VersionedEvent>,
     floors: Arc<Mutex<FastMap<String, LogPosition>>>,
-    seen: Arc<Mutex<Vec<ControlEvent>>>,
+    control_events: Arc<Mutex<Vec<ControlEvent>>>,
 ) {
     while let Some(VersionedEvent { event, .. }) = events.recv().await {
         match event {
@@ -457,7 +467,7 @@
                 let floor = floors.lock().get(&session).copied();
                 let _ = answer.send(floor.unwrap_or_default());
             }
-            other => seen.lock().push(other),
+            other => control_events.lock().push(other),
         }
     }
 }
