--- a/crates/proxy/src/process/counters.rs
+++ b/crates/proxy/src/process/counters.rs
@@ -109,7 +109,7 @@
         /// Requests that waited for a primary that moves or changes.
         PrimaryWaits = "waits.primary",
         /// Members asked how they stand.
-        WordsAsked = "words.asked",
+        MembersAsked = "words.asked",
         /// Homes asked for a position of a primary.
         PositionsAsked = "positions.asked",
         /// Checks of the paths to a target.
@@ -129,7 +129,7 @@
         /// Bytes that a watcher sent to those that it tells.
         FeedBytes = "feed.bytes_sent",
         /// Watchers that were given up by those that they told, or should have told.
-        FeedsGivenUp = "feed.given_up",
+        FeedsAbandoned = "feed.given_up",
     }
 }
 
@@ -159,7 +159,7 @@
 
 counted! {
     /// Why a call to the platform's store has to be made again.
-    StoreTrouble {
+    StoreRetryReason {
         /// Another change came first.
         Conflict = "store.again.conflict",
         /// The history that a watch goes on from is gone.
@@ -179,7 +179,7 @@
     refusals: Vec<AtomicU64>,
     retries: Vec<AtomicU64>,
     store_calls: Vec<AtomicU64>,
-    store_troubles: Vec<AtomicU64>,
+    store_retries: Vec<AtomicU64>,
     reads: Vec<AtomicU64>,
     events: Vec<AtomicU64>,
 }
@@ -191,7 +191,7 @@
             refusals: zeros(ErrorKind::ALL.len()),
             retries: zeros(RetryReason::ALL.len()),
             store_calls: zeros(StoreCall::ALL.len()),
-            store_troubles: zeros(StoreTrouble::ALL.len()),
+            store_retries: zeros(StoreRetryReason::ALL.len()),
             reads: zeros(ReadReason::ALL.len()),
             events: zeros(Event::ALL.len()),
         }
@@ -215,8 +215,8 @@
     }
 
     /// Counts a call to the store that has to be made again.
-    pub fn store_trouble(&self, trouble: StoreTrouble) {
-        add(&self.store_troubles[trouble as usize]);
+    pub fn store_retry(&self, trouble: StoreRetryReason) {
+        add(&self.store_retries[trouble as usize]);
     }
 
     /// Counts a read by where it was served or why it was not.
@@ -250,8 +250,8 @@
     }
 
     /// How many calls to the store have to be made again for this reason.
-    pub fn store_troubles_of(&self, trouble: StoreTrouble) -> u64 {
-        self.store_troubles[trouble as usize].load(Ordering::Relaxed)
+    pub fn store_retries_of(&self, trouble: StoreRetryReason) -> u64 {
+        self.store_retries[trouble as usize].load(Ordering::Relaxed)
     }
 
     /// How many reads went there for this reason.
@@ -279,8 +279,8 @@
         for call in StoreCall::ALL {
             all.push((call.name().to_owned(), self.store_calls_of(*call)));
         }
-        for trouble in StoreTrouble::ALL {
-            all.push((trouble.name().to_owned(), self.store_troubles_of(*trouble)));
+        for trouble in StoreRetryReason::ALL {
+            all.push((trouble.name().to_owned(), self.store_retries_of(*trouble)));
         }
         for event in Event::ALL {
             all.push((event.name().to_owned(), self.events_of(*event)));
--- a/crates/proxy/src/sessions/process/counted_store.rs
+++ b/crates/proxy/src/sessions/process/counted_store.rs
@@ -10,7 +10,7 @@
 
 use crate::process::counters::Counters;
 use crate::process::counters::StoreCall;
-use crate::process::counters::StoreTrouble;
+use crate::process::counters::StoreRetryReason;
 use crate::sessions::store::At;
 use crate::sessions::store::Freshness;
 use crate::sessions::store::ListedTarget;
@@ -42,19 +42,19 @@
         self.counters.store_call(call);
         let result = result.await;
         if let Err(error) = &result {
-            self.counters.store_trouble(trouble_of(error));
+            self.counters.store_retry(trouble_of(error));
         }
         result
     }
 }
 
-fn trouble_of(error: &StoreError) -> StoreTrouble {
+fn trouble_of(error: &StoreError) -> StoreRetryReason {
     match error {
-        StoreError::Conflict => StoreTrouble::Conflict,
-        StoreError::HistoryGone => StoreTrouble::HistoryGone,
-        StoreError::Refused(_) => StoreTrouble::Refused,
-        StoreError::NoAnswer(_) => StoreTrouble::NoAnswer,
-        StoreError::Malformed(_) => StoreTrouble::Malformed,
+        StoreError::Conflict => StoreRetryReason::Conflict,
+        StoreError::HistoryGone => StoreRetryReason::HistoryGone,
+        StoreError::Refused(_) => StoreRetryReason::Refused,
+        StoreError::NoAnswer(_) => StoreRetryReason::NoAnswer,
+        StoreError::Malformed(_) => StoreRetryReason::Malformed,
     }
 }
 
--- a/crates/proxy/src/sessions/process/feed/listen.rs
+++ b/crates/proxy/src/sessions/process/feed/listen.rs
@@ -209,7 +209,7 @@
         watcher.set_told(None);
     }
     let gateway = &watcher.gateway;
-    gateway.counters.event(Event::FeedsGivenUp);
+    gateway.counters.event(Event::FeedsAbandoned);
     slog::info!(gateway.log, "not told by a watcher";
         "watcher" => &*vm.name, "as" => ?teller, "reason" => end.to_string(),
         "unfinished_bytes" => feed.input.len(), "version" => watcher.version());
--- a/crates/proxy/src/sessions/request/prove.rs
+++ b/crates/proxy/src/sessions/request/prove.rs
@@ -209,7 +209,7 @@
     if gateway.lead_verdict(target, moment_us) != LeadVerdict::TermUnknown {
         return Ok(());
     }
-    gateway.counters.event(Event::WordsAsked);
+    gateway.counters.event(Event::MembersAsked);
     let asked_us = gateway.clock.now_us();
     let until = gateway.clock.instant_at(asked_us + limits::STATUS_TIMEOUT_US);
     let reply = link.ask(&Query::Standing, until).await?;
@@ -275,7 +275,7 @@
 where
     C: Codec,
 {
-    gateway.counters.event(Event::WordsAsked);
+    gateway.counters.event(Event::MembersAsked);
     let now_us = gateway.clock.now_us();
     let until = gateway.clock.instant_at(until_us.min(now_us + limits::STATUS_TIMEOUT_US));
     let path = member.path();
