--- a/crates/proxy/src/process/control/first_version.rs
+++ b/crates/proxy/src/process/control/first_version.rs
@@ -26,13 +26,13 @@
 use crate::process::peer::client;
 
 /// The time limit of the first call to the platform.
-pub const FIRST_LIMIT_MS: u64 = 2_000;
+pub const INITIAL_TIMEOUT_MS: u64 = 2_000;
 
 /// The highest time limit of a call.
-pub const MOST_LIMIT_MS: u64 = 30_000;
+pub const MAX_TIMEOUT_MS: u64 = 30_000;
 
 /// The longest pause between two calls. A platform that comes back waits for no process longer.
-pub const MOST_PAUSE_MS: u64 = 8_000;
+pub const MAX_PAUSE_MS: u64 = 8_000;
 
 /// The limits and the pauses of the calls for the first version.
 ///
@@ -41,27 +41,27 @@
 /// Doubling the limit lets some call have the time it needs, whatever that is up to the highest
 /// limit; and growing pauses that differ between processes let the load fall.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct StartPace {
+pub struct StartBackoff {
     seed: u64,
     first_pause_ms: u64,
     calls: u32,
 }
 
-impl StartPace {
+impl StartBackoff {
     /// The pace before the first call. Pauses begin at `first_pause_ms`; jitter is drawn from the
     /// seed.
-    pub fn new(seed: u64, first_pause_ms: u64) -> StartPace {
-        StartPace { seed, first_pause_ms, calls: 0 }
+    pub fn new(seed: u64, first_pause_ms: u64) -> StartBackoff {
+        StartBackoff { seed, first_pause_ms, calls: 0 }
     }
 
     /// The time limit of the next call, in milliseconds.
-    pub fn limit_ms(&self) -> u64 {
-        doubled(FIRST_LIMIT_MS, self.calls).min(MOST_LIMIT_MS)
+    pub fn timeout_ms(&self) -> u64 {
+        doubled(INITIAL_TIMEOUT_MS, self.calls).min(MAX_TIMEOUT_MS)
     }
 
     /// Takes in that a call failed, and returns the pause before the next one in milliseconds.
     pub fn failed(&mut self) -> u64 {
-        let pause_ms = doubled(self.first_pause_ms, self.calls).min(MOST_PAUSE_MS);
+        let pause_ms = doubled(self.first_pause_ms, self.calls).min(MAX_PAUSE_MS);
         self.calls = self.calls.saturating_add(1);
         jitter::upper_half_us(self.seed, u64::from(self.calls), pause_ms)
     }
@@ -97,34 +97,34 @@
     /// The platform's answer is the freshest, so its first call has its time before any peer is
     /// asked. Later ones can be long, and peers are asked meanwhile.
     async fn find(&self) -> (Snapshot, Source) {
-        let mut pace = StartPace::new(self.seed, self.settings.timing.platform_retry_ms);
-        if let Some(snapshot) = self.ask_platform(&pace).await {
+        let mut backoff = StartBackoff::new(self.seed, self.settings.timing.platform_retry_ms);
+        if let Some(snapshot) = self.ask_platform(&backoff).await {
             return (snapshot, Source::Platform);
         }
-        let pause_ms = pace.failed();
+        let pause_ms = backoff.failed();
         tokio::select! {
-            snapshot = self.go_on_asking_the_platform(pace, pause_ms) => (snapshot, Source::Platform),
+            snapshot = self.go_on_asking_the_platform(backoff, pause_ms) => (snapshot, Source::Platform),
             snapshot = self.go_on_asking_peers() => (snapshot, Source::Peer),
         }
     }
 
-    async fn ask_platform(&self, pace: &StartPace) -> Option<Snapshot> {
-        let limit = Duration::from_millis(pace.limit_ms());
+    async fn ask_platform(&self, backoff: &StartBackoff) -> Option<Snapshot> {
+        let limit = Duration::from_millis(backoff.timeout_ms());
         self.store.snapshot_within(limit).await.ok()
     }
 
     async fn go_on_asking_the_platform(
         &self,
-        mut pace: StartPace,
+        mut backoff: StartBackoff,
         first_pause_ms: u64,
     ) -> Snapshot {
         let mut pause_ms = first_pause_ms;
         loop {
             time::sleep(Duration::from_millis(pause_ms)).await;
-            if let Some(snapshot) = self.ask_platform(&pace).await {
+            if let Some(snapshot) = self.ask_platform(&backoff).await {
                 return snapshot;
             }
-            pause_ms = pace.failed();
+            pause_ms = backoff.failed();
         }
     }
 
--- a/crates/proxy/src/process/control/sessions.rs
+++ b/crates/proxy/src/process/control/sessions.rs
@@ -53,7 +53,7 @@
                 self.write_acknowledged(group_name(&version, group), session, position);
                 let _ = recorded.send(());
             }
-            ControlEvent::FloorWanted { group, session, answer } => {
+            ControlEvent::FloorRequested { group, session, answer } => {
                 self.floor_wanted(group_name(&version, group), session, answer);
             }
             ControlEvent::TargetFailed { target, evidence } => {
--- a/crates/proxy/src/process/control_handle.rs
+++ b/crates/proxy/src/process/control_handle.rs
@@ -29,7 +29,7 @@
         recorded: oneshot::Sender<()>,
     },
     /// A session with an identity and without a token reads: what must it see?
-    FloorWanted {
+    FloorRequested {
         /// The group read.
         group: GroupId,
         /// The session's identity.
--- a/crates/proxy/src/request/execute.rs
+++ b/crates/proxy/src/request/execute.rs
@@ -131,7 +131,7 @@
         return Ok(());
     }
     let (sender, answer) = oneshot::channel();
-    let event = ControlEvent::FloorWanted {
+    let event = ControlEvent::FloorRequested {
         group: scene.group,
         session: identity.to_owned(),
         answer: sender,
--- a/crates/proxy/tests/control_start.rs
+++ b/crates/proxy/tests/control_start.rs
@@ -10,7 +10,7 @@
 use control_support::settings;
 use control_support::until;
 use skylark_proxy::process::control::first_version;
-use skylark_proxy::process::control::first_version::StartPace;
+use skylark_proxy::process::control::first_version::StartBackoff;
 use skylark_proxy::process::peer::api::PeerApiClient;
 use skylark_proxy::process::peer::client;
 use skylark_standin::deployment::fault::Fault;
@@ -77,18 +77,18 @@
     const FIVE_MINUTES_MS: u64 = 300_000;
     let mut starts = Vec::new();
     for seed in 0..50 {
-        let mut pace = StartPace::new(seed, 500);
+        let mut pace = StartBackoff::new(seed, 500);
         let (mut now_ms, mut limits, mut pauses) = (0, Vec::new(), Vec::new());
         while now_ms < FIVE_MINUTES_MS {
-            limits.push(pace.limit_ms());
-            now_ms += pace.limit_ms();
+            limits.push(pace.timeout_ms());
+            now_ms += pace.timeout_ms();
             pauses.push(pace.failed());
             now_ms += pauses[pauses.len() - 1];
         }
         assert_eq!(limits[..6], [2_000, 4_000, 8_000, 16_000, 30_000, 30_000]);
         assert!(limits.len() <= 13, "{} calls", limits.len());
         for (place, &pause_ms) in pauses.iter().enumerate() {
-            let most_ms = (500 << place.min(10)).min(first_version::MOST_PAUSE_MS);
+            let most_ms = (500 << place.min(10)).min(first_version::MAX_PAUSE_MS);
             assert!((most_ms / 2..=most_ms).contains(&pause_ms), "{pause_ms} at {place}");
         }
         starts.push(pauses);
--- a/crates/proxy/tests/traffic_support/mod.rs
+++ b/crates/proxy/tests/traffic_support/mod.rs
@@ -453,7 +453,7 @@
                 }
                 let _ = recorded.send(());
             }
-            ControlEvent::FloorWanted { session, answer, .. } => {
+            ControlEvent::FloorRequested { session, answer, .. } => {
                 let floor = floors.lock().get(&session).copied();
                 let _ = answer.send(floor.unwrap_or_default());
             }
