--- a/crates/proxy/src/process/control/drive.rs
+++ b/crates/proxy/src/process/control/drive.rs
@@ -21,48 +21,53 @@
 use crate::process::member::client::MemberCommand;
 use crate::process::member::client::MemberError;
 use crate::process::member::task::MemberEvent;
-use crate::process::member::task::MemberNews;
+use crate::process::member::task::MemberUpdate;
 use crate::process::schedule::Purpose;
 
 /// How long a call about a lead record may take before it counts as unanswered.
-const LEAD_CALL: Duration = Duration::from_millis(1000);
+const LEAD_CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 impl<S, C> Control<S, C>
 where
     S: ObjectStore,
     C: MemberClient,
 {
-    pub(super) fn take_member_event(&mut self, event: MemberEvent) {
-        let Some(place) = self.members.get(&event.member).cloned() else { return };
-        let Some(group) = self.groups.get_mut(&place.group) else { return };
+    pub(super) fn handle_member_event(&mut self, event: MemberEvent) {
+        let Some(location) = self.members.get(&event.member).cloned() else { return };
+        let Some(group) = self.groups.get_mut(&location.group) else { return };
         let now_us = self.clock.now_us();
-        match event.news {
-            MemberNews::Report { status, sent_us, command } => {
+        match event.update {
+            MemberUpdate::Report { status, sent_us, command } => {
                 let call = command.and_then(|command| call_of(group, &command));
-                group.report(now_us, Report { place: place.member, status, sent_us, call });
+                group.report(
+                    now_us,
+                    Report { member_index: location.member, status, sent_us, call },
+                );
             }
-            MemberNews::Refused { command, reason } => {
+            MemberUpdate::Refused { command, reason } => {
                 slog::debug!(self.log, "a member refused a command";
-                    "group" => &group.name, "member" => place.member, "reason" => reason);
+                    "group" => &group.name, "member" => location.member, "reason" => reason);
                 if let Some(call) = call_of(group, &command) {
-                    let event = failover::Event::MemberFailed { member: place.member, call };
+                    let event = failover::Event::MemberFailed { member: location.member, call };
                     group.drive(now_us, &event);
                 }
             }
-            MemberNews::Lost(error) => group.lost(now_us, place.member, evidence_of(&error)),
+            MemberUpdate::Lost(error) => {
+                group.connection_lost(now_us, location.member, evidence_of(&error))
+            }
         }
-        self.settle_group(now_us, &place.group);
+        self.apply_group_effects(now_us, &location.group);
     }
 
     /// Carries out what the latest events of a group asked for.
-    pub(super) fn settle_group(&mut self, now_us: u64, name: &Arc<str>) {
-        self.carry_out(now_us, name);
+    pub(super) fn apply_group_effects(&mut self, now_us: u64, name: &Arc<str>) {
+        self.execute_actions(now_us, name);
         let Some(group) = self.groups.get_mut(name) else { return };
         if std::mem::take(&mut group.changed) {
             self.changed = true;
         }
         let Some(tracking) = &mut group.tracking else { return };
-        if tracking.floors.take_asks_members() {
+        if tracking.floors.take_status_request() {
             for member in &tracking.members {
                 member.handle.send(MemberCommand::Status);
             }
@@ -79,13 +84,13 @@
     pub(super) fn driver_timer(&mut self, now_us: u64, name: &str) {
         let Some(group) = self.groups.get_mut(name) else { return };
         group.drive(now_us, &failover::Event::Timer);
-        self.settle_group(now_us, &Arc::from(name));
+        self.apply_group_effects(now_us, &Arc::from(name));
     }
 
     pub(super) fn detector_timer(&mut self, now_us: u64, name: &str, due_us: u64) {
         let Some(group) = self.groups.get_mut(name) else { return };
         group.detector_timer(now_us, due_us);
-        self.settle_group(now_us, &Arc::from(name));
+        self.apply_group_effects(now_us, &Arc::from(name));
     }
 
     pub(super) fn lead_answered(
@@ -97,10 +102,10 @@
         let now_us = self.clock.now_us();
         let Some(group) = self.groups.get_mut(group_name) else { return };
         group.drive(now_us, &failover::Event::Platform { call, answer });
-        self.settle_group(now_us, &Arc::from(group_name));
+        self.apply_group_effects(now_us, &Arc::from(group_name));
     }
 
-    fn carry_out(&mut self, now_us: u64, name: &Arc<str>) {
+    fn execute_actions(&mut self, now_us: u64, name: &Arc<str>) {
         // An action may tell the driver something, which then asks for more.
         loop {
             let Some(group) = self.groups.get_mut(name) else { return };
@@ -110,35 +115,39 @@
             }
             let actions = std::mem::take(&mut tracking.actions);
             for action in actions {
-                self.carry_out_one(now_us, name, action);
+                self.execute_action(now_us, name, action);
             }
         }
     }
 
-    fn carry_out_one(&mut self, now_us: u64, name: &Arc<str>, action: failover::Action) {
+    fn execute_action(&mut self, now_us: u64, name: &Arc<str>, action: failover::Action) {
         match action {
             failover::Action::CallMember { member, call } => self.call_member(name, member, call),
             failover::Action::UpdateLead { call, expected_version, record } => {
                 self.update_lead(name, call, expected_version, record);
             }
             failover::Action::ReadLead { call } => self.read_lead(name, call),
-            failover::Action::HoldWrites => self.note(now_us, name, Decision::WritesHeld),
-            failover::Action::ReleaseWrites => self.note(now_us, name, Decision::WritesReleased),
+            failover::Action::HoldWrites => {
+                self.record_decision(now_us, name, Decision::WritesHeld)
+            }
+            failover::Action::ReleaseWrites => {
+                self.record_decision(now_us, name, Decision::WritesReleased)
+            }
             failover::Action::Announce { leader } => self.announce(now_us, name, leader),
             failover::Action::SetTimer { at_us } => {
                 self.schedule.set(Purpose::Driver(name.to_string()), at_us);
             }
             failover::Action::Trace { step, term } => {
-                self.note(now_us, name, Decision::Stepped { step, term });
+                self.record_decision(now_us, name, Decision::Stepped { step, term });
                 if step == failover::Step::Opened {
-                    self.tell_leaders();
+                    self.announce_leaders();
                 }
             }
         }
     }
 
     /// Records a decision about a group, logs it, and has it published.
-    pub(super) fn note(&mut self, now_us: u64, name: &Arc<str>, decision: Decision) {
+    pub(super) fn record_decision(&mut self, now_us: u64, name: &Arc<str>, decision: Decision) {
         slog::info!(self.log, "decided";
             "group" => &**name, "decision" => decision.to_string(), "reason" => decision.reason());
         if let Some(group) = self.groups.get_mut(name) {
@@ -152,9 +161,9 @@
         group.refresh_stall(now_us);
         let Some(tracking) = &group.tracking else { return };
         let target = tracking.members[leader.member].target.clone();
-        self.note(now_us, name, Decision::Announced { target, term: leader.term });
+        self.record_decision(now_us, name, Decision::Announced { target, term: leader.term });
         if let Some(id) = self.configuration.topology().group_id(name) {
-            self.feed_rank(now_us, id);
+            self.update_driver_rank(now_us, id);
         }
     }
 
@@ -190,7 +199,7 @@
         let body = serde_json::to_value(record).expect("a lead record is plain data");
         tokio::spawn(async move {
             let put = store.put(ObjectKind::Lead, &group, expected_version, body);
-            let answer = match time::timeout(LEAD_CALL, put).await {
+            let answer = match time::timeout(LEAD_CALL_TIMEOUT, put).await {
                 Ok(Ok(answer)) => failover::PlatformAnswer::Took { version: answer.version },
                 Ok(Err(StoreError::Conflict { .. })) => failover::PlatformAnswer::Conflict,
                 Ok(Err(_)) | Err(_) => failover::PlatformAnswer::NoAnswer,
@@ -204,7 +213,7 @@
         let inputs = self.senders.inputs.clone();
         tokio::spawn(async move {
             let get = store.get(ObjectKind::Lead, &group);
-            let answer = match time::timeout(LEAD_CALL, get).await {
+            let answer = match time::timeout(LEAD_CALL_TIMEOUT, get).await {
                 Ok(Ok(object)) => read_answer(&object),
                 Ok(Err(StoreError::NotFound)) => {
                     failover::PlatformAnswer::Read { version: 0, record: None }
--- a/crates/proxy/src/process/control/first_version.rs
+++ b/crates/proxy/src/process/control/first_version.rs
@@ -87,7 +87,7 @@
     pub(super) async fn run(self) {
         let mut orders = self.orders.clone();
         let (snapshot, source) = tokio::select! {
-            found = self.find() => found,
+            found = self.fetch() => found,
             // An offer or a pull was faster, or the process ends.
             _ = orders.wait_for(|order| order.revision > 0) => return,
         };
@@ -96,43 +96,39 @@
 
     /// The platform's answer is the freshest, so its first call has its time before any peer is
     /// asked. Later ones can be long, and peers are asked meanwhile.
-    async fn find(&self) -> (Snapshot, Source) {
+    async fn fetch(&self) -> (Snapshot, Source) {
         let mut backoff = StartBackoff::new(self.seed, self.settings.timing.platform_retry_ms);
-        if let Some(snapshot) = self.ask_platform(&backoff).await {
+        if let Some(snapshot) = self.read_platform(&backoff).await {
             return (snapshot, Source::Platform);
         }
         let pause_ms = backoff.failed();
         tokio::select! {
-            snapshot = self.go_on_asking_the_platform(backoff, pause_ms) => (snapshot, Source::Platform),
-            snapshot = self.go_on_asking_peers() => (snapshot, Source::Peer),
+            snapshot = self.poll_platform(backoff, pause_ms) => (snapshot, Source::Platform),
+            snapshot = self.poll_peers() => (snapshot, Source::Peer),
         }
     }
 
-    async fn ask_platform(&self, backoff: &StartBackoff) -> Option<Snapshot> {
+    async fn read_platform(&self, backoff: &StartBackoff) -> Option<Snapshot> {
         let limit = Duration::from_millis(backoff.timeout_ms());
         self.store.snapshot_within(limit).await.ok()
     }
 
-    async fn go_on_asking_the_platform(
-        &self,
-        mut backoff: StartBackoff,
-        first_pause_ms: u64,
-    ) -> Snapshot {
+    async fn poll_platform(&self, mut backoff: StartBackoff, first_pause_ms: u64) -> Snapshot {
         let mut pause_ms = first_pause_ms;
         loop {
             time::sleep(Duration::from_millis(pause_ms)).await;
-            if let Some(snapshot) = self.ask_platform(&backoff).await {
+            if let Some(snapshot) = self.read_platform(&backoff).await {
                 return snapshot;
             }
             pause_ms = backoff.failed();
         }
     }
 
-    async fn go_on_asking_peers(&self) -> Snapshot {
+    async fn poll_peers(&self) -> Snapshot {
         let retry = Duration::from_millis(self.settings.timing.platform_retry_ms);
         let mut attempt = 0;
         loop {
-            if let Some(snapshot) = self.ask_some_peers(attempt).await {
+            if let Some(snapshot) = self.fetch_from_peers(attempt).await {
                 return snapshot;
             }
             attempt += 1;
@@ -141,28 +137,28 @@
     }
 
     /// The highest version among several peers.
-    async fn ask_some_peers(&self, attempt: u64) -> Option<Snapshot> {
+    async fn fetch_from_peers(&self, attempt: u64) -> Option<Snapshot> {
         let timeout = Duration::from_millis(self.settings.timing.peer_timeout_ms);
         let peers = &self.settings.peers;
         let seed = self.seed.wrapping_add(attempt);
         let chosen = spreading::choose_start_peers(peers.len(), spreading::START_PEERS, seed);
-        let addresses: Vec<String> = chosen.iter().map(|&place| peers[place].to_string()).collect();
+        let addresses: Vec<String> = chosen.iter().map(|&index| peers[index].to_string()).collect();
         let clients = addresses.iter().map(|address| client::open(address, timeout));
-        let mut asked: Vec<_> = clients.map(ask_version).collect();
+        let mut asked: Vec<_> = clients.map(request_version).collect();
         // Every call ends by its own timeout, so the choice needs no deadline.
         let mut choice = StartChoice::new(asked.len(), u64::MAX);
-        for (place, answer) in asked.iter_mut().enumerate() {
+        for (index, answer) in asked.iter_mut().enumerate() {
             match answer.await {
-                Ok(Some(version)) => choice.answered(place, version.revision),
+                Ok(Some(version)) => choice.answered(index, version.revision),
                 Ok(None) | Err(_) => choice.failed(),
             }
         }
-        let StartVerdict::Take(place) = choice.verdict(0) else { return None };
-        client::open_for_snapshots(&addresses[place])?.peer_snapshot().await.ok()
+        let StartVerdict::Take(index) = choice.verdict(0) else { return None };
+        client::open_for_snapshots(&addresses[index])?.peer_snapshot().await.ok()
     }
 }
 
-fn ask_version(client: Option<HttpClient>) -> JoinHandle<Option<api::PeerVersion>> {
-    let nobody = api::PeerVersion::default();
-    tokio::spawn(async move { client?.peer_version(nobody).await.ok() })
+fn request_version(client: Option<HttpClient>) -> JoinHandle<Option<api::PeerVersion>> {
+    let anonymous = api::PeerVersion::default();
+    tokio::spawn(async move { client?.peer_version(anonymous).await.ok() })
 }
--- a/crates/proxy/src/process/control/floors.rs
+++ b/crates/proxy/src/process/control/floors.rs
@@ -16,14 +16,14 @@
 use crate::process::peer::server::Refusal;
 
 /// How long a lookup may take.
-const LOOKUP_US: u64 = 1_000_000;
+const LOOKUP_TIMEOUT_US: u64 = 1_000_000;
 
 /// How long a barrier may take before it is begun again: a member may have gone meanwhile.
-const BARRIER_US: u64 = 200_000;
+const BARRIER_TIMEOUT_US: u64 = 200_000;
 
 /// Who wants to know a session's floor.
 #[derive(Debug)]
-pub enum Asker {
+pub enum FloorRequester {
     /// A traffic thread of this process.
     Traffic(oneshot::Sender<LogPosition>),
     /// Another proxy.
@@ -31,38 +31,38 @@
 }
 
 #[derive(Debug)]
-struct Open {
-    asker: Asker,
+struct PendingLookup {
+    requester: FloorRequester,
     until_us: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct OpenBarrier {
+struct PendingBarrier {
     id: session_floors::BarrierId,
     began_us: u64,
 }
 
 /// The lookups and barriers of one group.
 #[derive(Debug)]
-pub struct FloorDesk {
+pub struct FloorLookups {
     floors: SessionFloors,
-    barrier: Option<OpenBarrier>,
-    open: FastMap<session_floors::LookupId, Open>,
+    barrier: Option<PendingBarrier>,
+    pending: FastMap<session_floors::LookupId, PendingLookup>,
     next_lookup: u64,
-    asks_members: bool,
+    status_request_due: bool,
     revision: u64,
 }
 
-impl FloorDesk {
+impl FloorLookups {
     /// A holder that begins now.
-    pub fn new(members: MemberSet) -> FloorDesk {
+    pub fn new(members: MemberSet) -> FloorLookups {
         let settings = session_floors::SessionFloorsSettings::default();
-        FloorDesk {
+        FloorLookups {
             floors: SessionFloors::new(settings, members),
             barrier: None,
-            open: FastMap::default(),
+            pending: FastMap::default(),
             next_lookup: 0,
-            asks_members: false,
+            status_request_due: false,
             revision: 0,
         }
     }
@@ -89,29 +89,30 @@
     }
 
     /// Looks a session's floor up for the asker.
-    pub fn look_up(&mut self, now_us: u64, session: &str, asker: Asker) {
+    pub fn look_up(&mut self, now_us: u64, session: &str, requester: FloorRequester) {
         self.next_lookup += 1;
         let id = session_floors::LookupId(self.next_lookup);
-        self.open.insert(id, Open { asker, until_us: now_us + LOOKUP_US });
+        self.pending.insert(id, PendingLookup { requester, until_us: now_us + LOOKUP_TIMEOUT_US });
         self.floors.look_up(id, session);
         self.begin_barrier(now_us);
     }
 
     /// Takes a member's report. One that was asked for after a barrier began counts for it; one of
     /// the same microsecond may have been asked for before.
-    pub fn note_report(
+    pub fn handle_report(
         &mut self,
         now_us: u64,
-        place: usize,
+        member_index: usize,
         status: &MemberStatus,
         sent_us: Option<u64>,
     ) {
-        let asked_since = |barrier: &OpenBarrier| sent_us.is_some_and(|at| at > barrier.began_us);
+        let asked_since =
+            |barrier: &PendingBarrier| sent_us.is_some_and(|at| at > barrier.began_us);
         let Some(barrier) = self.barrier.filter(asked_since) else {
-            self.floors.note_status(place, status);
+            self.floors.note_status(member_index, status);
             return;
         };
-        let answers = self.floors.barrier_status(barrier.id, place, status);
+        let answers = self.floors.barrier_status(barrier.id, member_index, status);
         if answers.is_empty() {
             return;
         }
@@ -124,25 +125,28 @@
 
     /// Gives up what took too long.
     pub fn expire(&mut self, now_us: u64) {
-        let late = |(id, open): (&session_floors::LookupId, &Open)| {
-            (open.until_us <= now_us).then_some(*id)
+        let late = |(id, pending): (&session_floors::LookupId, &PendingLookup)| {
+            (pending.until_us <= now_us).then_some(*id)
         };
-        let late: Vec<session_floors::LookupId> = self.open.iter().filter_map(late).collect();
+        let late: Vec<session_floors::LookupId> = self.pending.iter().filter_map(late).collect();
         for id in late {
             self.floors.cancel_lookup(id);
-            if let Some(Open { asker: Asker::Peer(answer), .. }) = self.open.remove(&id) {
+            if let Some(PendingLookup { requester: FloorRequester::Peer(answer), .. }) =
+                self.pending.remove(&id)
+            {
                 let _ = answer.send(Err(Refusal::Unavailable));
             }
         }
-        if let Some(barrier) = self.barrier.take_if(|it| it.began_us + BARRIER_US <= now_us) {
+        if let Some(barrier) = self.barrier.take_if(|it| it.began_us + BARRIER_TIMEOUT_US <= now_us)
+        {
             self.floors.abandon_barrier(barrier.id);
             self.begin_barrier(now_us);
         }
     }
 
     /// Whether every member is to be asked for its status now; says so once for each barrier.
-    pub fn take_asks_members(&mut self) -> bool {
-        std::mem::take(&mut self.asks_members)
+    pub fn take_status_request(&mut self) -> bool {
+        std::mem::take(&mut self.status_request_due)
     }
 
     fn begin_barrier(&mut self, now_us: u64) {
@@ -150,19 +154,19 @@
             return;
         }
         if let Some(id) = self.floors.begin_barrier() {
-            self.barrier = Some(OpenBarrier { id, began_us: now_us });
-            self.asks_members = true;
+            self.barrier = Some(PendingBarrier { id, began_us: now_us });
+            self.status_request_due = true;
         }
     }
 
     fn answer(&mut self, answer: session_floors::FloorAnswer) {
-        let Some(open) = self.open.remove(&answer.lookup) else { return };
+        let Some(pending) = self.pending.remove(&answer.lookup) else { return };
         let position = answer.floor;
-        match open.asker {
-            Asker::Traffic(answer) => {
+        match pending.requester {
+            FloorRequester::Traffic(answer) => {
                 let _ = answer.send(position);
             }
-            Asker::Peer(answer) => {
+            FloorRequester::Peer(answer) => {
                 let revision = self.revision;
                 let _ = answer.send(Ok(api::FloorAnswer { position, revision }));
             }
--- a/crates/proxy/src/process/control/group.rs
+++ b/crates/proxy/src/process/control/group.rs
@@ -98,17 +98,17 @@
         let Some(tracking) = &mut self.tracking else { return };
         tracking.driver.on_event(now_us, event, &mut tracking.actions);
         publish_confirmed(&self.live, tracking.driver.acknowledgement().confirmed());
-        self.follow_leader(now_us);
+        self.update_detector(now_us);
     }
 
     /// Takes a member's report. A write may be waiting for the confirmation in it, so that is
     /// published before anything else is looked at.
     pub fn report(&mut self, now_us: u64, report: Report) {
-        let Report { place, status, sent_us, call } = report;
+        let Report { member_index, status, sent_us, call } = report;
         let Some(tracking) = &mut self.tracking else { return };
         let event = match call {
-            Some(call) => failover::Event::MemberAnswer { member: place, call, status },
-            None => failover::Event::Report { member: place, status },
+            Some(call) => failover::Event::MemberAnswer { member: member_index, call, status },
+            None => failover::Event::Report { member: member_index, status },
         };
         tracking.driver.on_event(now_us, &event, &mut tracking.actions);
         publish_confirmed(&self.live, tracking.driver.acknowledgement().confirmed());
@@ -117,31 +117,42 @@
         else {
             return;
         };
-        let moved = self.note_member(place, status);
-        self.note_age(now_us, place, status, sent_us);
-        self.note_detection(now_us, place, status, sent_us);
+        let moved = self.record_member_status(member_index, status);
+        self.record_read_age(now_us, member_index, status, sent_us);
+        self.record_detection(now_us, member_index, status, sent_us);
         if let Some(tracking) = &mut self.tracking {
-            tracking.floors.note_report(now_us, place, status, sent_us);
+            tracking.floors.handle_report(now_us, member_index, status, sent_us);
         }
-        self.follow_leader(now_us);
-        self.judge(now_us);
+        self.update_detector(now_us);
+        self.update_verdict(now_us);
         if moved {
             self.refresh_stall(now_us);
         }
     }
 
     /// Takes the loss of a member's control connection.
-    pub fn lost(&mut self, now_us: u64, place: usize, evidence: detection::Evidence) {
-        self.live.members[place].reachable.store(false, Ordering::Relaxed);
-        self.primary_evidence(now_us, place, evidence);
+    pub fn connection_lost(
+        &mut self,
+        now_us: u64,
+        member_index: usize,
+        evidence: detection::Evidence,
+    ) {
+        self.live.members[member_index].reachable.store(false, Ordering::Relaxed);
+        self.primary_evidence(now_us, member_index, evidence);
     }
 
     /// Takes evidence about a member, which counts where it is the primary.
-    pub fn primary_evidence(&mut self, now_us: u64, place: usize, evidence: detection::Evidence) {
+    pub fn primary_evidence(
+        &mut self,
+        now_us: u64,
+        member_index: usize,
+        evidence: detection::Evidence,
+    ) {
         let Some(tracking) = &mut self.tracking else { return };
-        if let Some(detector) = tracking.detector.as_mut().filter(|it| it.primary() == place) {
+        if let Some(detector) = tracking.detector.as_mut().filter(|it| it.primary() == member_index)
+        {
             detector.evidence(now_us, evidence);
-            self.judge(now_us);
+            self.update_verdict(now_us);
         }
     }
 
@@ -151,7 +162,7 @@
         tracking.detector_armed = false;
         if let Some(detector) = &mut tracking.detector {
             detector.timer(now_us, due_us);
-            self.judge(now_us);
+            self.update_verdict(now_us);
         }
     }
 
@@ -175,13 +186,13 @@
     }
 
     /// Keeps a member from new work, or ends that. The member's own word is kept apart.
-    pub fn keep_out(&mut self, now_us: u64, place: usize, target: &str, kept_out: bool) {
-        let live = &self.live.members[place];
+    pub fn set_excluded(&mut self, now_us: u64, member_index: usize, target: &str, excluded: bool) {
+        let live = &self.live.members[member_index];
         let before = live.leaving.load(Ordering::Relaxed);
-        let mut leaving = kept_out;
+        let mut leaving = excluded;
         if let Some(tracking) = &mut self.tracking {
-            tracking.members[place].kept_out = kept_out;
-            leaving |= tracking.members[place].says_leaving;
+            tracking.members[member_index].excluded = excluded;
+            leaving |= tracking.members[member_index].reports_leaving;
         }
         live.leaving.store(leaving, Ordering::Relaxed);
         if leaving != before {
@@ -191,53 +202,59 @@
     }
 
     /// Returns whether the member's role or term changed.
-    fn note_member(&mut self, place: usize, status: &MemberStatus) -> bool {
-        let live = &self.live.members[place];
+    fn record_member_status(&mut self, member_index: usize, status: &MemberStatus) -> bool {
+        let live = &self.live.members[member_index];
         live.reachable.store(true, Ordering::Relaxed);
         *live.applied.lock() = status.applied;
         let Some(tracking) = &mut self.tracking else { return false };
-        let member = &mut tracking.members[place];
-        member.says_leaving = status.leaving;
-        live.leaving.store(member.says_leaving || member.kept_out, Ordering::Relaxed);
+        let member = &mut tracking.members[member_index];
+        member.reports_leaving = status.leaving;
+        live.leaving.store(member.reports_leaving || member.excluded, Ordering::Relaxed);
         member.seen.replace((status.role, status.raised_term))
             != Some((status.role, status.raised_term))
     }
 
-    fn note_age(&mut self, now_us: u64, place: usize, status: &MemberStatus, sent_us: Option<u64>) {
+    fn record_read_age(
+        &mut self,
+        now_us: u64,
+        member_index: usize,
+        status: &MemberStatus,
+        sent_us: Option<u64>,
+    ) {
         let Some(tracking) = &mut self.tracking else { return };
         let ages = &mut tracking.ages;
         match sent_us {
             Some(sent_us) => {
-                ages.probe_answered(place, sent_us, now_us, status);
+                ages.probe_answered(member_index, sent_us, now_us, status);
                 for member in 0..self.live.members.len() {
                     publish_age(&self.live.members[member], ages, member);
                 }
             }
             None => {
-                ages.notified(place, now_us, status.applied);
-                publish_age(&self.live.members[place], ages, place);
+                ages.notified(member_index, now_us, status.applied);
+                publish_age(&self.live.members[member_index], ages, member_index);
             }
         }
     }
 
-    fn note_detection(
+    fn record_detection(
         &mut self,
         now_us: u64,
-        place: usize,
+        member_index: usize,
         status: &MemberStatus,
         sent_us: Option<u64>,
     ) {
         let Some(tracking) = &mut self.tracking else { return };
         let Some(detector) = &mut tracking.detector else { return };
-        detector.report(now_us, place, status);
-        if let Some(sent_us) = sent_us.filter(|_| detector.primary() == place) {
+        detector.report(now_us, member_index, status);
+        if let Some(sent_us) = sent_us.filter(|_| detector.primary() == member_index) {
             let round_trip_us = now_us.saturating_sub(sent_us);
             detector.evidence(now_us, detection::Evidence::Answered { round_trip_us });
         }
     }
 
     /// Watches the primary that the reports show.
-    fn follow_leader(&mut self, now_us: u64) {
+    fn update_detector(&mut self, now_us: u64) {
         let Some(tracking) = &mut self.tracking else { return };
         let watched = tracking
             .detector
@@ -255,7 +272,7 @@
         tracking.verdict = detection::Verdict::Trusted;
     }
 
-    fn judge(&mut self, now_us: u64) {
+    fn update_verdict(&mut self, now_us: u64) {
         let Some(tracking) = &mut self.tracking else { return };
         let Some(detector) = &tracking.detector else { return };
         let verdict = detector.verdict(now_us, tracking.driver.members());
--- a/crates/proxy/src/process/control/leaders.rs
+++ b/crates/proxy/src/process/control/leaders.rs
@@ -41,7 +41,7 @@
     }
 
     /// Asks a peer that knows other leaders.
-    pub(super) fn leaders_digest_seen(&mut self, vm: &str, leaders_digest: u64) {
+    pub(super) fn compare_leaders_digest(&mut self, vm: &str, leaders_digest: u64) {
         if leaders_digest == self.leaders_digest() {
             return;
         }
@@ -55,7 +55,7 @@
     }
 
     /// Takes what a peer knows.
-    pub(super) fn take_leader_hints(&mut self, hints: &[api::LeaderHint]) {
+    pub(super) fn handle_leader_hints(&mut self, hints: &[api::LeaderHint]) {
         for hint in hints {
             if let Some(group) = self.groups.get_mut(hint.group.as_str()) {
                 group.hint_leader(&hint.target, hint.term);
@@ -66,7 +66,7 @@
 
     /// Lets every VM know at once that there is a new leader, unless the platform's lead record
     /// will.
-    pub(super) fn tell_leaders(&mut self) {
+    pub(super) fn announce_leaders(&mut self) {
         if self.platform_answers {
             return;
         }
--- a/crates/proxy/src/process/control/mod.rs
+++ b/crates/proxy/src/process/control/mod.rs
@@ -48,7 +48,6 @@
 use crate::version::configuration::Configuration;
 use crate::version::published::PublishedSlot;
 
-pub mod align;
 pub mod drive;
 pub mod first_version;
 pub mod floors;
@@ -57,6 +56,7 @@
 pub mod leaders;
 pub mod platform;
 pub mod publish;
+pub mod reconcile;
 pub mod report;
 pub mod sessions;
 pub mod spread;
@@ -64,13 +64,13 @@
 
 /// How many events are taken before timers are looked at again, so that a flood of reports can't
 /// hold back the probes.
-const EVENTS_PER_TURN: usize = 64;
+const EVENTS_PER_ITERATION: usize = 64;
 
 /// How often expired evidence about VMs and targets is looked for.
-const EVIDENCE_EVERY_US: u64 = 1_000_000;
+const EVIDENCE_EXPIRY_INTERVAL_US: u64 = 1_000_000;
 
 /// How long the last writes may take to be told to other homes at the end.
-const LAST_WRITES: Duration = Duration::from_secs(2);
+const FINAL_WRITES_TIMEOUT: Duration = Duration::from_secs(2);
 
 const US_PER_MS: u64 = 1000;
 
@@ -121,7 +121,7 @@
 
 /// A tracked member's place.
 #[derive(Clone, Debug)]
-struct Place {
+struct MemberLocation {
     group: Arc<str>,
     member: usize,
 }
@@ -144,7 +144,7 @@
     usable: Vec<bool>,
     homes: Option<Homes>,
     groups: FastMap<Arc<str>, Group>,
-    members: FastMap<MemberKey, Place>,
+    members: FastMap<MemberKey, MemberLocation>,
     next_member: u32,
     peers: PeerClients,
     watch_orders: watch::Sender<WatchOrder>,
@@ -171,7 +171,7 @@
 
 /// Whether the control loop goes on.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-enum Turn {
+enum LoopAction {
     Continue,
     /// Pass on what others need to know, and end.
     End,
@@ -245,7 +245,7 @@
             (Purpose::ExchangeVersions, timing.peer_interval_ms * US_PER_MS),
             (Purpose::ReadVmList, timing.vm_list_interval_ms * US_PER_MS),
             (Purpose::SendMetrics, self.settings.metrics.interval_ms * US_PER_MS),
-            (Purpose::ExpireEvidence, EVIDENCE_EVERY_US),
+            (Purpose::ExpireEvidence, EVIDENCE_EXPIRY_INTERVAL_US),
         ];
         for (purpose, every_us) in periods {
             self.schedule.every(purpose, every_us, now_us);
@@ -259,44 +259,44 @@
             // The probes' subscription never ends, so there always is a next tick.
             let due_us = self.schedule.next_due_us().unwrap_or_default();
             let due = self.clock.instant_at(due_us);
-            let turn = tokio::select! {
+            let action = tokio::select! {
                 biased;
                 Some(event) = receivers.members.recv() => {
-                    self.take_member_events(event, &mut receivers.members);
-                    Turn::Continue
+                    self.handle_member_events(event, &mut receivers.members);
+                    LoopAction::Continue
                 }
                 Some(event) = receivers.traffic.recv() => {
-                    self.take_traffic_event(event);
-                    Turn::Continue
+                    self.handle_traffic_event(event);
+                    LoopAction::Continue
                 }
                 Some(input) = receivers.inputs.recv() => {
-                    self.take_input(input);
-                    Turn::Continue
+                    self.handle_input(input);
+                    LoopAction::Continue
                 }
                 Some(request) = receivers.requests.recv() => {
-                    self.take_request(request);
-                    Turn::Continue
+                    self.handle_request(request);
+                    LoopAction::Continue
                 }
-                order = receivers.orders.recv() => self.take_order(order.unwrap_or(Order::Kill)),
-                () = time::sleep_until(due.into()) => Turn::Continue,
+                order = receivers.orders.recv() => self.handle_order(order.unwrap_or(Order::Kill)),
+                () = time::sleep_until(due.into()) => LoopAction::Continue,
             };
-            match turn {
-                Turn::Continue => self.take_due(),
-                Turn::End => return self.end().await,
-                Turn::Kill => return,
+            match action {
+                LoopAction::Continue => self.take_due(),
+                LoopAction::End => return self.end().await,
+                LoopAction::Kill => return,
             }
         }
     }
 
-    fn take_member_events(
+    fn handle_member_events(
         &mut self,
         first: MemberEvent,
         more: &mut mpsc::UnboundedReceiver<MemberEvent>,
     ) {
-        self.take_member_event(first);
-        for _ in 1..EVENTS_PER_TURN {
+        self.handle_member_event(first);
+        for _ in 1..EVENTS_PER_ITERATION {
             let Ok(event) = more.try_recv() else { return };
-            self.take_member_event(event);
+            self.handle_member_event(event);
         }
     }
 
@@ -308,11 +308,11 @@
         let mut due = Vec::new();
         self.schedule.take_due(now_us, &mut due);
         for Due { purpose, due_us } in due {
-            self.serve_purpose(now_us, purpose, due_us);
+            self.run_purpose(now_us, purpose, due_us);
         }
     }
 
-    fn serve_purpose(&mut self, now_us: u64, purpose: Purpose, due_us: u64) {
+    fn run_purpose(&mut self, now_us: u64, purpose: Purpose, due_us: u64) {
         match purpose {
             Purpose::ProbeMembers => self.probe_members(now_us),
             Purpose::ExchangeVersions => self.exchange_versions(),
@@ -339,31 +339,31 @@
         }
         let names: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for name in names {
-            self.settle_group(now_us, &name);
+            self.apply_group_effects(now_us, &name);
         }
     }
 
-    fn take_order(&mut self, order: Order) -> Turn {
+    fn handle_order(&mut self, order: Order) -> LoopAction {
         match order {
             Order::AnnounceStop => {
                 self.stopping = true;
-                self.tell_stopping();
-                Turn::Continue
+                self.announce_stopping();
+                LoopAction::Continue
             }
             Order::BeginStop => {
                 self.stopping = true;
                 self.refusing = true;
                 self.changed = true;
-                Turn::Continue
+                LoopAction::Continue
             }
-            Order::End => Turn::End,
-            Order::Kill => Turn::Kill,
+            Order::End => LoopAction::End,
+            Order::Kill => LoopAction::Kill,
         }
     }
 
     async fn end(&mut self) {
         // Bounded, since the peers may be gone: what they are not told costs them freshness only.
-        let _ = time::timeout(LAST_WRITES, self.send_all_writes()).await;
+        let _ = time::timeout(FINAL_WRITES_TIMEOUT, self.send_all_writes()).await;
         self.send_metrics();
         slog::info!(self.log, "control ended");
     }
--- a/crates/proxy/src/process/control/align.rs
+++ b/crates/proxy/src/process/control/reconcile.rs
@@ -17,9 +17,9 @@
 use skylark_objects::ObjectStore;
 
 use crate::process::control::Control;
-use crate::process::control::Place;
+use crate::process::control::MemberLocation;
 use crate::process::control::US_PER_MS;
-use crate::process::control::floors::FloorDesk;
+use crate::process::control::floors::FloorLookups;
 use crate::process::control::group::Group;
 use crate::process::control::tracking::TrackedMember;
 use crate::process::control::tracking::Tracking;
@@ -36,7 +36,7 @@
 
 /// How long the members of a group are still tracked after this VM stopped being home to one: the
 /// writes under way here wait for confirmations.
-const END_TRACKING_US: u64 = 10_000_000;
+const END_TRACKING_DELAY_US: u64 = 10_000_000;
 
 impl<S, C> Control<S, C>
 where
@@ -44,26 +44,26 @@
     C: MemberClient,
 {
     /// Brings everything in line with the version in force.
-    pub(super) fn align(&mut self, now_us: u64) {
+    pub(super) fn reconcile(&mut self, now_us: u64) {
         let topology = Arc::clone(self.configuration.topology());
         self.membership.usable_vms(&topology, now_us, &mut self.usable);
         let homes_per_target = self.settings.homes_per_target as usize;
         let homes = Homes::build(&topology, &self.usable, homes_per_target);
         self.groups.retain(|name, _| topology.group_id(name).is_some());
         for id in topology.group_ids() {
-            self.align_group(now_us, &topology, &homes, id);
+            self.reconcile_group(now_us, &topology, &homes, id);
         }
         self.homes = Some(homes);
         for id in topology.group_ids() {
-            self.feed_rank(now_us, id);
+            self.update_driver_rank(now_us, id);
         }
-        self.place_members();
+        self.index_members();
         self.refresh_targets(now_us);
-        self.order_watch();
+        self.update_watch_order();
         self.changed = true;
         let names: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for name in names {
-            self.settle_group(now_us, &name);
+            self.apply_group_effects(now_us, &name);
         }
     }
 
@@ -73,7 +73,7 @@
         let mut usable = Vec::new();
         self.membership.usable_vms(self.configuration.topology(), now_us, &mut usable);
         if usable != self.usable {
-            self.align(now_us);
+            self.reconcile(now_us);
         } else {
             self.refresh_targets(now_us);
         }
@@ -86,7 +86,7 @@
             tracking.ages.settle_members();
         }
         group.drive(now_us, &failover::Event::MembersSettled);
-        self.settle_group(now_us, &Arc::from(name));
+        self.apply_group_effects(now_us, &Arc::from(name));
     }
 
     pub(super) fn end_tracking(&mut self, now_us: u64, name: &str) {
@@ -94,9 +94,9 @@
             group.tracking = None;
             group.changed = true;
         }
-        self.place_members();
-        self.note(now_us, &Arc::from(name), Decision::Untracked);
-        self.settle_group(now_us, &Arc::from(name));
+        self.index_members();
+        self.record_decision(now_us, &Arc::from(name), Decision::Untracked);
+        self.apply_group_effects(now_us, &Arc::from(name));
     }
 
     /// This process's VM, once the platform lists it.
@@ -104,7 +104,7 @@
         self.configuration.topology().vm_id(&self.settings.vm)
     }
 
-    fn align_group(&mut self, now_us: u64, topology: &Topology, homes: &Homes, id: GroupId) {
+    fn reconcile_group(&mut self, now_us: u64, topology: &Topology, homes: &Homes, id: GroupId) {
         let spec = topology.group(id);
         let name: Arc<str> = Arc::from(spec.name.as_str());
         let names = member_names(topology, spec);
@@ -113,24 +113,24 @@
             self.groups.insert(Arc::clone(&name), group);
         }
         if self.groups[&name].version != spec.version {
-            self.note(now_us, &name, Decision::Configured { version: spec.version });
+            self.record_decision(now_us, &name, Decision::Configured { version: spec.version });
         }
-        self.align_members(now_us, topology, id, &name, &names);
+        self.reconcile_members(now_us, topology, id, &name, &names);
         let is_home = self.own_vm().is_some_and(|own_vm| is_home(homes, spec, own_vm));
         match (self.groups[&name].tracking.is_some(), is_home) {
             (false, true) => self.start_tracking(now_us, topology, id, &name, &names),
             (true, true) => self.schedule.cancel(&Purpose::EndTracking(spec.name.clone())),
             (true, false) => {
                 let purpose = Purpose::EndTracking(spec.name.clone());
-                self.schedule.set_once(purpose, now_us + END_TRACKING_US);
+                self.schedule.set_if_absent(purpose, now_us + END_TRACKING_DELAY_US);
             }
             (false, false) => {}
         }
-        self.feed_lead(now_us, spec, &name);
+        self.update_driver_lead(now_us, spec, &name);
     }
 
     /// Tells a tracked group's decisions about a new version of its members.
-    fn align_members(
+    fn reconcile_members(
         &mut self,
         now_us: u64,
         topology: &Topology,
@@ -148,7 +148,7 @@
             return;
         };
         let known = tracking.driver.members();
-        let (set, replaced) = next_set(known, spec.version, names);
+        let (set, replaced) = next_member_set(known, spec.version, names);
         let moved = spec
             .members
             .iter()
@@ -162,7 +162,7 @@
             self.schedule.set(Purpose::SettleMembers(spec.name.clone()), now_us + SETTLE_US);
         }
         if replaced {
-            self.note(now_us, name, Decision::MembersReplaced { version: spec.version });
+            self.record_decision(now_us, name, Decision::MembersReplaced { version: spec.version });
         }
         if let Some(group) = self.groups.get_mut(name) {
             group.drive(now_us, &failover::Event::Members { members: set, profiles });
@@ -190,8 +190,8 @@
                     member.target == target.name && member.address == target.address
                 };
                 match known.iter().position(same) {
-                    Some(place) => known.swap_remove(place),
-                    None => self.track(target),
+                    Some(member_index) => known.swap_remove(member_index),
+                    None => self.connect_member(target),
                 }
             })
             .collect();
@@ -210,8 +210,11 @@
     ) {
         let spec = topology.group(id);
         let Ok(set) = MemberSet::new(spec.version, names.to_vec()) else { return };
-        let members =
-            spec.members.iter().map(|&target| self.track(topology.target(target))).collect();
+        let members = spec
+            .members
+            .iter()
+            .map(|&target| self.connect_member(topology.target(target)))
+            .collect();
         // Tracking can end and begin again in one run of the process, and the new driver has forgotten
         // which member the old one promoted. Under the same name it could take up the old one's votes
         // and promote a second member in the same term, so the name carries the number of the next
@@ -226,15 +229,15 @@
             self.seed,
         );
         let detection = self.detection_settings();
-        let tracking = Tracking::new(driver, members, FloorDesk::new(set), detection);
+        let tracking = Tracking::new(driver, members, FloorLookups::new(set), detection);
         if let Some(group) = self.groups.get_mut(name) {
             group.tracking = Some(tracking);
         }
-        self.note(now_us, name, Decision::Tracked);
+        self.record_decision(now_us, name, Decision::Tracked);
     }
 
     /// Opens the control connection of a member.
-    fn track(&mut self, target: &topology::Target) -> TrackedMember {
+    fn connect_member(&mut self, target: &topology::Target) -> TrackedMember {
         let key = MemberKey(self.next_member);
         self.next_member += 1;
         let task = MemberTask {
@@ -253,7 +256,7 @@
         detection::DetectionSettings { silence_us, ..detection::DetectionSettings::default() }
     }
 
-    fn feed_lead(&mut self, now_us: u64, spec: &topology::Group, name: &Arc<str>) {
+    fn update_driver_lead(&mut self, now_us: u64, spec: &topology::Group, name: &Arc<str>) {
         let Some(group) = self.groups.get_mut(name) else { return };
         let (version, record) = match &spec.lead {
             Some((version, record)) => (*version, Some(record.clone())),
@@ -268,7 +271,7 @@
     }
 
     /// Tells a group's driver its place among the candidates, which depends on who leads.
-    pub(super) fn feed_rank(&mut self, now_us: u64, id: GroupId) {
+    pub(super) fn update_driver_rank(&mut self, now_us: u64, id: GroupId) {
         let (Some(own_vm), Some(homes)) = (self.own_vm(), &self.homes) else { return };
         let topology = Arc::clone(self.configuration.topology());
         let spec = topology.group(id);
@@ -279,12 +282,13 @@
         group.drive(now_us, &failover::Event::Rank { rank: rank as u32 });
     }
 
-    fn place_members(&mut self) {
+    fn index_members(&mut self) {
         self.members.clear();
         for (name, group) in &self.groups {
             let Some(tracking) = &group.tracking else { continue };
             for (member, tracked) in tracking.members.iter().enumerate() {
-                self.members.insert(tracked.key, Place { group: Arc::clone(name), member });
+                self.members
+                    .insert(tracked.key, MemberLocation { group: Arc::clone(name), member });
             }
         }
     }
@@ -294,14 +298,14 @@
         let topology = Arc::clone(self.configuration.topology());
         for spec in &topology.groups {
             let Some(group) = self.groups.get_mut(spec.name.as_str()) else { continue };
-            for (place, &target) in spec.members.iter().enumerate() {
+            for (member_index, &target) in spec.members.iter().enumerate() {
                 let target = topology.target(target);
                 let standing = self.membership.target_standing(target, now_us);
-                let kept_out = matches!(
+                let excluded = matches!(
                     standing,
                     membership::Standing::ListedLeaving | membership::Standing::SaidLeaving
                 );
-                group.keep_out(now_us, place, &target.name, kept_out);
+                group.set_excluded(now_us, member_index, &target.name, excluded);
             }
         }
     }
@@ -327,7 +331,7 @@
 /// that missed versions between goes on as one that has just started.
 ///
 /// A version with the same members must not replace the known set: it would end a joint phase.
-fn next_set(known: &MemberSet, version: u64, names: &[String]) -> (MemberSet, bool) {
+fn next_member_set(known: &MemberSet, version: u64, names: &[String]) -> (MemberSet, bool) {
     if known.names() == names || version <= known.version() {
         return (known.clone(), false);
     }
@@ -350,9 +354,10 @@
     primary: Option<skylark_core::ids::TargetId>,
 ) -> Vec<VmId> {
     let zone_of = |target| topology.target(target).zone;
-    let beside = |target| primary.is_some_and(|primary| zone_of(primary) == zone_of(target));
+    let shares_primary_zone =
+        |target| primary.is_some_and(|primary| zone_of(primary) == zone_of(target));
     let (near, far): (Vec<_>, Vec<_>) =
-        spec.members.iter().copied().partition(|&target| beside(target));
+        spec.members.iter().copied().partition(|&target| shares_primary_zone(target));
     let mut candidates = Vec::new();
     for targets in [far, near] {
         let ranks = targets.iter().map(|&target| homes.of(target).len()).max().unwrap_or(0);
--- a/crates/proxy/src/process/control/report.rs
+++ b/crates/proxy/src/process/control/report.rs
@@ -21,7 +21,7 @@
     S: ObjectStore,
     C: MemberClient,
 {
-    pub(super) fn take_request(&mut self, request: PeerRequest) {
+    pub(super) fn handle_request(&mut self, request: PeerRequest) {
         match request {
             PeerRequest::Version(version, answer) => {
                 self.peer_seen(&version);
@@ -33,15 +33,15 @@
                 let _ = answer.send(snapshot.ok_or(Refusal::Unavailable));
             }
             PeerRequest::Offer(offer, answer) => {
-                self.take_offer(offer);
+                self.handle_offer(offer);
                 let _ = answer.send(Ok(self.own_version()));
             }
             PeerRequest::Leaders(answer) => {
                 let _ = answer.send(Ok(self.leader_hints()));
             }
-            PeerRequest::Floor(question, answer) => self.peer_asks_floor(question, answer),
+            PeerRequest::Floor(question, answer) => self.handle_floor_question(question, answer),
             PeerRequest::Writes(notice, answer) => {
-                self.peer_tells_writes(&notice);
+                self.handle_writes_notice(&notice);
                 let _ = answer.send(Ok(self.own_version()));
             }
             PeerRequest::Status(answer) => {
@@ -120,7 +120,9 @@
             moving: tracking.is_some_and(|tracking| tracking.driver.holding()),
             stalled: tracking.is_some_and(|tracking| tracking.stalled),
             members: members
-                .map(|(place, &target)| self.member_report(topology, group, place, target))
+                .map(|(member_index, &target)| {
+                    self.member_report(topology, group, member_index, target)
+                })
                 .collect(),
         }
     }
@@ -129,17 +131,17 @@
         &self,
         topology: &Topology,
         group: &Group,
-        place: usize,
+        member_index: usize,
         id: TargetId,
     ) -> api::MemberReport {
         let target = topology.target(id);
-        let live = &group.live.members[place];
+        let live = &group.live.members[member_index];
         let fresh_us = live.fresh_as_of_us.load(Ordering::Relaxed);
         let age_ms = self.clock.now_us().saturating_sub(fresh_us) / US_PER_MS;
         let latest = group
             .tracking
             .as_ref()
-            .and_then(|tracking| tracking.driver.acknowledgement().latest(place));
+            .and_then(|tracking| tracking.driver.acknowledgement().latest(member_index));
         let homes = self.homes.as_ref().map(|homes| homes.of(id)).unwrap_or_default();
         api::MemberReport {
             target: target.name.clone(),
--- a/crates/proxy/src/process/control/sessions.rs
+++ b/crates/proxy/src/process/control/sessions.rs
@@ -16,7 +16,7 @@
 use tokio::sync::oneshot;
 
 use crate::process::control::Control;
-use crate::process::control::floors::Asker;
+use crate::process::control::floors::FloorRequester;
 use crate::process::control_handle::ControlEvent;
 use crate::process::control_handle::TargetEvidence;
 use crate::process::control_handle::VersionedEvent;
@@ -31,22 +31,22 @@
 use crate::version::published::Published;
 
 /// How long writes are collected before they are told to other homes.
-const COLLECT_US: u64 = 20_000;
+const SESSION_WRITE_DELAY_US: u64 = 20_000;
 
 /// How long writes are collected while none of them belongs to a session with an identity. Told
 /// later they only keep such sessions' reads from the replicas for that long, and each call costs.
-const COLLECT_PLAIN_US: u64 = 200_000;
+const PLAIN_WRITE_DELAY_US: u64 = 200_000;
 
 /// The most writes that wait to be told. What passes it stays unaccounted for at the other homes,
 /// whose answers then ask for more than they need to.
-const MAX_WAITING: usize = 2_000;
+const MAX_UNSENT_WRITES: usize = 2_000;
 
 impl<S, C> Control<S, C>
 where
     S: ObjectStore,
     C: MemberClient,
 {
-    pub(super) fn take_traffic_event(&mut self, versioned: VersionedEvent) {
+    pub(super) fn handle_traffic_event(&mut self, versioned: VersionedEvent) {
         let VersionedEvent { version, event } = versioned;
         match event {
             ControlEvent::WriteAcknowledged { group, session, position, recorded } => {
@@ -54,7 +54,7 @@
                 let _ = recorded.send(());
             }
             ControlEvent::FloorRequested { group, session, answer } => {
-                self.floor_wanted(group_name(&version, group), session, answer);
+                self.handle_floor_request(group_name(&version, group), session, answer);
             }
             ControlEvent::TargetFailed { target, evidence } => {
                 self.target_failed(&version, target, evidence);
@@ -77,25 +77,25 @@
         if let Some(tracking) = &mut group.tracking {
             tracking.floors.record(session.as_deref(), position);
         }
-        if group.unsent_writes.len() + group.unsent_plain.len() >= MAX_WAITING {
+        if group.unsent_writes.len() + group.unsent_plain.len() >= MAX_UNSENT_WRITES {
             return;
         }
         let purpose = Purpose::SendWrites(name.to_string());
         match session {
             Some(session) => {
                 if group.unsent_writes.is_empty() {
-                    self.schedule.set(purpose, now_us + COLLECT_US);
+                    self.schedule.set(purpose, now_us + SESSION_WRITE_DELAY_US);
                 }
                 group.unsent_writes.push(api::SessionWrite { session, position });
             }
             None => {
                 group.unsent_plain.push(position);
-                self.schedule.set_once(purpose, now_us + COLLECT_PLAIN_US);
+                self.schedule.set_if_absent(purpose, now_us + PLAIN_WRITE_DELAY_US);
             }
         }
     }
 
-    fn floor_wanted(
+    fn handle_floor_request(
         &mut self,
         name: Arc<str>,
         session: String,
@@ -105,16 +105,21 @@
         let Some(group) = self.groups.get_mut(&name) else { return };
         match &mut group.tracking {
             Some(tracking) => {
-                tracking.floors.look_up(now_us, &session, Asker::Traffic(answer));
-                self.settle_group(now_us, &name);
+                tracking.floors.look_up(now_us, &session, FloorRequester::Traffic(answer));
+                self.apply_group_effects(now_us, &name);
             }
-            None => self.ask_homes(&name, session, answer),
+            None => self.request_floor_from_homes(&name, session, answer),
         }
     }
 
     /// Asks the primary's homes in order of rank. Without an answer the reader gets none and goes
     /// by what it can show itself.
-    fn ask_homes(&mut self, name: &str, session: String, answer: oneshot::Sender<LogPosition>) {
+    fn request_floor_from_homes(
+        &mut self,
+        name: &str,
+        session: String,
+        answer: oneshot::Sender<LogPosition>,
+    ) {
         let homes = self.primary_homes(name);
         let clients: Vec<_> = homes.iter().filter_map(|&vm| self.client_of(vm)).collect();
         let question = api::FloorQuestion {
@@ -133,7 +138,7 @@
         });
     }
 
-    pub(super) fn peer_asks_floor(
+    pub(super) fn handle_floor_question(
         &mut self,
         question: api::FloorQuestion,
         answer: server::Answer<api::FloorAnswer>,
@@ -150,11 +155,11 @@
             return;
         };
         tracking.floors.set_revision(revision);
-        tracking.floors.look_up(now_us, &question.session, Asker::Peer(answer));
-        self.settle_group(now_us, &Arc::from(question.group));
+        tracking.floors.look_up(now_us, &question.session, FloorRequester::Peer(answer));
+        self.apply_group_effects(now_us, &Arc::from(question.group));
     }
 
-    pub(super) fn peer_tells_writes(&mut self, notice: &api::WritesNotice) {
+    pub(super) fn handle_writes_notice(&mut self, notice: &api::WritesNotice) {
         self.revision_seen(&notice.vm, notice.revision);
         let Some(group) = self.groups.get_mut(notice.group.as_str()) else { return };
         let Some(tracking) = &mut group.tracking else { return };
@@ -233,14 +238,15 @@
         }
         let Some(group) = self.groups.get_mut(&name) else { return };
         let Some(tracking) = &group.tracking else { return };
-        let Some(place) = tracking.members.iter().position(|it| it.target == target.name) else {
+        let Some(member_index) = tracking.members.iter().position(|it| it.target == target.name)
+        else {
             return;
         };
-        tracking.members[place].handle.send(MemberCommand::Probe);
+        tracking.members[member_index].handle.send(MemberCommand::Probe);
         if evidence == TargetEvidence::Broken {
-            group.primary_evidence(now_us, place, detection::Evidence::Broken);
+            group.primary_evidence(now_us, member_index, detection::Evidence::Broken);
         }
-        self.settle_group(now_us, &name);
+        self.apply_group_effects(now_us, &name);
     }
 }
 
--- a/crates/proxy/src/process/control/spread.rs
+++ b/crates/proxy/src/process/control/spread.rs
@@ -19,38 +19,40 @@
 use crate::process::peer::api;
 use crate::process::peer::api::PeerApiClient;
 use crate::process::peer::client;
+use crate::version::configuration::ApplyOutcome;
 use crate::version::configuration::Changes;
-use crate::version::configuration::Taken;
 
 /// Every so many exchanges within the zone go to one of its watchers, whose list of VMs is fresh.
-const WATCHER_EVERY: u64 = 4;
+const WATCHER_EXCHANGE_PERIOD: u64 = 4;
 
 impl<S, C> Control<S, C>
 where
     S: ObjectStore,
     C: MemberClient,
 {
-    pub(super) fn take_input(&mut self, input: Input) {
+    pub(super) fn handle_input(&mut self, input: Input) {
         match input {
             Input::Snapshot { snapshot, source } => {
                 self.platform_answers |= source == Source::Platform;
-                let taken = self.configuration.take_snapshot(snapshot, source);
-                self.after_taking(taken);
+                let outcome = self.configuration.apply_snapshot(snapshot, source);
+                self.after_apply(outcome);
             }
             Input::PullFailed => self.configuration.spreading().pull_failed(),
-            Input::Watched { after_revision, result } => self.watched(after_revision, result),
-            Input::VmList(result) => self.vm_list_read(result),
+            Input::Watched { after_revision, result } => {
+                self.handle_watch_result(after_revision, result)
+            }
+            Input::VmList(result) => self.handle_vm_list(result),
             Input::Lead { group, call, answer } => self.lead_answered(&group, call, answer),
             Input::PeerAnswered(version) => self.peer_seen(&version),
-            Input::Leaders(hints) => self.take_leader_hints(&hints),
+            Input::Leaders(hints) => self.handle_leader_hints(&hints),
             Input::PeerFailed { vm, evidence } => self.vm_seen(&vm, evidence),
         }
     }
 
     /// Tells the watch task whether to watch, and from where.
-    pub(super) fn order_watch(&mut self) {
+    pub(super) fn update_watch_order(&mut self) {
         let order =
-            WatchOrder { watching: self.watches(), revision: self.configuration.revision() };
+            WatchOrder { watching: self.should_watch(), revision: self.configuration.revision() };
         self.watch_orders.send_if_modified(|known| {
             let differs = *known != order;
             *known = order;
@@ -86,7 +88,7 @@
         };
         self.vm_seen(&version.vm, evidence);
         self.revision_seen(&version.vm, version.revision);
-        self.leaders_digest_seen(&version.vm, version.leaders_digest);
+        self.compare_leaders_digest(&version.vm, version.leaders_digest);
         self.vms_seen(version);
     }
 
@@ -115,14 +117,14 @@
     }
 
     /// Takes an offer; the changes may start from a later revision than ours.
-    pub(super) fn take_offer(&mut self, offer: api::Offer) {
+    pub(super) fn handle_offer(&mut self, offer: api::Offer) {
         let api::Offer { vm, base_revision, revision, objects, vms } = offer;
         let changes = Changes { base_revision, revision, objects, vms };
-        let taken = self.configuration.take_changes(changes, Source::Watcher);
-        if taken == Taken::NeedsSnapshot {
+        let outcome = self.configuration.apply_changes(changes, Source::Watcher);
+        if outcome == ApplyOutcome::NeedsSnapshot {
             self.revision_seen(&vm, revision);
         }
-        self.after_taking(taken);
+        self.after_apply(outcome);
     }
 
     /// Exchanges versions with a proxy of this zone and with one of another. The first finds what
@@ -136,14 +138,16 @@
         self.exchanges += 1;
         let own_zone = self.configuration.topology().vm(own_vm).zone;
         let watchers = match &self.homes {
-            Some(homes) if self.exchanges.is_multiple_of(WATCHER_EVERY) => homes.watchers(own_zone),
+            Some(homes) if self.exchanges.is_multiple_of(WATCHER_EXCHANGE_PERIOD) => {
+                homes.watchers(own_zone)
+            }
             Some(_) | None => Vec::new(),
         };
         let asks_watcher = !watchers.is_empty();
-        let near = self.some_vm(|vm, zone| {
+        let near = self.random_vm(|vm, zone| {
             zone == own_zone && vm != own_vm && (!asks_watcher || watchers.contains(&vm))
         });
-        let far = self.some_vm(|_, zone| zone != own_zone);
+        let far = self.random_vm(|_, zone| zone != own_zone);
         for vm in [near, far].into_iter().flatten() {
             self.exchange_with(vm);
         }
@@ -162,7 +166,7 @@
     }
 
     /// Tells the proxies of this zone at once that this one is stopping.
-    pub(super) fn tell_stopping(&mut self) {
+    pub(super) fn announce_stopping(&mut self) {
         for vm in self.zone_peers() {
             self.exchange_with(vm);
         }
@@ -190,7 +194,7 @@
         self.peers.get(&topology.vm(vm).control_address)
     }
 
-    fn watches(&self) -> bool {
+    fn should_watch(&self) -> bool {
         let Some(homes) = &self.homes else { return false };
         let Some(own_vm) = self.own_vm() else {
             // The lagging list does not name this VM yet, so no other one counts on it; until it
@@ -200,21 +204,25 @@
         homes.watchers(self.configuration.topology().vm(own_vm).zone).contains(&own_vm)
     }
 
-    fn after_taking(&mut self, taken: Taken) {
-        match taken {
-            Taken::Version | Taken::VmList => {
+    fn after_apply(&mut self, outcome: ApplyOutcome) {
+        match outcome {
+            ApplyOutcome::Version | ApplyOutcome::VmList => {
                 let now_us = self.clock.now_us();
-                self.align(now_us);
+                self.reconcile(now_us);
                 slog::info!(self.log, "configuration in force";
                     "revision" => self.configuration.revision(),
                     "vms" => self.configuration.topology().vms.len());
             }
-            Taken::Nothing | Taken::NeedsSnapshot => {}
+            ApplyOutcome::Unchanged | ApplyOutcome::NeedsSnapshot => {}
         }
     }
 
-    fn watched(&mut self, after_revision: u64, result: Result<WatchAnswer, StoreError>) {
-        self.note_platform(&result);
+    fn handle_watch_result(
+        &mut self,
+        after_revision: u64,
+        result: Result<WatchAnswer, StoreError>,
+    ) {
+        self.record_platform_result(&result);
         let Ok(WatchAnswer { revision, objects }) = result else { return };
         if objects.is_empty() {
             return;
@@ -225,8 +233,8 @@
             objects: objects.clone(),
             vms: None,
         };
-        let taken = self.configuration.take_changes(changes, Source::Platform);
-        self.after_taking(taken);
+        let outcome = self.configuration.apply_changes(changes, Source::Platform);
+        self.after_apply(outcome);
         if self.watch_orders.borrow().watching {
             // Also when another watcher's offer was faster: what that one could not reach, this
             // one may.
@@ -234,18 +242,18 @@
         }
     }
 
-    fn vm_list_read(&mut self, result: Result<Vec<VmRecord>, StoreError>) {
-        self.note_platform(&result);
+    fn handle_vm_list(&mut self, result: Result<Vec<VmRecord>, StoreError>) {
+        self.record_platform_result(&result);
         let Ok(vms) = result else { return };
-        let taken = self.configuration.replace_vms(vms.clone());
-        if taken == Taken::VmList {
+        let outcome = self.configuration.replace_vms(vms.clone());
+        if outcome == ApplyOutcome::VmList {
             let revision = self.configuration.revision();
-            self.after_taking(taken);
+            self.after_apply(outcome);
             self.offer(revision, revision, Vec::new(), Some(vms));
         }
     }
 
-    fn note_platform<T>(&mut self, result: &Result<T, StoreError>) {
+    fn record_platform_result<T>(&mut self, result: &Result<T, StoreError>) {
         let answers = result.is_ok();
         if answers != self.platform_answers {
             self.platform_answers = answers;
@@ -274,7 +282,7 @@
             let (offer, inputs) = (offer.clone(), self.senders.inputs.clone());
             tokio::spawn(async move {
                 let answer = client.peer_offer(offer).await;
-                let _ = inputs.send(answered(name, answer));
+                let _ = inputs.send(exchange_result(name, answer));
             });
         }
     }
@@ -285,7 +293,7 @@
         let (own, inputs) = (self.own_version(), self.senders.inputs.clone());
         tokio::spawn(async move {
             let answer = client.peer_version(own).await;
-            let _ = inputs.send(answered(name, answer));
+            let _ = inputs.send(exchange_result(name, answer));
         });
     }
 
@@ -323,20 +331,23 @@
             .collect()
     }
 
-    fn some_vm<F>(&self, fits: F) -> Option<VmId>
+    fn random_vm<F>(&self, matches: F) -> Option<VmId>
     where
         F: Fn(VmId, ZoneId) -> bool,
     {
         let topology = self.configuration.topology();
-        let fitting: Vec<VmId> = (0..topology.vms.len() as u32)
+        let candidates: Vec<VmId> = (0..topology.vms.len() as u32)
             .map(VmId)
-            .filter(|&vm| fits(vm, topology.vm(vm).zone))
+            .filter(|&vm| matches(vm, topology.vm(vm).zone))
             .collect();
-        fitting.choose(&mut rand::rng()).copied()
+        candidates.choose(&mut rand::rng()).copied()
     }
 }
 
-fn answered(vm: String, answer: Result<api::PeerVersion, jsonrpsee::core::client::Error>) -> Input {
+fn exchange_result(
+    vm: String,
+    answer: Result<api::PeerVersion, jsonrpsee::core::client::Error>,
+) -> Input {
     match answer {
         Ok(version) => Input::PeerAnswered(version),
         Err(error) => Input::PeerFailed { vm, evidence: client::evidence(&error) },
--- a/crates/proxy/src/process/control/tracking.rs
+++ b/crates/proxy/src/process/control/tracking.rs
@@ -10,7 +10,7 @@
 use skylark_core::process::member_set::MemberSet;
 use skylark_core::process::read_age::ReadAge;
 
-use crate::process::control::floors::FloorDesk;
+use crate::process::control::floors::FloorLookups;
 use crate::process::member::task::MemberHandle;
 use crate::process::member::task::MemberKey;
 
@@ -26,9 +26,9 @@
     /// Its control connection.
     pub handle: MemberHandle,
     /// Whether its last report says that it is leaving.
-    pub says_leaving: bool,
+    pub reports_leaving: bool,
     /// Whether an operator drains it, or traffic was told by it that it is leaving.
-    pub kept_out: bool,
+    pub excluded: bool,
     /// The role and the term of its last report.
     pub seen: Option<(Role, Term)>,
 }
@@ -41,8 +41,8 @@
             target: target.to_owned(),
             address: address.to_owned(),
             handle,
-            says_leaving: false,
-            kept_out: false,
+            reports_leaving: false,
+            excluded: false,
             seen: None,
         }
     }
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub struct Report {
     /// The member's place in the group.
-    pub place: usize,
+    pub member_index: usize,
     /// The status.
     pub status: MemberStatus,
     /// When the command was sent whose answer this is.
@@ -71,7 +71,7 @@
     /// How old each member's data can be.
     pub ages: ReadAge,
     /// The floors of sessions without a token.
-    pub floors: FloorDesk,
+    pub floors: FloorLookups,
     /// Whether a majority is known to be unable to confirm writes.
     pub stalled: bool,
     /// What the driver wants done; taken by the control thread after each event.
@@ -91,7 +91,7 @@
     pub fn new(
         driver: FailoverDriver,
         members: Vec<TrackedMember>,
-        floors: FloorDesk,
+        floors: FloorLookups,
         detection: detection::DetectionSettings,
     ) -> Tracking {
         Tracking {
--- a/crates/proxy/src/process/decisions.rs
+++ b/crates/proxy/src/process/decisions.rs
@@ -10,7 +10,7 @@
 use crate::process::peer::api::DecisionReport;
 
 /// How many decisions of one group are kept.
-const KEPT: usize = 64;
+const MAX_DECISIONS: usize = 64;
 
 /// The term of a change of primary that has chosen none yet.
 const NO_TERM: Term = Term(0);
@@ -80,16 +80,16 @@
             Decision::Untracked => f.write_str("stop tracking the members"),
             Decision::Configured { version } => write!(f, "use version {version} of the group"),
             Decision::Judged { target, term, verdict } => {
-                write!(f, "primary `{target}` of term {term}: {}", verdict_words(*verdict))
+                write!(f, "primary `{target}` of term {term}: {}", verdict_text(*verdict))
             }
             Decision::Stepped { step: failover::Step::GivenUp, term: NO_TERM } => {
                 f.write_str("give up the wished change of primary")
             }
             Decision::Stepped { step, term: NO_TERM } => {
-                write!(f, "change of primary: {}", step_words(*step))
+                write!(f, "change of primary: {}", step_text(*step))
             }
             Decision::Stepped { step, term } => {
-                write!(f, "change of primary to term {term}: {}", step_words(*step))
+                write!(f, "change of primary to term {term}: {}", step_text(*step))
             }
             Decision::Announced { target, term } => {
                 write!(f, "`{target}` is the primary of term {term}")
@@ -137,7 +137,7 @@
     }
 }
 
-fn verdict_words(verdict: detection::Verdict) -> &'static str {
+fn verdict_text(verdict: detection::Verdict) -> &'static str {
     match verdict {
         detection::Verdict::Trusted => "trusted",
         detection::Verdict::Withheld(_) => "not reached, and not suspected",
@@ -158,7 +158,7 @@
     }
 }
 
-fn step_words(step: failover::Step) -> &'static str {
+fn step_text(step: failover::Step) -> &'static str {
     match step {
         failover::Step::Started(_) => "started",
         failover::Step::Canvassed => "a majority answers",
@@ -202,7 +202,7 @@
 impl DecisionLog {
     /// Adds a decision; the oldest one goes where there are too many.
     pub fn add(&mut self, now_us: u64, decision: Decision) {
-        if self.entries.len() == KEPT {
+        if self.entries.len() == MAX_DECISIONS {
             self.entries.pop_front();
         }
         self.entries.push_back((now_us, decision));
--- a/crates/proxy/src/process/log.rs
+++ b/crates/proxy/src/process/log.rs
@@ -8,14 +8,14 @@
 
 /// How many messages wait for a slow reader of the log. More are dropped and counted, so that a
 /// stuck log never stops the traffic.
-const WAITING_MESSAGES: usize = 4096;
+const MAX_QUEUED_MESSAGES: usize = 4096;
 
 /// A log that names this process's VM and zone in each line.
 pub fn open(settings: &ProxySettings) -> slog::Logger {
     let lines = slog_json::Json::default(io::stderr()).fuse();
     let level = level(settings.log_level);
     let filtered = slog::LevelFilter::new(lines, level).fuse();
-    let waiting = slog_async::Async::new(filtered).chan_size(WAITING_MESSAGES).build().fuse();
+    let waiting = slog_async::Async::new(filtered).chan_size(MAX_QUEUED_MESSAGES).build().fuse();
     let (vm, zone) = (settings.vm.clone(), settings.zone.clone());
     slog::Logger::root(waiting, slog::o!("vm" => vm, "zone" => zone))
 }
--- a/crates/proxy/src/process/member/frames.rs
+++ b/crates/proxy/src/process/member/frames.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Startup {
     /// More messages are to come.
-    Going,
+    InProgress,
     /// The member is ready for commands.
     Ready,
 }
@@ -78,7 +78,7 @@
         Message::AuthenticationOk
         | Message::ParameterStatus(_)
         | Message::BackendKeyData(_)
-        | Message::NoticeResponse(_) => Ok(Some(Startup::Going)),
+        | Message::NoticeResponse(_) => Ok(Some(Startup::InProgress)),
         _ => Err(MemberError::Protocol("unexpected message during the start-up".to_owned())),
     }
 }
--- a/crates/proxy/src/process/member/task.rs
+++ b/crates/proxy/src/process/member/task.rs
@@ -19,10 +19,10 @@
 use crate::process::member::client::MemberMessage;
 
 /// The first wait before connecting again.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 
 /// The longest wait before connecting again.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Names one member over successive versions, for as long as it keeps its name and address.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
@@ -30,7 +30,7 @@
 
 /// What a member's task tells the control thread.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub enum MemberNews {
+pub enum MemberUpdate {
     /// The member reports its status.
     Report {
         /// The status.
@@ -58,7 +58,7 @@
     /// The member.
     pub member: MemberKey,
     /// What happened.
-    pub news: MemberNews,
+    pub update: MemberUpdate,
 }
 
 /// The control thread's end of a member's task. Dropping it ends the task.
@@ -111,12 +111,12 @@
     }
 
     async fn run(self, mut commands: mpsc::UnboundedReceiver<MemberCommand>) {
-        let mut backoff = FIRST_BACKOFF;
+        let mut backoff = INITIAL_BACKOFF;
         while !commands.is_closed() {
             let error = match time::timeout(self.timeout, self.client.connect(&self.address)).await
             {
                 Ok(Ok(connection)) => {
-                    backoff = FIRST_BACKOFF;
+                    backoff = INITIAL_BACKOFF;
                     match self.serve(connection, &mut commands).await {
                         Ok(()) => return,
                         Err(error) => error,
@@ -125,11 +125,11 @@
                 Ok(Err(error)) => error,
                 Err(_) => MemberError::TimedOut,
             };
-            self.tell(MemberNews::Lost(error));
+            self.send_event(MemberUpdate::Lost(error));
             if drop_commands_for(&mut commands, jittered(backoff)).await.is_err() {
                 return;
             }
-            backoff = LONGEST_BACKOFF.min(backoff * 2);
+            backoff = MAX_BACKOFF.min(backoff * 2);
         }
     }
 
@@ -146,7 +146,7 @@
             let deadline = pending.front().map(|first: &Pending| first.deadline);
             tokio::select! {
                 biased;
-                message = connection.receive() => self.take(message?, &mut pending)?,
+                message = connection.receive() => self.handle_message(message?, &mut pending)?,
                 command = commands.recv() => match command {
                     Some(command) => self.send(&mut connection, &mut pending, command).await?,
                     None => return Ok(()),
@@ -174,13 +174,13 @@
         Ok(())
     }
 
-    fn take(
+    fn handle_message(
         &self,
         message: MemberMessage,
         pending: &mut collections::VecDeque<Pending>,
     ) -> Result<(), MemberError> {
         if let MemberMessage::Notice(status) = message {
-            self.tell(MemberNews::Report { status, sent_us: None, command: None });
+            self.send_event(MemberUpdate::Report { status, sent_us: None, command: None });
             return Ok(());
         }
         let Some(Pending { command, sent_us, .. }) = pending.pop_front() else {
@@ -189,18 +189,18 @@
         match message {
             MemberMessage::Answer(status) => {
                 let (sent_us, command) = (Some(sent_us), Some(command));
-                self.tell(MemberNews::Report { status, sent_us, command });
+                self.send_event(MemberUpdate::Report { status, sent_us, command });
             }
             MemberMessage::CommandFailed(reason) => {
-                self.tell(MemberNews::Refused { command, reason });
+                self.send_event(MemberUpdate::Refused { command, reason });
             }
             MemberMessage::Notice(_) | MemberMessage::Done => {}
         }
         Ok(())
     }
 
-    fn tell(&self, news: MemberNews) {
-        let _ = self.events.send(MemberEvent { member: self.member, news });
+    fn send_event(&self, update: MemberUpdate) {
+        let _ = self.events.send(MemberEvent { member: self.member, update });
     }
 }
 
--- a/crates/proxy/src/process/member/tcp.rs
+++ b/crates/proxy/src/process/member/tcp.rs
@@ -63,7 +63,7 @@
         loop {
             match frames::decode_startup(&mut self.received)? {
                 Some(frames::Startup::Ready) => return Ok(()),
-                Some(frames::Startup::Going) => {}
+                Some(frames::Startup::InProgress) => {}
                 None => self.fill().await?,
             }
         }
--- a/crates/proxy/src/process/metrics.rs
+++ b/crates/proxy/src/process/metrics.rs
@@ -90,10 +90,10 @@
     pub fn send_counters(&mut self, counters: &Counters) {
         for (name, value) in counters.snapshot() {
             let sent = self.sent.get(&name).copied().unwrap_or(0);
-            let grown = value.saturating_sub(sent);
-            if grown > 0 {
+            let increase = value.saturating_sub(sent);
+            if increase > 0 {
                 // A datagram that can't be sent is lost, as any datagram may be.
-                let _ = self.client.count_with_tags(&name, grown as i64).try_send();
+                let _ = self.client.count_with_tags(&name, increase as i64).try_send();
                 self.sent.insert(name, value);
             }
         }
--- a/crates/proxy/src/process/peer/client.rs
+++ b/crates/proxy/src/process/peer/client.rs
@@ -10,11 +10,11 @@
 use skylark_core::version::spreading;
 
 /// How many clients are kept. Each holds its connection open between calls.
-const KEPT: usize = 32;
+const MAX_CLIENTS: usize = 32;
 
 /// The time limit of a call for a whole snapshot: as long as a pull is waited for. With the limit of short
 /// calls, 0.5 s, a proxy behind a slow link never caught up, nor had a first version from its peers.
-const SNAPSHOT_LIMIT: Duration = Duration::from_micros(spreading::PULL_TIMEOUT_US);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_micros(spreading::PULL_TIMEOUT_US);
 
 /// Opens clients of control addresses, and keeps the latest ones.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
             return Some(client.clone());
         }
         let client = open(control_address, self.timeout)?;
-        if self.clients.len() >= KEPT {
+        if self.clients.len() >= MAX_CLIENTS {
             self.clients.clear();
         }
         self.clients.insert(control_address.to_owned(), client.clone());
@@ -51,7 +51,7 @@
 
 /// A client of one control address for calls for a whole snapshot.
 pub fn open_for_snapshots(control_address: &str) -> Option<HttpClient> {
-    open(control_address, SNAPSHOT_LIMIT)
+    open(control_address, SNAPSHOT_TIMEOUT)
 }
 
 /// What a failed call says about the VM that was called.
--- a/crates/proxy/src/process/peer/server.rs
+++ b/crates/proxy/src/process/peer/server.rs
@@ -140,7 +140,7 @@
 
     async fn ready(&self) -> RpcResult<api::Health> {
         let health = self.ask(PeerRequest::Health).await?;
-        let welcome = health.ready && !health.stopping && !health.leaving;
-        welcome.then_some(health).ok_or_else(|| refused(Refusal::Unavailable))
+        let accepts_callers = health.ready && !health.stopping && !health.leaving;
+        accepts_callers.then_some(health).ok_or_else(|| refused(Refusal::Unavailable))
     }
 }
--- a/crates/proxy/src/process/schedule.rs
+++ b/crates/proxy/src/process/schedule.rs
@@ -83,7 +83,7 @@
     pub fn every(&mut self, purpose: Purpose, every_us: u64, now_us: u64) {
         let period = timer::Period { every_us, jitter_us: every_us / 10, seed: self.seed };
         let timer = self.timers.subscribe(period, now_us);
-        self.put(timer, purpose, now_us);
+        self.register(timer, purpose, now_us);
     }
 
     /// Sets the single tick of this purpose, instead of one set before.
@@ -91,17 +91,17 @@
         match self.by_purpose.get(&purpose) {
             Some(&timer) => {
                 self.timers.reset(timer, due_us);
-                self.put(timer, purpose, due_us);
+                self.register(timer, purpose, due_us);
             }
             None => {
                 let timer = self.timers.once(due_us);
-                self.put(timer, purpose, due_us);
+                self.register(timer, purpose, due_us);
             }
         }
     }
 
     /// Sets the single tick of this purpose unless one is set.
-    pub fn set_once(&mut self, purpose: Purpose, due_us: u64) {
+    pub fn set_if_absent(&mut self, purpose: Purpose, due_us: u64) {
         if !self.by_purpose.contains_key(&purpose) {
             self.set(purpose, due_us);
         }
@@ -133,7 +133,7 @@
         }
     }
 
-    fn put(&mut self, timer: TimerId, purpose: Purpose, due_us: u64) {
+    fn register(&mut self, timer: TimerId, purpose: Purpose, due_us: u64) {
         if self.entries.len() <= timer.index() {
             self.entries.resize(timer.index() + 1, None);
         }
--- a/crates/proxy/src/process/traffic.rs
+++ b/crates/proxy/src/process/traffic.rs
@@ -218,9 +218,9 @@
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let welcomed = tokio::select! {
+    let started = tokio::select! {
         biased;
-        welcomed = Box::pin(startup::welcome(&traffic, stream)) => welcomed,
+        started = Box::pin(startup::welcome(&traffic, stream)) => started,
         // Closed without a word: in a flood of connections that never start, an answer would cost
         // more than the flood does.
         () = half_open.evicted() => {
@@ -229,7 +229,7 @@
         }
     };
     drop(half_open);
-    if let Some((caller, permit)) = welcomed {
+    if let Some((caller, permit)) = started {
         caller.serve().await;
         drop(permit);
         traffic.counters.event(Event::CallersEnded);
--- a/crates/proxy/src/version/configuration.rs
+++ b/crates/proxy/src/version/configuration.rs
@@ -14,13 +14,13 @@
 
 /// What became of a version that was offered.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Taken {
+pub enum ApplyOutcome {
     /// It is in force.
     Version,
     /// Its objects were in force already; its list of VMs is taken.
     VmList,
     /// It says nothing new, or is older than what is in force.
-    Nothing,
+    Unchanged,
     /// The changes start from a later revision than the one in force: a whole snapshot is needed.
     NeedsSnapshot,
 }
@@ -79,24 +79,24 @@
     }
 
     /// Takes a whole snapshot if it is newer.
-    pub fn take_snapshot(&mut self, snapshot: Snapshot, source: Source) -> Taken {
+    pub fn apply_snapshot(&mut self, snapshot: Snapshot, source: Source) -> ApplyOutcome {
         match self.spreading.judge_offer(snapshot.revision, source) {
             OfferVerdict::Take => {
                 self.snapshot = snapshot;
                 self.resolve();
-                Taken::Version
+                ApplyOutcome::Version
             }
             OfferVerdict::TakeVmsOnly => self.replace_vms(snapshot.vms),
-            OfferVerdict::IgnoreOlder => Taken::Nothing,
+            OfferVerdict::IgnoreOlder => ApplyOutcome::Unchanged,
         }
     }
 
     /// Takes changes if they lead on from the version in force.
-    pub fn take_changes(&mut self, changes: Changes, source: Source) -> Taken {
+    pub fn apply_changes(&mut self, changes: Changes, source: Source) -> ApplyOutcome {
         let Changes { base_revision, revision, objects, vms } = changes;
-        let leads_on = base_revision == 0 || self.is_ready() && base_revision <= self.revision();
-        if !leads_on {
-            return Taken::NeedsSnapshot;
+        let applicable = base_revision == 0 || self.is_ready() && base_revision <= self.revision();
+        if !applicable {
+            return ApplyOutcome::NeedsSnapshot;
         }
         match self.spreading.judge_offer(revision, source) {
             OfferVerdict::Take => {
@@ -106,25 +106,27 @@
                 self.merge(revision, objects);
                 self.snapshot.vms = vms.unwrap_or_else(|| std::mem::take(&mut self.snapshot.vms));
                 self.resolve();
-                Taken::Version
+                ApplyOutcome::Version
+            }
+            OfferVerdict::TakeVmsOnly => {
+                vms.map_or(ApplyOutcome::Unchanged, |vms| self.replace_vms(vms))
             }
-            OfferVerdict::TakeVmsOnly => vms.map_or(Taken::Nothing, |vms| self.replace_vms(vms)),
             // The objects are older; the list carries no revision, and a watcher's is fresh.
             OfferVerdict::IgnoreOlder if source != Source::Peer => {
-                vms.map_or(Taken::Nothing, |vms| self.replace_vms(vms))
+                vms.map_or(ApplyOutcome::Unchanged, |vms| self.replace_vms(vms))
             }
-            OfferVerdict::IgnoreOlder => Taken::Nothing,
+            OfferVerdict::IgnoreOlder => ApplyOutcome::Unchanged,
         }
     }
 
     /// Takes a list of VMs, which carries no revision.
-    pub fn replace_vms(&mut self, vms: Vec<VmRecord>) -> Taken {
+    pub fn replace_vms(&mut self, vms: Vec<VmRecord>) -> ApplyOutcome {
         if vms == self.snapshot.vms {
-            return Taken::Nothing;
+            return ApplyOutcome::Unchanged;
         }
         self.snapshot.vms = vms;
         self.resolve();
-        Taken::VmList
+        ApplyOutcome::VmList
     }
 
     fn merge(&mut self, revision: u64, objects: Vec<StoredObject>) {
@@ -133,10 +135,10 @@
             let same =
                 |known: &StoredObject| known.kind == object.kind && known.name == object.name;
             match self.snapshot.objects.iter().position(same) {
-                Some(place) if object.deleted => {
-                    self.snapshot.objects.swap_remove(place);
+                Some(index) if object.deleted => {
+                    self.snapshot.objects.swap_remove(index);
                 }
-                Some(place) => self.snapshot.objects[place] = object,
+                Some(index) => self.snapshot.objects[index] = object,
                 None if object.deleted => {}
                 None => self.snapshot.objects.push(object),
             }
@@ -146,7 +148,7 @@
     fn resolve(&mut self) {
         self.topology = Arc::new(Topology::build(&self.snapshot));
         let vms = self.topology.vms.iter();
-        let part = |vm: &Vm| jitter::seed_of(&format!("{vm:?}"));
-        self.vms_digest = vms.map(part).fold(0, u64::wrapping_add);
+        let vm_hash = |vm: &Vm| jitter::seed_of(&format!("{vm:?}"));
+        self.vms_digest = vms.map(vm_hash).fold(0, u64::wrapping_add);
     }
 }
