--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,9 +1,10 @@
-//! The skylarklb proxy daemon around the coordination library.
+//! The skylarklb proxy daemon, built on the coordination library `skylark_core`.
 //!
-//! One control thread holds all control state and publishes immutable versions; traffic threads
-//! serve callers and targets. [`version::published`] is the border between the two, and
-//! [`process::control_handle`] the way back. The layout follows life spans: [`request`],
-//! [`connection`], [`version`], [`process`].
+//! One control thread owns all control state and publishes immutable versions of it; traffic threads
+//! read the latest version and serve callers and targets. [`version::published`] defines what the
+//! control thread publishes, and [`process::control_handle`] carries events from the traffic threads
+//! back to it. Modules are grouped by the lifetime of their state: [`request`], [`connection`],
+//! [`version`], [`process`].
 
 pub mod connection;
 pub mod process;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -13,7 +13,7 @@
 use tokio::signal::unix;
 use tokio::signal::unix::SignalKind;
 
-/// Why the daemon ended without being told to.
+/// An error that keeps the daemon from starting.
 #[derive(Debug)]
 enum RunError {
     Start(daemon::StartError),
@@ -55,7 +55,7 @@
     match run(settings, &log) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            slog::crit!(log, "can't run"; "reason" => error.to_string());
+            slog::crit!(log, "the proxy failed to start"; "reason" => error.to_string());
             ExitCode::FAILURE
         }
     }
--- a/crates/proxy/src/process/clock.rs
+++ b/crates/proxy/src/process/clock.rs
@@ -1,8 +1,8 @@
-//! The process's monotonic clock, read by control and traffic threads alike.
+//! The process's monotonic clock, shared by the control and traffic threads.
 //!
-//! It counts the time for which the VM was suspended. `Instant` does not: a VM that stood still for
-//! some seconds would take a position of the primary from before for a fresh one, and serve reads
-//! that lack what was acknowledged meanwhile.
+//! It includes the time for which the VM was suspended, which `Instant` does not. Without that, a VM
+//! resumed after some seconds would treat a primary position from before the suspension as recent,
+//! and serve reads that miss writes acknowledged meanwhile.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,26 +10,26 @@
 use nix::time::ClockId;
 use nix::time::clock_gettime;
 
-/// A clock that counts microseconds from a moment shortly before the process's own start.
+/// A clock that counts microseconds since it was started.
 ///
-/// Copies agree with each other. Times of two processes can't be compared.
+/// Copies show the same time. Times of different processes can't be compared.
 #[derive(Clone, Copy, Debug)]
 pub struct MonotonicClock {
     origin: Duration,
 }
 
 impl MonotonicClock {
-    /// A clock that starts now.
+    /// Starts a clock.
     pub fn start() -> MonotonicClock {
         MonotonicClock { origin: since_boot() }
     }
 
-    /// The time in microseconds; never zero, which stands for "never" in shared state.
+    /// Returns the time in microseconds. It is never zero, because zero means "never" in shared state.
     pub fn now_us(&self) -> u64 {
         since_boot().saturating_sub(self.origin).as_micros() as u64 + 1
     }
 
-    /// The moment at which the clock shows `at_us`, if the VM is not suspended until then.
+    /// Returns the instant at which the clock shows `at_us`, provided the VM is not suspended before.
     pub fn instant_at(&self, at_us: u64) -> Instant {
         let (now, now_us) = (Instant::now(), self.now_us());
         match at_us >= now_us {
@@ -39,9 +39,9 @@
     }
 }
 
-/// The time since the VM started, suspensions included.
+/// Returns the time since the VM booted, including suspensions.
 fn since_boot() -> Duration {
-    // The kernel refuses only clocks that it does not have, and it has had this one for long.
+    // The call fails only for clocks that the kernel lacks, and CLOCK_BOOTTIME exists since Linux 2.6.39.
     let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the kernel has a boot-time clock");
     Duration::from(now)
 }
--- a/crates/proxy/src/process/control/drive.rs
+++ b/crates/proxy/src/process/control/drive.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the failover drivers ask for, and feeding them what happens.
+//! Passes events to the failover drivers of groups, and executes the actions that they request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 use crate::process::member::task::MemberUpdate;
 use crate::process::schedule::Purpose;
 
-/// How long a call about a lead record may take before it counts as unanswered.
+/// The timeout of a call to the platform to read or update a lead record.
 const LEAD_CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 impl<S, C> Control<S, C>
@@ -59,7 +59,8 @@
         self.apply_group_effects(now_us, &location.group);
     }
 
-    /// Carries out what the latest events of a group asked for.
+    /// Applies the effects of a group's latest events: executes the driver's actions, requests members' status
+    /// for a barrier, and arms the failure detector's timer.
     pub(super) fn apply_group_effects(&mut self, now_us: u64, name: &Arc<str>) {
         self.execute_actions(now_us, name);
         let Some(group) = self.groups.get_mut(name) else { return };
@@ -72,7 +73,8 @@
                 member.handle.send(MemberCommand::Status);
             }
         }
-        // The due time moves with each report; the timer is set once and asks again when it comes.
+        // The due time moves with each report. Instead of being reset each time, the timer runs to its
+        // first due time and is armed again then.
         if !tracking.detector_armed
             && let Some(due_us) = tracking.detector_due_us()
         {
@@ -106,7 +108,7 @@
     }
 
     fn execute_actions(&mut self, now_us: u64, name: &Arc<str>) {
-        // An action may tell the driver something, which then asks for more.
+        // Executing an action can pass an event to the driver, which may request further actions.
         loop {
             let Some(group) = self.groups.get_mut(name) else { return };
             let Some(tracking) = &mut group.tracking else { return };
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Records a decision about a group, logs it, and has it published.
+    /// Logs a decision about a group, adds it to the group's decision log and marks the group as changed.
     pub(super) fn record_decision(&mut self, now_us: u64, name: &Arc<str>, decision: Decision) {
         slog::info!(self.log, "decided";
             "group" => &**name, "decision" => decision.to_string(), "reason" => decision.reason());
@@ -196,7 +198,7 @@
     ) {
         let (store, group) = (self.store.clone(), Arc::clone(name));
         let inputs = self.senders.inputs.clone();
-        let body = serde_json::to_value(record).expect("a lead record is plain data");
+        let body = serde_json::to_value(record).expect("a lead record is serializable");
         tokio::spawn(async move {
             let put = store.put(ObjectKind::Lead, &group, expected_version, body);
             let answer = match time::timeout(LEAD_CALL_TIMEOUT, put).await {
@@ -230,8 +232,8 @@
     failover::PlatformAnswer::Read { version: object.version, record }
 }
 
-/// The driver's call that a command carried out. A periodic probe answers the same question as a
-/// driver's own reading of the status.
+/// Returns the driver's call that a command executed. A periodic probe also answers the driver's own
+/// call to read the status.
 fn call_of(group: &Group, command: &MemberCommand) -> Option<failover::MemberCall> {
     match command {
         MemberCommand::Probe | MemberCommand::Status => Some(failover::MemberCall::ReadStatus),
--- a/crates/proxy/src/process/control/first_version.rs
+++ b/crates/proxy/src/process/control/first_version.rs
@@ -1,5 +1,5 @@
-//! The first version of a process that starts: from the platform, or from peers while the platform
-//! does not answer.
+//! Loading of the first configuration version at startup: from the platform, or from peers if the
+//! platform does not answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,21 +25,22 @@
 use crate::process::peer::api::PeerApiClient;
 use crate::process::peer::client;
 
-/// The time limit of the first call to the platform.
+/// The timeout of the first call to the platform, in milliseconds.
 pub const INITIAL_TIMEOUT_MS: u64 = 2_000;
 
-/// The highest time limit of a call.
+/// The maximum timeout of a call to the platform, in milliseconds.
 pub const MAX_TIMEOUT_MS: u64 = 30_000;
 
-/// The longest pause between two calls. A platform that comes back waits for no process longer.
+/// The maximum pause between two calls, in milliseconds. After the platform has recovered, each process calls
+/// it within this time.
 pub const MAX_PAUSE_MS: u64 = 8_000;
 
-/// The limits and the pauses of the calls for the first version.
+/// Timeouts of the platform calls for the first version, and pauses between them.
 ///
-/// With a fixed limit, a platform that needs longer for each call never gives a version to anybody,
-/// while all processes of a cold start go on asking: useless load just when the platform is slow.
-/// Doubling the limit lets some call have the time it needs, whatever that is up to the highest
-/// limit; and growing pauses that differ between processes let the load fall.
+/// With a fixed timeout, a platform that needs longer than that for a call would never deliver a version,
+/// while all processes of a cold start keep calling it: useless load just when the platform is slow.
+/// Doubling the timeout up to its maximum eventually gives a call enough time, and growing pauses with
+/// jitter reduce the load.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct StartBackoff {
     seed: u64,
@@ -48,18 +49,18 @@
 }
 
 impl StartBackoff {
-    /// The pace before the first call. Pauses begin at `first_pause_ms`; jitter is drawn from the
-    /// seed.
+    /// Creates the state before the first call. The first pause is up to `first_pause_ms`; jitter is drawn
+    /// from `seed`.
     pub fn new(seed: u64, first_pause_ms: u64) -> StartBackoff {
         StartBackoff { seed, first_pause_ms, calls: 0 }
     }
 
-    /// The time limit of the next call, in milliseconds.
+    /// Returns the timeout of the next call, in milliseconds.
     pub fn timeout_ms(&self) -> u64 {
         doubled(INITIAL_TIMEOUT_MS, self.calls).min(MAX_TIMEOUT_MS)
     }
 
-    /// Takes in that a call failed, and returns the pause before the next one in milliseconds.
+    /// Records a failed call, and returns the pause before the next one, in milliseconds.
     pub fn failed(&mut self) -> u64 {
         let pause_ms = doubled(self.first_pause_ms, self.calls).min(MAX_PAUSE_MS);
         self.calls = self.calls.saturating_add(1);
@@ -71,7 +72,7 @@
     first_ms.saturating_mul(1_u64.checked_shl(times).unwrap_or(u64::MAX))
 }
 
-/// Gets the first version.
+/// The task that loads the first version.
 pub(super) struct FirstVersion<S> {
     pub(super) store: S,
     pub(super) settings: Arc<ProxySettings>,
@@ -88,14 +89,14 @@
         let mut orders = self.orders.clone();
         let (snapshot, source) = tokio::select! {
             found = self.fetch() => found,
-            // An offer or a pull was faster, or the process ends.
+            // Another version came into force by an offer or a pull, or the process ends.
             _ = orders.wait_for(|order| order.revision > 0) => return,
         };
         let _ = self.inputs.send(Input::Snapshot { snapshot, source });
     }
 
-    /// The platform's answer is the freshest, so its first call has its time before any peer is
-    /// asked. Later ones can be long, and peers are asked meanwhile.
+    /// Calls the platform once before any peer, because its version is the most recent. Further calls
+    /// can take long, so peers are called concurrently with them.
     async fn fetch(&self) -> (Snapshot, Source) {
         let mut backoff = StartBackoff::new(self.seed, self.settings.timing.platform_retry_ms);
         if let Some(snapshot) = self.read_platform(&backoff).await {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// The highest version among several peers.
+    /// Returns the snapshot of the peer with the highest revision among several random peers.
     async fn fetch_from_peers(&self, attempt: u64) -> Option<Snapshot> {
         let timeout = Duration::from_millis(self.settings.timing.peer_timeout_ms);
         let peers = &self.settings.peers;
@@ -145,7 +146,7 @@
         let addresses: Vec<String> = chosen.iter().map(|&index| peers[index].to_string()).collect();
         let clients = addresses.iter().map(|address| client::open(address, timeout));
         let mut asked: Vec<_> = clients.map(request_version).collect();
-        // Every call ends by its own timeout, so the choice needs no deadline.
+        // Each call has its own timeout, so the choice needs no deadline.
         let mut choice = StartChoice::new(asked.len(), u64::MAX);
         for (index, answer) in asked.iter_mut().enumerate() {
             match answer.await {
--- a/crates/proxy/src/process/control/floors.rs
+++ b/crates/proxy/src/process/control/floors.rs
@@ -1,7 +1,8 @@
-//! Answers for sessions that roam without a token: who asked, and the barriers under way.
+//! Lookups of read floors for sessions that roam between proxies without a token: the pending requesters,
+//! and the barrier in progress.
 //!
-//! The decision is `skylark_core::process::session_floors`. A lookup that can't be answered in its
-//! time is dropped, and the reader then goes by what it can show itself or is refused.
+//! The floors are decided by `skylark_core::process::session_floors`. A lookup that is not answered
+//! within its timeout is dropped; the reader then needs a floor that it can prove itself, or is refused.
 
 use skylark_core::FastMap;
 use skylark_core::log_position::LogPosition;
@@ -15,13 +16,13 @@
 use crate::process::peer::server;
 use crate::process::peer::server::Refusal;
 
-/// How long a lookup may take.
+/// The timeout of a lookup.
 const LOOKUP_TIMEOUT_US: u64 = 1_000_000;
 
-/// How long a barrier may take before it is begun again: a member may have gone meanwhile.
+/// The time after which a barrier is restarted, because a member may have failed meanwhile.
 const BARRIER_TIMEOUT_US: u64 = 200_000;
 
-/// Who wants to know a session's floor.
+/// The requester of a session's read floor, with the sender of the answer.
 #[derive(Debug)]
 pub enum FloorRequester {
     /// A traffic thread of this process.
@@ -42,7 +43,7 @@
     began_us: u64,
 }
 
-/// The lookups and barriers of one group.
+/// The floor lookups and the barrier of one group.
 #[derive(Debug)]
 pub struct FloorLookups {
     floors: SessionFloors,
@@ -54,7 +55,7 @@
 }
 
 impl FloorLookups {
-    /// A holder that begins now.
+    /// Creates the state without any recorded write or lookup.
     pub fn new(members: MemberSet) -> FloorLookups {
         let settings = session_floors::SessionFloorsSettings::default();
         FloorLookups {
@@ -67,12 +68,12 @@
         }
     }
 
-    /// Sets the revision that answers to other proxies carry.
+    /// Sets the revision that is sent in answers to other proxies.
     pub fn set_revision(&mut self, revision: u64) {
         self.revision = revision;
     }
 
-    /// Replaces the member set.
+    /// Replaces the member set, and drops the barrier in progress.
     pub fn change_members(&mut self, members: MemberSet) {
         self.barrier = None;
         self.floors.change_members(members);
@@ -83,12 +84,12 @@
         self.floors.settle_members();
     }
 
-    /// Records a write that was executed here or that a co-home reported.
+    /// Records a write that this process executed or that another home of the primary reported.
     pub fn record(&mut self, session: Option<&str>, position: LogPosition) {
         self.floors.record(session_floors::SessionWrite { session, position });
     }
 
-    /// Looks a session's floor up for the asker.
+    /// Starts a lookup of a session's floor for the requester.
     pub fn look_up(&mut self, now_us: u64, session: &str, requester: FloorRequester) {
         self.next_lookup += 1;
         let id = session_floors::LookupId(self.next_lookup);
@@ -97,8 +98,8 @@
         self.begin_barrier(now_us);
     }
 
-    /// Takes a member's report. One that was asked for after a barrier began counts for it; one of
-    /// the same microsecond may have been asked for before.
+    /// Handles a member's report. It counts for the barrier only if it was requested after the barrier
+    /// began. A request in the same microsecond may have been earlier, so it does not count.
     pub fn handle_report(
         &mut self,
         now_us: u64,
@@ -123,7 +124,7 @@
         self.begin_barrier(now_us);
     }
 
-    /// Gives up what took too long.
+    /// Drops lookups that have timed out, and restarts a barrier that has.
     pub fn expire(&mut self, now_us: u64) {
         let late = |(id, pending): (&session_floors::LookupId, &PendingLookup)| {
             (pending.until_us <= now_us).then_some(*id)
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Whether every member is to be asked for its status now; says so once for each barrier.
+    /// Returns whether all members have to be asked for their status, which is true once for each barrier.
     pub fn take_status_request(&mut self) -> bool {
         std::mem::take(&mut self.status_request_due)
     }
--- a/crates/proxy/src/process/control/group.rs
+++ b/crates/proxy/src/process/control/group.rs
@@ -1,4 +1,4 @@
-//! One group at the control thread: what its members report, and the decisions that follow.
+//! The control state of one group: its members' reports, and the decisions that follow from them.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,32 +20,31 @@
 use crate::version::published::GroupLive;
 use crate::version::published::MemberLive;
 
-/// One group.
+/// The control state of one group.
 #[derive(Debug)]
 pub struct Group {
     /// The group's name.
     pub name: String,
     /// The store's version of the group's object.
     pub version: u64,
-    /// The state that traffic sees change.
+    /// The state shared with traffic threads and updated in place.
     pub live: Arc<GroupLive>,
     /// The latest decisions.
     pub decisions: DecisionLog,
-    /// The decisions' state where the members are tracked.
+    /// The state of tracking; `None` if this process does not track the members.
     pub tracking: Option<Tracking>,
-    /// The primary of the highest term that a lead record or a peer named.
+    /// The primary with the highest term reported by a lead record or a peer.
     hinted_leader: Option<(String, Term)>,
-    /// Acknowledged writes of sessions with an identity that the primary's homes are still to be
-    /// told about.
+    /// Acknowledged writes of sessions with an identity, not yet sent to the primary's other homes.
     pub unsent_writes: Vec<api::SessionWrite>,
-    /// The positions of acknowledged writes of other sessions, for the same use.
+    /// The positions of acknowledged writes of other sessions, not yet sent to the primary's other homes.
     pub unsent_plain: Vec<LogPosition>,
-    /// Whether what traffic sees through a new version has changed.
+    /// Whether a new version has to be published, because state outside `live` has changed.
     pub changed: bool,
 }
 
 impl Group {
-    /// A group of this many members that is not tracked.
+    /// Creates an untracked group with this number of members.
     pub fn new(name: &str, version: u64, members: usize) -> Group {
         let (confirmed, _) = watch::channel(LogPosition::default());
         Group {
@@ -61,14 +60,14 @@
         }
     }
 
-    /// Makes room for another number of members. Writes that wait for a confirmation go on
-    /// waiting at the same channel.
+    /// Resets the members' live state for a new number of members. The channel of the confirmed position is
+    /// kept, so that writes waiting for a confirmation are not affected.
     pub fn resize(&mut self, members: usize) {
         self.live = Arc::new(new_live(self.live.confirmed.clone(), members));
         self.changed = true;
     }
 
-    /// The primary by name, with its term.
+    /// Returns the primary's name and its term, if a primary is known.
     pub fn leader(&self) -> Option<(&str, Term)> {
         match &self.tracking {
             Some(tracking) => {
@@ -83,8 +82,8 @@
         }
     }
 
-    /// Takes the word of a lead record or a peer for who leads. The highest term wins, since each
-    /// term has one primary; an old record or a peer that is behind changes nothing.
+    /// Records the primary named by a lead record or a peer. The highest term wins, since each term has
+    /// one primary; outdated information has no effect.
     pub fn hint_leader(&mut self, target: &str, term: Term) {
         if self.hinted_leader.as_ref().is_some_and(|(_, known)| *known >= term) {
             return;
@@ -93,7 +92,7 @@
         self.changed |= self.tracking.is_none();
     }
 
-    /// Gives an event to the failover driver.
+    /// Passes an event to the failover driver, and publishes the confirmed position.
     pub fn drive(&mut self, now_us: u64, event: &failover::Event) {
         let Some(tracking) = &mut self.tracking else { return };
         tracking.driver.on_event(now_us, event, &mut tracking.actions);
@@ -101,8 +100,8 @@
         self.update_detector(now_us);
     }
 
-    /// Takes a member's report. A write may be waiting for the confirmation in it, so that is
-    /// published before anything else is looked at.
+    /// Handles a member's report. The confirmed position is published before anything else is updated,
+    /// because writes may be waiting for it.
     pub fn report(&mut self, now_us: u64, report: Report) {
         let Report { member_index, status, sent_us, call } = report;
         let Some(tracking) = &mut self.tracking else { return };
@@ -130,7 +129,7 @@
         }
     }
 
-    /// Takes the loss of a member's control connection.
+    /// Handles the loss of a member's control connection.
     pub fn connection_lost(
         &mut self,
         now_us: u64,
@@ -141,7 +140,7 @@
         self.primary_evidence(now_us, member_index, evidence);
     }
 
-    /// Takes evidence about a member, which counts where it is the primary.
+    /// Passes evidence about a member to the failure detector if the member is the primary.
     pub fn primary_evidence(
         &mut self,
         now_us: u64,
@@ -156,7 +155,7 @@
         }
     }
 
-    /// The failure detector's timer, which was due at `due_us`.
+    /// Handles the failure detector's timer, which was due at `due_us`.
     pub fn detector_timer(&mut self, now_us: u64, due_us: u64) {
         let Some(tracking) = &mut self.tracking else { return };
         tracking.detector_armed = false;
@@ -166,7 +165,7 @@
         }
     }
 
-    /// Judges again whether a majority can confirm writes.
+    /// Updates whether a majority can confirm writes.
     pub fn refresh_stall(&mut self, now_us: u64) {
         let Some(tracking) = &mut self.tracking else { return };
         let reports = tracking.driver.acknowledgement();
@@ -180,12 +179,13 @@
         }
     }
 
-    /// Records a decision.
+    /// Adds a decision to the group's decision log.
     pub fn decide(&mut self, now_us: u64, decision: Decision) {
         self.decisions.add(now_us, decision);
     }
 
-    /// Keeps a member from new work, or ends that. The member's own word is kept apart.
+    /// Excludes a member from new requests or includes it again. A member that reports itself as leaving
+    /// stays excluded regardless.
     pub fn set_excluded(&mut self, now_us: u64, member_index: usize, target: &str, excluded: bool) {
         let live = &self.live.members[member_index];
         let before = live.leaving.load(Ordering::Relaxed);
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Returns whether the member's role or term changed.
+    /// Updates the member's state from its report. Returns whether its role or term changed.
     fn record_member_status(&mut self, member_index: usize, status: &MemberStatus) -> bool {
         let live = &self.live.members[member_index];
         live.reachable.store(true, Ordering::Relaxed);
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Watches the primary that the reports show.
+    /// Replaces the failure detector if the reports show another primary or term.
     fn update_detector(&mut self, now_us: u64) {
         let Some(tracking) = &mut self.tracking else { return };
         let watched = tracking
@@ -311,7 +311,7 @@
     let fresh_us = ages.fresh_as_of_us(member).unwrap_or(0);
     live.fresh_as_of_us.store(fresh_us, Ordering::Relaxed);
     live.lag_us.store(ages.lag_us(member).unwrap_or(0), Ordering::Relaxed);
-    // Zero stands for unknown.
+    // Zero means unknown in the shared state.
     let catch_up_us = ages.catch_up_us(member).map_or(0, |catch_up_us| catch_up_us.max(1));
     live.catch_up_us.store(catch_up_us, Ordering::Relaxed);
 }
--- a/crates/proxy/src/process/control/input.rs
+++ b/crates/proxy/src/process/control/input.rs
@@ -1,4 +1,4 @@
-//! What reaches the control thread besides members' reports and traffic's events.
+//! Results of tasks that the control thread started: calls to the platform and to peers.
 
 use skylark_core::process::failover;
 use skylark_core::process::membership;
@@ -10,45 +10,45 @@
 
 use crate::process::peer::api;
 
-/// The result of work that the control thread started and did not wait for.
+/// The result of a task that the control thread started.
 #[derive(Debug)]
 pub enum Input {
-    /// A whole snapshot came.
+    /// A full snapshot was received.
     Snapshot {
         /// The snapshot.
         snapshot: Snapshot,
-        /// From where.
+        /// The sender of the snapshot.
         source: Source,
     },
     /// A pull from a peer failed.
     PullFailed,
-    /// A watch of the platform ended.
+    /// A watch call to the platform ended.
     Watched {
-        /// The revision that it started from.
+        /// The revision that the watch started from.
         after_revision: u64,
-        /// The changes, or why there is no answer.
+        /// The changes, or the error.
         result: Result<WatchAnswer, StoreError>,
     },
-    /// The platform answered with its list of VMs, or did not.
+    /// A call for the platform's list of VMs ended.
     VmList(Result<Vec<VmRecord>, StoreError>),
-    /// A call about a group's lead record ended.
+    /// A call to read or update a group's lead record ended.
     Lead {
         /// The group's name.
         group: String,
-        /// The call's number.
+        /// The driver's identifier of the call.
         call: failover::PlatformCall,
         /// The answer.
         answer: failover::PlatformAnswer,
     },
     /// A peer answered an exchange of versions.
     PeerAnswered(api::PeerVersion),
-    /// A peer told the primaries that it knows.
+    /// A peer sent the primaries that it knows.
     Leaders(Vec<api::LeaderHint>),
     /// A call to a VM failed.
     PeerFailed {
         /// The VM's name.
         vm: String,
-        /// What the failure says about it.
+        /// The evidence about the VM that the failure gives.
         evidence: membership::Evidence,
     },
 }
--- a/crates/proxy/src/process/control/leaders.rs
+++ b/crates/proxy/src/process/control/leaders.rs
@@ -1,9 +1,9 @@
-//! Who leads the groups whose members are not tracked here.
+//! The primaries of groups whose members this process does not track.
 //!
-//! Lead records say it, and reach every proxy with the configuration. While the platform is down no
-//! record is written, so proxies compare digests of the terms that they know whenever they
-//! exchange versions, and ask each other where these differ. The driver of a change starts the
-//! spreading by an exchange with every VM.
+//! Lead records name the primaries and reach every proxy with the configuration. While the platform is
+//! down no record can be written. Proxies therefore compare digests of the terms that they know at
+//! each exchange of versions, and request each other's primaries if the digests differ. The process that
+//! drives a change of primary starts the dissemination by an exchange with every VM.
 
 use skylark_core::ids::VmId;
 use skylark_core::process::jitter;
@@ -21,7 +21,7 @@
     S: ObjectStore,
     C: MemberClient,
 {
-    /// A digest of the terms of all groups, the same in whatever order they are taken.
+    /// Returns a digest of the terms of all groups, independent of their order.
     pub(super) fn leaders_digest(&self) -> u64 {
         let part = |group: &Group| {
             let (_, term) = group.leader()?;
@@ -30,7 +30,7 @@
         self.groups.values().filter_map(part).fold(0, u64::wrapping_add)
     }
 
-    /// The primaries known here.
+    /// Returns the primaries known to this process.
     pub(super) fn leader_hints(&self) -> Vec<api::LeaderHint> {
         let hint = |group: &Group| {
             let (target, term) = group.leader()?;
@@ -40,7 +40,7 @@
         self.groups.values().filter_map(hint).collect()
     }
 
-    /// Asks a peer that knows other leaders.
+    /// Requests a peer's primaries if its digest differs from this process's.
     pub(super) fn compare_leaders_digest(&mut self, vm: &str, leaders_digest: u64) {
         if leaders_digest == self.leaders_digest() {
             return;
@@ -54,7 +54,7 @@
         });
     }
 
-    /// Takes what a peer knows.
+    /// Records the primaries that a peer knows.
     pub(super) fn handle_leader_hints(&mut self, hints: &[api::LeaderHint]) {
         for hint in hints {
             if let Some(group) = self.groups.get_mut(hint.group.as_str()) {
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Lets every VM know at once that there is a new leader, unless the platform's lead record
-    /// will.
+    /// Exchanges versions with every VM so that they learn of a new primary, unless the platform answers and
+    /// its lead record will tell them.
     pub(super) fn announce_leaders(&mut self) {
         if self.platform_answers {
             return;
--- a/crates/proxy/src/process/control/mod.rs
+++ b/crates/proxy/src/process/control/mod.rs
@@ -1,19 +1,19 @@
 //! The control thread: owns all control state, and publishes immutable versions of it.
 //!
-//! Everything that happens reaches it through channels, one event at a time, and nothing in it
-//! waits: calls to the platform and to peers run as tasks whose results come back as events.
-//! Members' reports go first, because writes wait for the confirmations in them. Timers come after
-//! the events that waited, so that a process that was paused hears its members before it judges
-//! them by their silence.
+//! The control thread is an event loop that never blocks: it receives events through channels, one at
+//! a time, and runs calls to the platform and to peers as tasks whose results come back as events.
+//! Reports of members have the highest priority, because writes wait for the confirmations in them.
+//! Timers have the lowest, so that a process that was paused handles the queued reports of its members
+//! before it suspects them for their silence.
 //!
-//! - [`group`], [`tracking`]: what a group's members report and the decisions that follow.
-//! - [`align`]: bringing groups, members and homes in line with a new version.
-//! - [`drive`]: carrying out what a failover driver asks for.
-//! - [`spread`]: taking and passing on versions; [`platform`], [`first_version`]: the tasks that call
-//!   the platform.
-//! - [`leaders`]: who leads the groups that are not tracked here.
-//! - [`floors`], [`sessions`]: floors of sessions that roam without a token.
-//! - [`publish`]: what traffic sees; [`report`]: what operators see.
+//! - [`group`], [`tracking`]: the state of groups, their members' reports and the resulting decisions.
+//! - [`reconcile`]: updating groups, members and homes to a new version of the configuration.
+//! - [`drive`]: executing the actions of failover drivers.
+//! - [`spread`]: applying versions and offering them to peers; [`platform`], [`first_version`]: the
+//!   tasks that call the platform.
+//! - [`leaders`]: the primaries of groups whose members this process does not track.
+//! - [`floors`], [`sessions`]: read floors of sessions that roam between proxies without a token.
+//! - [`publish`]: the versions for traffic threads; [`report`]: the answers to operators and peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -62,71 +62,71 @@
 pub mod spread;
 pub mod tracking;
 
-/// How many events are taken before timers are looked at again, so that a flood of reports can't
-/// hold back the probes.
+/// How many members' events are handled before the timers are checked again, so that a flood of reports
+/// can't delay the probes.
 const EVENTS_PER_ITERATION: usize = 64;
 
-/// How often expired evidence about VMs and targets is looked for.
+/// The interval at which expired evidence about VMs and targets is dropped.
 const EVIDENCE_EXPIRY_INTERVAL_US: u64 = 1_000_000;
 
-/// How long the last writes may take to be told to other homes at the end.
+/// The timeout for sending the remaining writes to other homes when the process ends.
 const FINAL_WRITES_TIMEOUT: Duration = Duration::from_secs(2);
 
 const US_PER_MS: u64 = 1000;
 
-/// What the control thread is started with.
+/// The parameters of the control thread.
 #[derive(Debug)]
 pub struct ControlParts<S, C> {
     /// The settings.
     pub settings: Arc<ProxySettings>,
     /// The process's clock.
     pub clock: MonotonicClock,
-    /// Where messages go.
+    /// The process's log.
     pub log: slog::Logger,
-    /// The platform.
+    /// The platform's object store.
     pub store: S,
-    /// How members are reached.
+    /// Opens control connections to members.
     pub client: C,
-    /// Where versions are published.
+    /// The slot in which versions are published.
     pub published: PublishedSlot,
-    /// What traffic counts.
+    /// The process's counters.
     pub counters: Arc<Counters>,
-    /// What traffic says.
+    /// Events from the traffic threads.
     pub traffic: mpsc::UnboundedReceiver<VersionedEvent>,
-    /// What other proxies, operators and the balancer ask.
+    /// Calls of other proxies, operators and the load balancer.
     pub requests: mpsc::UnboundedReceiver<PeerRequest>,
-    /// Orders of the process itself.
+    /// Orders from the process that owns the control thread.
     pub orders: mpsc::UnboundedReceiver<Order>,
 }
 
-/// An order of the process to its control thread.
+/// An order to the control thread to stop, in the steps of a graceful stop or immediately.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Order {
-    /// Tell the balancer and the other proxies that this one is about to stop.
+    /// Announce to the load balancer and the other proxies that this process will stop.
     AnnounceStop,
-    /// Take no new callers.
+    /// Accept no new callers.
     BeginStop,
-    /// Traffic has ended: pass on what others need to know, and end.
+    /// All callers have ended: send the remaining writes to other homes, and end.
     End,
-    /// End at once, as if the machine were gone.
+    /// End immediately, as if the VM had failed.
     Kill,
 }
 
-/// Where tasks send their results.
+/// The channels on which tasks send their results to the control thread.
 #[derive(Clone, Debug)]
 struct Senders {
     inputs: mpsc::UnboundedSender<Input>,
     members: mpsc::UnboundedSender<MemberEvent>,
 }
 
-/// A tracked member's place.
+/// The group of a tracked member, and the member's index in its member list.
 #[derive(Clone, Debug)]
 struct MemberLocation {
     group: Arc<str>,
     member: usize,
 }
 
-/// All control state.
+/// The state of the control thread.
 #[derive(Debug)]
 pub struct Control<S, C> {
     settings: Arc<ProxySettings>,
@@ -150,17 +150,17 @@
     watch_orders: watch::Sender<WatchOrder>,
     platform_answers: bool,
     exchanges: u64,
-    /// Whether the balancer and the other proxies are told that this one is about to stop.
+    /// Whether health answers and peers are told that this process is about to stop.
     stopping: bool,
-    /// Whether no new callers are taken.
+    /// Whether new callers are refused.
     refusing: bool,
     changed: bool,
-    /// This run's name as a failover driver.
+    /// The prefix of this process's names as a failover driver, unique to this run.
     driver_name: String,
     seed: u64,
 }
 
-/// The receiving ends that the control loop waits for.
+/// The channels that the control loop receives from.
 struct Receivers {
     members: mpsc::UnboundedReceiver<MemberEvent>,
     traffic: mpsc::UnboundedReceiver<VersionedEvent>,
@@ -169,13 +169,13 @@
     orders: mpsc::UnboundedReceiver<Order>,
 }
 
-/// Whether the control loop goes on.
+/// What the control loop does after an event.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum LoopAction {
     Continue,
-    /// Pass on what others need to know, and end.
+    /// Send the remaining writes to other homes, and end.
     End,
-    /// End at once.
+    /// End immediately.
     Kill,
 }
 
@@ -256,7 +256,7 @@
     async fn serve(&mut self, receivers: &mut Receivers) {
         loop {
             self.publish_changes();
-            // The probes' subscription never ends, so there always is a next tick.
+            // The periodic probe timer is never cancelled, so there is always a next due time.
             let due_us = self.schedule.next_due_us().unwrap_or_default();
             let due = self.clock.instant_at(due_us);
             let action = tokio::select! {
@@ -362,10 +362,11 @@
     }
 
     async fn end(&mut self) {
-        // Bounded, since the peers may be gone: what they are not told costs them freshness only.
+        // Bounded, since the peers may be unreachable. Homes that miss these writes answer with higher floors
+        // than needed, which costs reads from replicas but not consistency.
         let _ = time::timeout(FINAL_WRITES_TIMEOUT, self.send_all_writes()).await;
         self.send_metrics();
-        slog::info!(self.log, "control ended");
+        slog::info!(self.log, "control thread ended");
     }
 
     fn send_metrics(&mut self) {
--- a/crates/proxy/src/process/control/platform.rs
+++ b/crates/proxy/src/process/control/platform.rs
@@ -1,4 +1,4 @@
-//! Tasks that call the platform: the watch, and the list of VMs.
+//! Tasks that call the platform: the watch of the configuration, and reads of the list of VMs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use crate::process::control::input::Input;
 use crate::process::member::client::MemberClient;
 
-/// What the watch task is to do.
+/// The control thread's order to the watch task.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct WatchOrder {
-    /// Whether this process watches for its zone.
+    /// Whether this process is a watcher of its availability zone.
     pub watching: bool,
     /// The revision in force.
     pub revision: u64,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Watches the platform while this process is a watcher of its zone.
+/// The task that watches the platform while this process is a watcher of its availability zone.
 struct WatchTask<S> {
     store: S,
     settings: Arc<ProxySettings>,
@@ -98,7 +98,8 @@
     }
 }
 
-/// Between half of `wait` and all of it: the platform comes back to all its callers at once.
+/// Returns a random duration between half of `wait` and all of it, so that the calls of all processes
+/// do not coincide when the platform recovers.
 pub(super) fn jittered(wait: Duration) -> Duration {
     wait.mul_f64(rand::rng().random_range(0.5..1.0))
 }
--- a/crates/proxy/src/process/control/publish.rs
+++ b/crates/proxy/src/process/control/publish.rs
@@ -1,4 +1,4 @@
-//! What traffic sees: a new immutable version at each change.
+//! Publication of immutable versions of the control state to the traffic threads.
 
 use std::sync::Arc;
 
--- a/crates/proxy/src/process/control_handle.rs
+++ b/crates/proxy/src/process/control_handle.rs
@@ -1,4 +1,4 @@
-//! How traffic threads reach the control thread.
+//! The channel from the traffic threads to the control thread.
 
 use std::sync::Arc;
 
@@ -12,86 +12,86 @@
 
 use crate::version::published::Published;
 
-/// What traffic tells or asks the control thread.
+/// An event or a query that a traffic thread sends to the control thread.
 #[derive(Debug)]
 pub enum ControlEvent {
-    /// A write that this process executed at a target is acknowledged.
+    /// A target acknowledged a write that this process executed there.
     WriteAcknowledged {
-        /// The group written.
+        /// The group that was written to.
         group: GroupId,
-        /// The session's identity, as the caller named it; none for a session without one, whose
-        /// write is accounted for, so that it raises no other session's floor.
+        /// The session's identity, as the caller named it; `None` for a session without one. Such a write is
+        /// recorded too: an unrecorded position would raise the read floors of other sessions.
         session: Option<String>,
-        /// The commit's position.
+        /// The log position of the commit.
         position: LogPosition,
-        /// Answered (or dropped) once the homes that answer for the session know the write: the
-        /// caller sees its success only then, so that its next read can't overtake the record.
+        /// Completed or dropped once the control thread has recorded the write. The caller gets its answer only
+        /// then, so that the session's next read can't overtake the record.
         recorded: oneshot::Sender<()>,
     },
-    /// A session with an identity and without a token reads: what must it see?
+    /// A session with an identity but without a token reads, and needs its read floor.
     FloorRequested {
-        /// The group read.
+        /// The group to read from.
         group: GroupId,
         /// The session's identity.
         session: String,
-        /// Where the answer goes; dropped when the floor can't be found out.
+        /// Receives the position that the read must see; dropped if the floor can't be determined.
         answer: oneshot::Sender<LogPosition>,
     },
-    /// Traffic saw a target fail: evidence for failure detection.
+    /// A request to a target failed, which is evidence for failure detection.
     TargetFailed {
         /// The target.
         target: TargetId,
-        /// What was seen.
+        /// How the request failed.
         evidence: TargetEvidence,
     },
-    /// Traffic saw another VM fail or leave, or saw one answer again that had failed.
+    /// A request to another VM failed or showed that it is leaving, or a VM that had failed answered again.
     VmSeen {
         /// The VM.
         vm: VmId,
-        /// What was seen.
+        /// What the request showed.
         evidence: membership::Evidence,
     },
 }
 
-/// What traffic saw of a failing target.
+/// How a request to a target failed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TargetEvidence {
-    /// The connection was refused, reset, or broke.
+    /// The connection was refused, reset or lost.
     Broken,
-    /// The target said that it is not the primary.
+    /// The target answered that it is not the primary.
     NotPrimary,
-    /// The target said that it is leaving.
+    /// The target answered that it is leaving.
     Leaving,
 }
 
-/// An event with the version that issued the indices in it.
+/// An event together with the version that its ids refer to.
 ///
-/// A new version may number groups and targets differently. An event that crosses one on its way
-/// would otherwise name another group, and a floor recorded there would let a session miss its own
-/// write; with its own version at hand the control thread translates the indices to names.
+/// A new version may number groups and targets differently. If an event were interpreted in a newer
+/// version, it could refer to another group, and a write recorded there would let its session miss it
+/// in a later read. The control thread therefore translates ids to names by the event's own version.
 #[derive(Debug)]
 pub struct VersionedEvent {
-    /// The version whose indices the event uses.
+    /// The version whose ids the event uses.
     pub version: Arc<Published>,
     /// The event.
     pub event: ControlEvent,
 }
 
-/// The traffic threads' end of the channel to the control thread.
+/// The sending end of the channel to the control thread.
 #[derive(Clone, Debug)]
 pub struct ControlHandle {
     events: mpsc::UnboundedSender<VersionedEvent>,
 }
 
 impl ControlHandle {
-    /// A handle, and the control thread's end.
+    /// Returns a handle and the receiver for the control thread.
     pub fn new() -> (ControlHandle, mpsc::UnboundedReceiver<VersionedEvent>) {
         let (events, receiver) = mpsc::unbounded_channel();
         (ControlHandle { events }, receiver)
     }
 
-    /// Sends an event whose indices belong to `version`. A control thread that has ended takes no
-    /// more, and its process is stopping.
+    /// Sends an event whose ids belong to `version`. The event is dropped if the control thread has
+    /// ended, which happens only while the process stops.
     pub fn send(&self, version: Arc<Published>, event: ControlEvent) {
         let _ = self.events.send(VersionedEvent { version, event });
     }
--- a/crates/proxy/src/process/counters.rs
+++ b/crates/proxy/src/process/counters.rs
@@ -1,7 +1,7 @@
-//! Counters of the traffic threads: plain atomics indexed by reason.
+//! Event counters of one process: relaxed atomics, indexed by an enum value.
 //!
-//! Every refusal, every reason for a retry, and every place where a read was served has its own
-//! counter. The control thread reads them all with [`Counters::snapshot`] for metrics and status.
+//! Each kind of refusal, reason for a retry and routing decision of a read has its own counter. The
+//! control thread reads all of them with [`Counters::snapshot`] for metrics and status.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -18,10 +18,10 @@
         }
 
         impl $enum_name {
-            /// Every value, in the order of its index.
+            /// All values, in the order of their discriminants, which index the counters.
             pub const ALL: &'static [$enum_name] = &[$($enum_name::$variant,)*];
 
-            /// The name in metrics and status.
+            /// Returns the name in metrics and status.
             pub fn name(self) -> &'static str {
                 match self {
                     $($enum_name::$variant => $name,)*
@@ -34,141 +34,141 @@
 pub(crate) use counted;
 
 counted! {
-    /// Why a request was tried again. Each reason proves that it did not run, or that it is a read.
+    /// Why a request was retried. A retry is safe for each reason: the request did not run, or is a read.
     RetryReason {
         /// The target refused a write because it is not the primary.
         NotPrimary = "retry.not_primary",
         /// The target refused work because it is leaving.
         Leaving = "retry.leaving",
-        /// The target had no room for the connection.
+        /// The target had no free connection: its limit or the limit of its queue was reached.
         NoRoom = "retry.no_room",
-        /// No connection came about.
+        /// The connection to the target could not be opened.
         ConnectFailed = "retry.connect_failed",
-        /// The connection broke under a read before any of its answer reached the caller.
+        /// The connection was lost during a read before any part of the answer reached the caller.
         ReadLost = "retry.read_lost",
-        /// The target's log lacked the position that the read must see.
+        /// The target had not yet applied the position that the read must see.
         Lagging = "retry.lagging",
-        /// The target had too much to do.
+        /// The target was overloaded.
         Busy = "retry.busy",
-        /// The target no longer knew a prepared statement.
+        /// The target no longer had a prepared statement.
         PreparedLost = "retry.prepared_lost",
     }
 }
 
 counted! {
-    /// Other events.
+    /// Events that are not refusals, retries, reads or store calls.
     Event {
         /// Callers accepted.
         CallersAccepted = "callers.accepted",
-        /// Callers that ended.
+        /// Caller sessions that ended.
         CallersEnded = "callers.ended",
-        /// Cancel requests that were passed on.
+        /// Cancel requests that were forwarded to a target.
         CancelsForwarded = "cancels.forwarded",
-        /// Cancel requests for no running request.
+        /// Cancel requests that matched no running request.
         CancelsIgnored = "cancels.ignored",
-        /// Simple queries and batches answered.
+        /// Simple queries and extended-protocol batches that were answered.
         Requests = "requests",
-        /// Requests that are not declared reads.
+        /// Requests that were not declared as reads, and so were routed as writes.
         WritesRouted = "requests.not_reads",
         /// Requests sent to another proxy.
         Forwarded = "forwards.sent",
-        /// Statements answered by the proxy itself.
+        /// Statements that the proxy answered without a target.
         AnsweredLocally = "requests.local",
-        /// Writes acknowledged after a majority confirmed them.
+        /// Writes that were acknowledged after a majority had confirmed them.
         WritesAcknowledged = "writes.acknowledged",
         /// Requests received from another proxy.
         ForwardsReceived = "forwards.received",
-        /// Connections opened to targets and proxies.
+        /// Connections opened to targets and other proxies.
         ConnectionsOpened = "connections.opened",
-        /// Connections that did not come about.
+        /// Connections that could not be opened.
         ConnectionsFailed = "connections.failed",
-        /// Connections closed.
+        /// Connections to targets and other proxies that were closed.
         ConnectionsClosed = "connections.closed",
-        /// Requests that found an idle connection.
+        /// Requests that got an idle pooled connection.
         ConnectionsFound = "connections.found",
         /// Requests that had to wait for a connection.
         ConnectionsMissed = "connections.missed",
-        /// Idle connections closed in favour of another user's.
+        /// Idle connections closed to make room for a connection of another user.
         ConnectionsReplaced = "connections.replaced",
-        /// Operations that were granted without asking another VM.
+        /// Operations admitted under an organisation's limit without asking another VM.
         LimitsGrantedHere = "limits.granted_here",
-        /// Questions to another VM whether an organisation's limit has room.
+        /// Requests to another VM for admission under an organisation's limit.
         LimitsAsked = "limits.asked",
-        /// Such questions that brought no answer in time.
+        /// Requests for admission under an organisation's limit that were not answered in time.
         LimitsUnanswered = "limits.unanswered",
-        /// Sessions that ended because their key was withdrawn.
+        /// Sessions that were closed because their key was withdrawn.
         KeysWithdrawn = "callers.key_withdrawn",
-        /// Connections reset after a transaction that may have changed their session.
+        /// Connections reset after a transaction that may have changed their session state.
         ConnectionsReset = "connections.reset",
-        /// Abandoned answers drained to idle.
+        /// Abandoned answers that were read to the end, so that the connection became idle again.
         AnswersDrained = "answers.drained",
-        /// Abandoned answers whose connection was closed.
+        /// Abandoned answers whose connection was closed instead.
         AnswersCut = "answers.cut",
-        /// Reads or writes that waited for the session's own writes to show.
+        /// Requests that waited until a target had applied the session's own writes.
         FloorWaits = "waits.floor",
-        /// Requests that waited for a primary that moves or changes.
+        /// Requests that waited during a change of primary.
         PrimaryWaits = "waits.primary",
-        /// Members asked how they stand.
+        /// Queries to members for their status.
         MembersAsked = "words.asked",
-        /// Homes asked for a position of a primary.
+        /// Queries to homes for the log position of a primary.
         PositionsAsked = "positions.asked",
-        /// Checks of the paths to a target.
+        /// Checks of the connection paths to a target.
         PathsChecked = "paths.checked",
-        /// Times that the paths to a target were set anew.
+        /// Times that the connection paths to a target were set up again.
         PathsSet = "paths.set",
-        /// Targets of other availability zones asked, since no VM there answered.
+        /// Targets of other availability zones that were queried directly because no VM there answered.
         OtherZonesAsked = "zones.targets_asked",
-        /// Leads that other members' words proved.
+        /// Primaries whose lead was proved by the status of other members.
         LeadsProved = "leads.proved",
-        /// Leads that too few words could be had for.
+        /// Primaries whose lead could not be proved because too few members answered.
         LeadsUnproved = "leads.unproved",
-        /// Targets that answered as primary after another was promoted.
+        /// Targets that answered as primary after another target had been promoted.
         LeadsSuperseded = "leads.superseded",
-        /// Prepared statements prepared again on another connection.
+        /// Statements that were prepared again on another connection.
         StatementsPrepared = "statements.prepared_again",
-        /// Bytes that a watcher sent to those that it tells.
+        /// Bytes that a watcher sent to its subscribers.
         FeedBytes = "feed.bytes_sent",
-        /// Watchers that were given up by those that they told, or should have told.
+        /// Times that a subscriber abandoned its watcher.
         FeedsAbandoned = "feed.given_up",
     }
 }
 
 counted! {
-    /// Calls to the platform's store by what they ask for.
+    /// Calls to the platform's store, by operation.
     StoreCall {
-        /// The configuration, read whole.
+        /// Read the whole configuration.
         ReadConfiguration = "store.calls.configuration_read",
-        /// Changes of the configuration, waited for.
+        /// Wait for changes of the configuration.
         WatchConfiguration = "store.calls.configuration_watch",
-        /// All targets.
+        /// Read the list of all targets.
         ListTargets = "store.calls.targets_list",
-        /// Changes of targets, waited for.
+        /// Wait for changes of targets.
         WatchTargets = "store.calls.targets_watch",
-        /// All VMs.
+        /// Read the list of all VMs.
         ListVms = "store.calls.vms_list",
-        /// This VM's address, written.
+        /// Write this VM's address.
         RegisterVm = "store.calls.vm_write",
-        /// Whether the store answers.
+        /// Check whether the store answers.
         Probe = "store.calls.probe",
-        /// The claim of a service.
+        /// Read the claim of a service.
         ReadClaim = "store.calls.claim_read",
-        /// The claim of a service, written.
+        /// Write the claim of a service.
         WriteClaim = "store.calls.claim_write",
     }
 }
 
 counted! {
-    /// Why a call to the platform's store has to be made again.
+    /// Why a call to the platform's store has to be retried.
     StoreRetryReason {
-        /// Another change came first.
+        /// A concurrent change was applied first.
         Conflict = "store.again.conflict",
-        /// The history that a watch goes on from is gone.
+        /// The store no longer has the history from which a watch would continue.
         HistoryGone = "store.again.history_gone",
-        /// The store refused it.
+        /// The store refused the call.
         Refused = "store.again.refused",
-        /// No answer came.
+        /// The store did not answer.
         NoAnswer = "store.again.no_answer",
-        /// The answer was not understood.
+        /// The answer could not be parsed.
         Malformed = "store.again.malformed",
     }
 }
@@ -199,7 +199,7 @@
 }
 
 impl Counters {
-    /// Counts a refusal or a request given up.
+    /// Counts a request that ended with an error of this kind.
     pub fn refusal(&self, kind: ErrorKind) {
         add(&self.refusals[kind as usize]);
     }
@@ -214,57 +214,57 @@
         add(&self.store_calls[call as usize]);
     }
 
-    /// Counts a call to the store that has to be made again.
+    /// Counts a call to the store that has to be retried.
     pub fn store_retry(&self, trouble: StoreRetryReason) {
         add(&self.store_retries[trouble as usize]);
     }
 
-    /// Counts a read by where it was served or why it was not.
+    /// Counts a read by the reason for its routing or refusal.
     pub fn read(&self, reason: ReadReason) {
         add(&self.reads[reason.index()]);
     }
 
-    /// Counts another event.
+    /// Counts one event.
     pub fn event(&self, event: Event) {
         add(&self.events[event as usize]);
     }
 
-    /// Adds to another event's counter.
+    /// Adds `amount` to the counter of an event.
     pub fn add(&self, event: Event, amount: u64) {
         self.events[event as usize].fetch_add(amount, Ordering::Relaxed);
     }
 
-    /// How often this kind was answered.
+    /// Returns how many requests ended with an error of this kind.
     pub fn refusals_of(&self, kind: ErrorKind) -> u64 {
         self.refusals[kind as usize].load(Ordering::Relaxed)
     }
 
-    /// How often this retry was made.
+    /// Returns how many retries were made for this reason.
     pub fn retries_of(&self, reason: RetryReason) -> u64 {
         self.retries[reason as usize].load(Ordering::Relaxed)
     }
 
-    /// How many such calls to the store were made.
+    /// Returns how many such calls to the store were made.
     pub fn store_calls_of(&self, call: StoreCall) -> u64 {
         self.store_calls[call as usize].load(Ordering::Relaxed)
     }
 
-    /// How many calls to the store have to be made again for this reason.
+    /// Returns how many calls to the store had to be retried for this reason.
     pub fn store_retries_of(&self, trouble: StoreRetryReason) -> u64 {
         self.store_retries[trouble as usize].load(Ordering::Relaxed)
     }
 
-    /// How many reads went there for this reason.
+    /// Returns how many reads were routed or refused for this reason.
     pub fn reads_of(&self, reason: ReadReason) -> u64 {
         self.reads[reason.index()].load(Ordering::Relaxed)
     }
 
-    /// How often this event happened.
+    /// Returns the counter of this event.
     pub fn events_of(&self, event: Event) -> u64 {
         self.events[event as usize].load(Ordering::Relaxed)
     }
 
-    /// Every counter by name.
+    /// Returns all counters with their names in metrics and status.
     pub fn snapshot(&self) -> Vec<(String, u64)> {
         let mut all = Vec::new();
         for kind in ErrorKind::ALL {
--- a/crates/proxy/src/process/daemon.rs
+++ b/crates/proxy/src/process/daemon.rs
@@ -1,7 +1,7 @@
-//! One proxy as a library: starts its threads, tells its addresses, and stops it.
+//! One proxy as a library: starts its threads, reports its addresses and stops it.
 //!
-//! A process may hold several proxies, each with a control thread and traffic threads of its own;
-//! the quick start and the tests do.
+//! A process may run several proxies, each with its own control thread and traffic threads, as the
+//! quick start and the tests do.
 
 use std::fmt;
 use std::io;
@@ -33,17 +33,17 @@
 use crate::version::published::Published;
 use crate::version::published::PublishedSlot;
 
-/// Connections that wait to be accepted.
+/// The length of the queue of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
 
 /// Why a proxy can't start.
 #[derive(Debug)]
 pub enum StartError {
-    /// The address for callers can't be listened on.
+    /// Listening on the address for callers failed.
     Listen(SocketAddr, io::Error),
-    /// The control address can't be listened on.
+    /// Listening on the control address failed.
     Control(SocketAddr, io::Error),
-    /// A thread can't be started.
+    /// Starting a thread or its runtime failed.
     Threads(io::Error),
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// A running proxy. Dropping it ends the proxy at once, as if its machine were gone.
+/// A running proxy. Dropping it ends the proxy immediately, as if its VM had failed.
 #[derive(Debug)]
 pub struct ProxyHandle {
     listen_address: SocketAddr,
@@ -74,12 +74,12 @@
     serving: Option<JoinHandle<()>>,
 }
 
-/// Starts a proxy. Its addresses are bound when this returns; the configuration comes later, see
+/// Starts a proxy. Its addresses are bound when this returns; the configuration is loaded later, see
 /// [`Published::ready`].
 ///
 /// # Errors
 ///
-/// When an address can't be bound or a thread can't be started.
+/// Fails if an address can't be bound or a thread can't be started.
 pub async fn start(settings: ProxySettings, log: slog::Logger) -> Result<ProxyHandle, StartError> {
     let settings = Arc::new(settings);
     let clock = MonotonicClock::start();
@@ -113,7 +113,7 @@
         Err(_) => return Err(StartError::Threads(io::Error::other("the control thread ended"))),
     };
 
-    // Accepts connections and looks after the pools; callers are served by threads of their own.
+    // This runtime accepts connections and maintains the pools; separate threads serve the callers.
     let threads = runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .thread_name("accept")
@@ -150,23 +150,24 @@
 }
 
 impl ProxyHandle {
-    /// Where callers and other proxies' statements arrive.
+    /// Returns the address for callers and for statements forwarded by other proxies.
     pub fn listen_address(&self) -> SocketAddr {
         self.listen_address
     }
 
-    /// Where control calls and health checks arrive.
+    /// Returns the address for control calls and health checks.
     pub fn control_address(&self) -> SocketAddr {
         self.control_address
     }
 
-    /// The versions that this proxy publishes to its traffic threads.
+    /// Returns the slot in which this proxy publishes versions to its traffic threads.
     pub fn published(&self) -> &PublishedSlot {
         &self.published
     }
 
-    /// Stops gracefully: the balancer and the other proxies are told, then no new callers are
-    /// taken, requests in flight end within their grace, and what others need to know is told.
+    /// Stops the proxy gracefully: announces the stop to the load balancer and the other proxies, then
+    /// accepts no new callers, waits for requests in flight up to the grace period, and finally sends
+    /// the unsent session writes to the other homes.
     pub async fn stop(mut self) {
         let _ = self.orders.send(Order::AnnounceStop);
         tokio::time::sleep(self.stop_notice).await;
@@ -176,7 +177,8 @@
         }
         let _ = self.orders.send(Order::End);
         if let Some(control) = self.control.take() {
-            // The thread ends within its calls' timeouts; waiting for it may not block the caller.
+            // The thread ends within the timeouts of its calls. Joining it on a blocking thread keeps the
+            // caller's runtime free.
             let _ = tokio::task::spawn_blocking(move || control.join()).await;
         }
     }
--- a/crates/proxy/src/process/decisions.rs
+++ b/crates/proxy/src/process/decisions.rs
@@ -1,4 +1,4 @@
-//! The latest decisions about each group with their reasons, as `explain` shows them.
+//! The latest decisions about each group and their reasons, as shown by `skylarkctl explain`.
 
 use std::collections;
 use std::fmt;
@@ -9,18 +9,18 @@
 
 use crate::process::peer::api::DecisionReport;
 
-/// How many decisions of one group are kept.
+/// How many decisions are kept for one group.
 const MAX_DECISIONS: usize = 64;
 
-/// The term of a change of primary that has chosen none yet.
+/// The term in [`Decision::Stepped`] while the change of primary has not chosen a term.
 const NO_TERM: Term = Term(0);
 
 /// A decision of the control thread about one group.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Decision {
-    /// The group's members are tracked from now on.
+    /// Tracking of the group's members has started.
     Tracked,
-    /// The group's members are no longer tracked.
+    /// Tracking of the group's members has ended.
     Untracked,
     /// A new version of the group's object is in force.
     Configured {
@@ -36,37 +36,37 @@
         /// The verdict.
         verdict: detection::Verdict,
     },
-    /// A change of primary that this process drives reached a step.
+    /// A change of primary driven by this process reached a step.
     Stepped {
         /// The step.
         step: failover::Step,
-        /// The term that the change opens; zero before one is chosen.
+        /// The term that the change opens; zero before a term is chosen.
         term: Term,
     },
-    /// The primary was announced to traffic.
+    /// The primary was announced to the traffic threads.
     Announced {
         /// The primary.
         target: String,
         /// Its term.
         term: Term,
     },
-    /// New writes are held back for an ordered change of primary.
+    /// New writes are held back for a change of primary requested by an operator.
     WritesHeld,
-    /// New writes are let through again.
+    /// New writes are no longer held back.
     WritesReleased,
-    /// Whether a majority can confirm writes changed.
+    /// The group became able or unable to confirm writes by a majority.
     StallChanged {
-        /// Whether it can't.
+        /// Whether writes can't be confirmed.
         stalled: bool,
     },
-    /// A target gets no new work, or gets it again.
+    /// A target was excluded from new requests, or included again.
     TargetStanding {
         /// The target.
         target: String,
-        /// Whether it gets none.
+        /// Whether the target is excluded.
         leaving: bool,
     },
-    /// The member set changed by more than one member since the version known here.
+    /// The member set changed by more than one member since the version known to this process.
     MembersReplaced {
         /// The store's version of the group's object.
         version: u64,
@@ -112,7 +112,7 @@
 }
 
 impl Decision {
-    /// Why the decision was taken.
+    /// Returns why the decision was taken.
     pub fn reason(&self) -> &'static str {
         match self {
             Decision::Tracked => "this VM is home to a member",
@@ -200,7 +200,7 @@
 }
 
 impl DecisionLog {
-    /// Adds a decision; the oldest one goes where there are too many.
+    /// Adds a decision, removing the oldest one if the log is full.
     pub fn add(&mut self, now_us: u64, decision: Decision) {
         if self.entries.len() == MAX_DECISIONS {
             self.entries.pop_front();
@@ -208,7 +208,7 @@
         self.entries.push_back((now_us, decision));
     }
 
-    /// The decisions, oldest first.
+    /// Returns the decisions, oldest first.
     pub fn report(&self, now_us: u64) -> Vec<DecisionReport> {
         const US_PER_MS: u64 = 1000;
         let report = |(taken_us, decision): &(u64, Decision)| DecisionReport {
--- a/crates/proxy/src/process/log.rs
+++ b/crates/proxy/src/process/log.rs
@@ -1,4 +1,4 @@
-//! The process's log: JSON lines on standard error, from the configured level up.
+//! The process's log: JSON lines on standard error, filtered by the configured level.
 
 use std::io;
 
@@ -6,11 +6,11 @@
 use skylark_settings::proxy::ProxySettings;
 use slog::Drain;
 
-/// How many messages wait for a slow reader of the log. More are dropped and counted, so that a
-/// stuck log never stops the traffic.
+/// The capacity of the queue to the thread that writes the log. Further messages are dropped and counted,
+/// so that a blocked log reader never blocks request processing.
 const MAX_QUEUED_MESSAGES: usize = 4096;
 
-/// A log that names this process's VM and zone in each line.
+/// Opens a log that includes this process's VM and availability zone in each line.
 pub fn open(settings: &ProxySettings) -> slog::Logger {
     let lines = slog_json::Json::default(io::stderr()).fuse();
     let level = level(settings.log_level);
--- a/crates/proxy/src/process/member/client.rs
+++ b/crates/proxy/src/process/member/client.rs
@@ -1,5 +1,5 @@
-//! What the control thread asks of a member, as a small trait, so that another kind of target can
-//! take the place of the documented one.
+//! The protocol of control connections to members, as a trait, so that other kinds of targets can be
+//! supported.
 
 use std::fmt;
 use std::future::Future;
@@ -7,31 +7,31 @@
 use skylark_core::log_position::Term;
 use skylark_core::member_status::MemberStatus;
 
-/// A command on a control connection. Each is answered by the member's status, read in one step
-/// after the command's effect.
+/// A command on a control connection. The member answers with its status, read atomically after the
+/// command has taken effect.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum MemberCommand {
-    /// Report the status. Left out while another such probe is unanswered.
+    /// Report the status. Not sent while an earlier probe is unanswered.
     Probe,
-    /// Report the status as it is after this command was sent.
+    /// Report the status. Always sent, so that the answer shows the state after the command was issued.
     Status,
-    /// Send notices from now on, and report the status.
+    /// Start sending notices of status changes, and report the status.
     Listen,
-    /// Promise `term` to `driver`.
+    /// Raise the member's term to `term` and promise it to `driver`.
     RaiseTerm {
         /// The term to promise.
         term: Term,
-        /// The VM that drives the change to it.
+        /// The name of the failover driver that opens the term.
         driver: String,
     },
     /// Become the primary of `term`, which must be promised to `driver`.
     Promote {
         /// The term to lead.
         term: Term,
-        /// The VM that drives the change to it.
+        /// The name of the failover driver that opens the term.
         driver: String,
     },
-    /// Follow the primary of `term`.
+    /// Replicate from the primary of `term`.
     Follow {
         /// The primary's term.
         term: Term,
@@ -40,56 +40,60 @@
     },
 }
 
-/// What a member sends.
+/// A message from a member.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum MemberMessage {
-    /// The status after a change, sent without being asked.
+    /// The status after a change, sent without a command.
     Notice(MemberStatus),
-    /// The answer to the oldest command without one.
+    /// The answer to the oldest unanswered command.
     Answer(MemberStatus),
-    /// The oldest command without an answer failed; the connection goes on.
+    /// The oldest unanswered command failed, with the member's message; the connection stays usable.
     CommandFailed(String),
-    /// The oldest command needs no status of its own: it ended without a row.
+    /// The oldest unanswered command completed without a status row.
     Done,
 }
 
 /// Why a control connection ended.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum MemberError {
-    /// The member refuses connections: nothing listens at its address.
+    /// The connection was refused: nothing listens at the member's address.
     Refused(String),
-    /// The connection can't be opened, or broke.
+    /// The connection could not be opened for another reason, or was lost.
     Broken(String),
     /// The member did not answer in time.
     TimedOut,
-    /// The member sent something that the protocol does not allow here.
+    /// The member violated the protocol.
     Protocol(String),
 }
 
 impl fmt::Display for MemberError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MemberError::Refused(reason) => write!(f, "the member refuses connections: {reason}"),
-            MemberError::Broken(reason) => write!(f, "the control connection broke: {reason}"),
+            MemberError::Refused(reason) => {
+                write!(f, "the member refused the connection: {reason}")
+            }
+            MemberError::Broken(reason) => write!(f, "the control connection was lost: {reason}"),
             MemberError::TimedOut => f.write_str("the member did not answer in time"),
-            MemberError::Protocol(reason) => write!(f, "the member broke the protocol: {reason}"),
+            MemberError::Protocol(reason) => {
+                write!(f, "the member violated the protocol: {reason}")
+            }
         }
     }
 }
 
-/// Opens control connections.
+/// A factory of control connections.
 pub trait MemberClient: Clone + Send + Sync + 'static {
-    /// An open connection.
+    /// The type of an open connection.
     type Connection: MemberConnection;
 
-    /// Connects to the member at `address` (IP address and port).
+    /// Connects to the member at `address`, an IP address and port.
     fn connect(
         &self,
         address: &str,
     ) -> impl Future<Output = Result<Self::Connection, MemberError>> + Send;
 }
 
-/// An open control connection. Commands may be sent before earlier ones are answered.
+/// An open control connection. Commands can be pipelined; answers arrive in the order of the commands.
 pub trait MemberConnection: Send + 'static {
     /// Sends a command.
     fn send(
@@ -97,6 +101,6 @@
         command: &MemberCommand,
     ) -> impl Future<Output = Result<(), MemberError>> + Send;
 
-    /// Waits for the next message. Dropping the future loses nothing.
+    /// Waits for the next message. Cancel-safe: dropping the future loses no data.
     fn receive(&mut self) -> impl Future<Output = Result<MemberMessage, MemberError>> + Send;
 }
--- a/crates/proxy/src/process/member/frames.rs
+++ b/crates/proxy/src/process/member/frames.rs
@@ -1,5 +1,5 @@
-//! Messages of control connections as PostgreSQL frames: encoding of commands, and a decoder that
-//! turns whatever arrived so far into member messages.
+//! PostgreSQL wire encoding of control connections: encoding of commands as simple queries, and an
+//! incremental decoder of the answers and notices.
 
 use bytes::BytesMut;
 use fallible_iterator::FallibleIterator;
@@ -12,13 +12,13 @@
 use crate::process::member::client::MemberError;
 use crate::process::member::client::MemberMessage;
 
-/// The database name that opens a control connection.
+/// The database name that requests a control connection in the startup packet.
 const CONTROL_DATABASE: &str = "group_control";
 
-/// The channel of the members' notices.
+/// The `LISTEN` channel on which members send notices of status changes.
 const STATUS_CHANNEL: &str = "group_status";
 
-/// Appends the start-up packet of a control connection.
+/// Appends the startup packet of a control connection to `out`.
 pub fn encode_startup(application_name: &str, out: &mut BytesMut) -> Result<(), MemberError> {
     let parameters = [
         ("user", "skylark"),
@@ -28,7 +28,7 @@
     frontend::startup_message(parameters, out).map_err(broken)
 }
 
-/// Appends a command as a simple query.
+/// Appends a command to `out` as a simple query.
 pub fn encode_command(command: &MemberCommand, out: &mut BytesMut) -> Result<(), MemberError> {
     frontend::query(&query_text(command), out).map_err(broken)
 }
@@ -60,16 +60,16 @@
     MemberError::Broken(error.to_string())
 }
 
-/// Whether a start-up has ended.
+/// The progress of a connection's startup.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Startup {
-    /// More messages are to come.
+    /// The member will send more startup messages.
     InProgress,
     /// The member is ready for commands.
     Ready,
 }
 
-/// Takes the next message of a start-up, if it has arrived.
+/// Decodes the next startup message. Returns `None` if it has not fully arrived.
 pub fn decode_startup(buffer: &mut BytesMut) -> Result<Option<Startup>, MemberError> {
     let Some(message) = Message::parse(buffer).map_err(protocol)? else { return Ok(None) };
     match message {
@@ -79,19 +79,19 @@
         | Message::ParameterStatus(_)
         | Message::BackendKeyData(_)
         | Message::NoticeResponse(_) => Ok(Some(Startup::InProgress)),
-        _ => Err(MemberError::Protocol("unexpected message during the start-up".to_owned())),
+        _ => Err(MemberError::Protocol("unexpected message during startup".to_owned())),
     }
 }
 
-/// Puts the messages of a command's answer together.
+/// Assembles the protocol messages of a command's answer into one [`MemberMessage`].
 #[derive(Debug, Default)]
 pub struct AnswerDecoder {
     answer: Option<MemberMessage>,
 }
 
 impl AnswerDecoder {
-    /// Takes messages from `buffer` until one completes a member message; nothing when more bytes
-    /// are needed.
+    /// Consumes protocol messages from `buffer` until a member message is complete. Returns `None` if
+    /// more bytes are needed.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<MemberMessage>, MemberError> {
         while let Some(message) = Message::parse(buffer).map_err(protocol)? {
             match message {
@@ -118,7 +118,7 @@
 fn row_status(body: &backend::DataRowBody) -> Result<MemberStatus, MemberError> {
     let first = body.ranges().next().map_err(protocol)?;
     let Some(Some(range)) = first else {
-        return Err(MemberError::Protocol("a status row without a value".to_owned()));
+        return Err(MemberError::Protocol("status row without a value".to_owned()));
     };
     parse_status(&body.buffer()[range])
 }
@@ -142,5 +142,5 @@
             return String::from_utf8_lossy(field.value_bytes()).into_owned();
         }
     }
-    "an error without a message".to_owned()
+    "error response without a message".to_owned()
 }
--- a/crates/proxy/src/process/member/task.rs
+++ b/crates/proxy/src/process/member/task.rs
@@ -1,7 +1,8 @@
-//! The task that keeps one member's control connection: connect, listen, pass reports on, reconnect.
+//! The task that maintains the control connection to one member: it connects, subscribes to notices,
+//! forwards status reports and reconnects.
 //!
-//! The task decides nothing. It hands every report to the control thread at once, because a write
-//! waits for the confirmation that a report carries.
+//! The task makes no decisions. It forwards each report to the control thread immediately, because
+//! writes wait for the confirmations that reports carry.
 
 use std::collections;
 use std::time::Duration;
@@ -18,41 +19,42 @@
 use crate::process::member::client::MemberError;
 use crate::process::member::client::MemberMessage;
 
-/// The first wait before connecting again.
+/// The delay before the first reconnection attempt.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// The longest wait before connecting again.
+/// The upper limit of the exponential delay between reconnection attempts.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Names one member over successive versions, for as long as it keeps its name and address.
+/// Identifies the control connection of one member. It stays the same over versions of the configuration as
+/// long as the member keeps its name and address, and is never reused.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct MemberKey(pub u32);
 
-/// What a member's task tells the control thread.
+/// What happened on a member's control connection.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum MemberUpdate {
-    /// The member reports its status.
+    /// The member reported its status.
     Report {
         /// The status.
         status: MemberStatus,
-        /// When the command was sent whose answer this is, in microseconds of this process's clock;
-        /// nothing for a notice, of which only the time of arrival is known.
+        /// When the command that this answers was sent, in microseconds of this process's clock. `None`
+        /// for a notice, for which only the time of arrival is known.
         sent_us: Option<u64>,
-        /// The command whose answer this is.
+        /// The command that this answers; `None` for a notice.
         command: Option<MemberCommand>,
     },
     /// The member refused a command.
     Refused {
         /// The command.
         command: MemberCommand,
-        /// The member's reason.
+        /// The member's error message.
         reason: String,
     },
-    /// The member can't be reached now; commands without an answer may have taken effect.
+    /// The connection was lost or could not be opened. Unanswered commands may have taken effect.
     Lost(MemberError),
 }
 
-/// News of one member.
+/// An update from the task of one member.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct MemberEvent {
     /// The member.
@@ -61,34 +63,34 @@
     pub update: MemberUpdate,
 }
 
-/// The control thread's end of a member's task. Dropping it ends the task.
+/// The control thread's handle to a member's task. Dropping it ends the task.
 #[derive(Debug)]
 pub struct MemberHandle {
     commands: mpsc::UnboundedSender<MemberCommand>,
 }
 
 impl MemberHandle {
-    /// Sends a command. While there is no connection it is dropped: the sender learns from the
-    /// reports, not from the command, what has taken effect, and repeats what has not.
+    /// Sends a command. Commands sent while there is no connection are dropped: the sender must learn
+    /// from status reports which commands have taken effect, and repeat the others.
     pub fn send(&self, command: MemberCommand) {
         let _ = self.commands.send(command);
     }
 }
 
-/// What a member's task needs to run.
+/// A member's task before it is started.
 #[derive(Debug)]
 pub struct MemberTask<C> {
     /// The member.
     pub member: MemberKey,
-    /// Its IP address and port.
+    /// The member's IP address and port.
     pub address: String,
-    /// How connections are opened.
+    /// Opens connections to the member.
     pub client: C,
-    /// How long the member may take to accept a connection or to answer a command.
+    /// The timeout for opening a connection and for the answer to a command.
     pub timeout: Duration,
     /// The process's clock.
     pub clock: MonotonicClock,
-    /// Where news go.
+    /// Receives the member's updates.
     pub events: mpsc::UnboundedSender<MemberEvent>,
 }
 
@@ -103,7 +105,7 @@
 where
     C: MemberClient,
 {
-    /// Starts the task on the current runtime.
+    /// Spawns the task on the current runtime.
     pub fn start(self) -> MemberHandle {
         let (commands, receiver) = mpsc::unbounded_channel();
         tokio::spawn(self.run(receiver));
@@ -133,7 +135,8 @@
         }
     }
 
-    /// Serves one connection until it breaks, or until the control thread lets go of the member.
+    /// Serves one connection. Returns an error when the connection is lost, and `Ok` when the control
+    /// thread has dropped the member's handle.
     async fn serve(
         &self,
         mut connection: C::Connection,
@@ -162,7 +165,7 @@
         pending: &mut collections::VecDeque<Pending>,
         command: MemberCommand,
     ) -> Result<(), MemberError> {
-        // A probe while another one is unanswered would only lengthen the queue at a slow member.
+        // A second probe before the first is answered would only lengthen the queue of a slow member.
         let probe_waits = pending.iter().any(|earlier| earlier.command == MemberCommand::Probe);
         if command == MemberCommand::Probe && probe_waits {
             return Ok(());
@@ -184,7 +187,7 @@
             return Ok(());
         }
         let Some(Pending { command, sent_us, .. }) = pending.pop_front() else {
-            return Err(MemberError::Protocol("an answer without a command".to_owned()));
+            return Err(MemberError::Protocol("answer without a pending command".to_owned()));
         };
         match message {
             MemberMessage::Answer(status) => {
@@ -204,7 +207,8 @@
     }
 }
 
-/// Waits, dropping the commands that come meanwhile; an error means that the task is to end.
+/// Waits for `wait` while discarding commands. Returns an error if the handle was dropped, so that the
+/// task has to end.
 async fn drop_commands_for(
     commands: &mut mpsc::UnboundedReceiver<MemberCommand>,
     wait: Duration,
@@ -227,8 +231,8 @@
     }
 }
 
-/// Between half of `wait` and all of it: processes that lost a member together would otherwise come
-/// back together.
+/// Returns a random duration between half of `wait` and all of it. Without jitter, processes that lost
+/// a member at the same time would all reconnect at the same time.
 fn jittered(wait: Duration) -> Duration {
     wait.mul_f64(rand::rng().random_range(0.5..1.0))
 }
--- a/crates/proxy/src/process/member/tcp.rs
+++ b/crates/proxy/src/process/member/tcp.rs
@@ -1,4 +1,4 @@
-//! [`MemberClient`] over TCP with PostgreSQL frames.
+//! [`MemberClient`] over TCP with the PostgreSQL wire protocol.
 
 use std::io;
 
@@ -14,7 +14,7 @@
 use crate::process::member::client::MemberMessage;
 use crate::process::member::frames;
 
-/// How many bytes a connection's buffer holds at first; a status takes about 150.
+/// The initial capacity of a connection's buffers; a status takes about 150 bytes.
 const BUFFER_BYTES: usize = 1024;
 
 /// Opens control connections over TCP.
@@ -24,7 +24,7 @@
 }
 
 impl TcpMemberClient {
-    /// A client that names itself `ZONE/VM` to the members.
+    /// Creates a client that sends `ZONE/VM` to members as its application name.
     pub fn new(zone: &str, vm: &str) -> TcpMemberClient {
         TcpMemberClient { application_name: format!("{zone}/{vm}") }
     }
@@ -78,7 +78,7 @@
     async fn fill(&mut self) -> Result<(), MemberError> {
         let count = self.stream.read_buf(&mut self.received).await.map_err(broken)?;
         if count == 0 {
-            return Err(MemberError::Broken("closed by the member".to_owned()));
+            return Err(MemberError::Broken("the member closed the connection".to_owned()));
         }
         Ok(())
     }
--- a/crates/proxy/src/process/metrics.rs
+++ b/crates/proxy/src/process/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics by UDP to a statsd server: what changed in the counters since the last time, and gauges of
-//! the control state.
+//! Metrics sent over UDP to a statsd server: increments of the counters since the last report, and
+//! gauges of the control state.
 
 use std::net::UdpSocket;
 
@@ -12,25 +12,25 @@
 
 use crate::process::counters::Counters;
 
-/// The control state as numbers.
+/// Gauges of the control state.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ControlGauges {
     /// The revision in force.
     pub revision: u64,
-    /// Groups whose members are tracked.
+    /// The number of groups whose members are tracked.
     pub tracked_groups: u64,
-    /// Tracked groups without a known primary.
+    /// The number of tracked groups without a known primary.
     pub leaderless_groups: u64,
-    /// Tracked groups whose writes are refused because a majority can't confirm them.
+    /// The number of tracked groups whose writes are refused because a majority can't confirm them.
     pub stalled_groups: u64,
-    /// Members of tracked groups that don't answer.
+    /// The number of members of tracked groups that can't be reached.
     pub unreachable_members: u64,
     /// 1 while the platform answers, otherwise 0.
     pub platform_answers: u64,
 }
 
 impl ControlGauges {
-    /// The gauges by name.
+    /// Returns the gauges with their metric names.
     pub fn by_name(&self) -> [(&'static str, u64); 6] {
         [
             ("control.revision", self.revision),
@@ -43,7 +43,7 @@
     }
 }
 
-/// The client, and what was sent already.
+/// A statsd client, and the counter values that it has already sent.
 #[derive(Debug)]
 pub struct Metrics {
     client: StatsdClient,
@@ -51,8 +51,8 @@
 }
 
 impl Metrics {
-    /// A client of the server that the settings name; nothing where they name none, or where no
-    /// socket can be had: a proxy serves without metrics rather than not at all.
+    /// Opens a client of the server in the settings. Returns `None` if the settings name no server, or
+    /// if no socket can be opened: a proxy without metrics is better than none.
     pub fn open(settings: &ProxySettings, log: &slog::Logger) -> Option<Metrics> {
         let address = settings.metrics.statsd_address?;
         let any = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
@@ -73,26 +73,26 @@
                 Some(Metrics { client, sent: FastMap::default() })
             }
             Err(reason) => {
-                slog::error!(log, "no metrics are sent"; "reason" => reason);
+                slog::error!(log, "metrics are disabled: the statsd socket could not be opened"; "reason" => reason);
                 None
             }
         }
     }
 
-    /// Sends the control state.
+    /// Sends the gauges.
     pub fn send_gauges(&self, gauges: &ControlGauges) {
         for (name, value) in gauges.by_name() {
             let _ = self.client.gauge_with_tags(name, value).try_send();
         }
     }
 
-    /// Sends how much each counter grew.
+    /// Sends the increment of each counter since the last call.
     pub fn send_counters(&mut self, counters: &Counters) {
         for (name, value) in counters.snapshot() {
             let sent = self.sent.get(&name).copied().unwrap_or(0);
             let increase = value.saturating_sub(sent);
             if increase > 0 {
-                // A datagram that can't be sent is lost, as any datagram may be.
+                // UDP loses datagrams anyway, so a failure to send one is ignored.
                 let _ = self.client.count_with_tags(&name, increase as i64).try_send();
                 self.sent.insert(name, value);
             }
--- a/crates/proxy/src/process/mod.rs
+++ b/crates/proxy/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process.
+//! State and tasks that live as long as the process.
 
 pub mod clock;
 pub mod control;
--- a/crates/proxy/src/process/peer/client.rs
+++ b/crates/proxy/src/process/peer/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other proxies.
+//! Clients for control calls to other proxies.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 use skylark_core::process::membership;
 use skylark_core::version::spreading;
 
-/// How many clients are kept. Each holds its connection open between calls.
+/// The maximum number of cached clients. Each keeps its connection open between calls.
 const MAX_CLIENTS: usize = 32;
 
-/// The time limit of a call for a whole snapshot: as long as a pull is waited for. With the limit of short
-/// calls, 0.5 s, a proxy behind a slow link never caught up, nor had a first version from its peers.
+/// The timeout of a call for a full snapshot, equal to the timeout of a pull. With the timeout of short
+/// calls, 0.5 s, a proxy behind a slow link could neither catch up nor get a first version from peers.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_micros(spreading::PULL_TIMEOUT_US);
 
-/// Opens clients of control addresses, and keeps the latest ones.
+/// A cache of clients by control address. It is emptied when it is full.
 #[derive(Debug)]
 pub struct PeerClients {
     timeout: Duration,
@@ -24,12 +24,12 @@
 }
 
 impl PeerClients {
-    /// Clients whose calls take up to `timeout`.
+    /// Creates an empty cache. Calls of its clients time out after `timeout`.
     pub fn new(timeout: Duration) -> PeerClients {
         PeerClients { timeout, clients: FastMap::default() }
     }
 
-    /// The client of a control address; nothing where the address can't be one.
+    /// Returns a client of a control address, or `None` if the address is invalid.
     pub fn get(&mut self, control_address: &str) -> Option<HttpClient> {
         if let Some(client) = self.clients.get(control_address) {
             return Some(client.clone());
@@ -43,18 +43,18 @@
     }
 }
 
-/// A client of one control address; nothing where the address can't be one.
+/// Opens a client of a control address. Returns `None` if the address is invalid.
 pub fn open(control_address: &str, timeout: Duration) -> Option<HttpClient> {
     let builder = HttpClientBuilder::default().request_timeout(timeout);
     builder.build(format!("http://{control_address}")).ok()
 }
 
-/// A client of one control address for calls for a whole snapshot.
+/// Opens a client of a control address with a timeout that suits full snapshots.
 pub fn open_for_snapshots(control_address: &str) -> Option<HttpClient> {
     open(control_address, SNAPSHOT_TIMEOUT)
 }
 
-/// What a failed call says about the VM that was called.
+/// Classifies a failed call as evidence about the VM that was called.
 pub fn evidence(error: &client::Error) -> membership::Evidence {
     match error {
         client::Error::Call(_) => membership::Evidence::Healthy,
--- a/crates/proxy/src/process/peer/mod.rs
+++ b/crates/proxy/src/process/peer/mod.rs
@@ -1,4 +1,4 @@
-//! What proxies say to each other and to operators on the control address.
+//! The control protocol that proxies, operators and the load balancer use on the control address.
 
 pub mod api;
 pub mod client;
--- a/crates/proxy/src/process/peer/server.rs
+++ b/crates/proxy/src/process/peer/server.rs
@@ -1,6 +1,6 @@
-//! The control address: answers calls of other proxies, of operators, and of the balancer.
+//! The server on the control address, for calls of other proxies, operators and the load balancer.
 //!
-//! The server keeps no state. Each call becomes a request to the control thread, which owns it all.
+//! The server is stateless: it passes each call to the control thread, which owns all control state.
 
 use std::io;
 use std::net::SocketAddr;
@@ -27,10 +27,10 @@
     UnknownGroup,
 }
 
-/// Where the answer to a call goes.
+/// The sender of a call's answer. Dropping it makes the call fail as unavailable.
 pub type Answer<T> = oneshot::Sender<Result<T, Refusal>>;
 
-/// A call, as the control thread gets it.
+/// A call passed to the control thread: its parameters and the sender of its answer.
 #[derive(Debug)]
 pub enum PeerRequest {
     /// `peer_version`
@@ -53,17 +53,18 @@
     Health(Answer<api::Health>),
 }
 
-/// The largest call: an offer of a whole snapshot, whose objects are each up to a megabyte.
+/// The maximum size of a request or answer. The largest is a full snapshot, with objects of up to a
+/// megabyte each.
 const MAX_CALL_BYTES: u32 = 16 * 1024 * 1024;
 
-/// Opens the control address. Returns the address that was bound and the handle that stops it.
+/// Starts the server on the control address. Returns the bound address and a handle that stops the server.
 pub async fn start(
     address: SocketAddr,
     requests: mpsc::UnboundedSender<PeerRequest>,
 ) -> io::Result<(SocketAddr, ServerHandle)> {
     let paths = [(api::HEALTH_PATH, "health"), (api::READY_PATH, "ready")];
     let health =
-        ProxyGetRequestLayer::new(paths).expect("the paths start with a slash and stand once");
+        ProxyGetRequestLayer::new(paths).expect("the paths start with a slash and are distinct");
     let config = jsonrpsee::server::ServerConfig::builder()
         .max_request_body_size(MAX_CALL_BYTES)
         .max_response_body_size(MAX_CALL_BYTES)
@@ -87,7 +88,7 @@
     {
         let (answer, answered) = oneshot::channel();
         let _ = self.requests.send(request(answer));
-        // A dropped answer means that the control thread is ending.
+        // The control thread drops the answer without sending when it ends.
         answered.await.unwrap_or(Err(Refusal::Unavailable)).map_err(refused)
     }
 }
--- a/crates/proxy/src/process/schedule.rs
+++ b/crates/proxy/src/process/schedule.rs
@@ -1,32 +1,32 @@
-//! The control thread's subscriptions to the timer service, each with the purpose that it serves.
+//! The control thread's timers, keyed by purpose: periodic timers, and one-shot timers of groups.
 
 use skylark_core::FastMap;
 use skylark_core::process::timer;
 use skylark_core::process::timer::TimerId;
 use skylark_core::process::timer::Timers;
 
-/// Periodic work of the control thread, and single ticks that a decision asked for.
+/// What a timer is for. Timers of groups carry the group's name.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub enum Purpose {
-    /// Ask every tracked member for its status.
+    /// Periodic: probe every tracked member for its status.
     ProbeMembers,
-    /// Exchange versions with a peer.
+    /// Periodic: exchange versions with peers.
     ExchangeVersions,
-    /// Read the platform's list of VMs.
+    /// Periodic: read the list of VMs from the platform.
     ReadVmList,
-    /// Send metrics.
+    /// Periodic: send metrics.
     SendMetrics,
-    /// Look whether evidence about VMs and targets has expired.
+    /// Periodic: drop expired evidence about VMs and targets.
     ExpireEvidence,
-    /// The failover driver of this group asked for a tick.
+    /// One-shot: a timer requested by the failover driver of this group.
     Driver(String),
-    /// The failure detector of this group can change its verdict.
+    /// One-shot: the failure detector of this group may change its verdict without new evidence.
     Detector(String),
-    /// Every process knows the member set of this group by now.
+    /// One-shot: every process knows the current member set of this group, so its joint phase can end.
     SettleMembers(String),
-    /// The members of this group need not be tracked any longer.
+    /// One-shot: tracking of this group's members is to end.
     EndTracking(String),
-    /// Writes of this group wait to be told to its homes.
+    /// One-shot: the collected writes of this group are to be sent to its homes.
     SendWrites(String),
 }
 
@@ -47,28 +47,28 @@
     }
 }
 
-/// A subscription that is due.
+/// A timer that is due.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Due {
-    /// What it is for.
+    /// The purpose of the timer.
     pub purpose: Purpose,
-    /// When a single tick was due, in microseconds; without meaning for a period.
+    /// When a one-shot timer was due, in microseconds; meaningless for a periodic timer.
     pub due_us: u64,
 }
 
-/// The subscriptions.
+/// The control thread's timers, at most one for each purpose.
 #[derive(Debug)]
 pub struct Schedule {
     timers: Timers,
     seed: u64,
     by_purpose: FastMap<Purpose, TimerId>,
-    /// Indexed by the timers' ids.
+    /// Indexed by `TimerId`.
     entries: Vec<Option<Due>>,
     ids: Vec<TimerId>,
 }
 
 impl Schedule {
-    /// No subscriptions. Jitter is drawn from the seed.
+    /// Creates a schedule without timers. The jitter of periodic timers is drawn from `seed`.
     pub fn new(seed: u64) -> Schedule {
         Schedule {
             timers: Timers::new(),
@@ -79,14 +79,14 @@
         }
     }
 
-    /// Subscribes to a period with up to a tenth of jitter.
+    /// Starts a periodic timer with jitter of up to a tenth of its period.
     pub fn every(&mut self, purpose: Purpose, every_us: u64, now_us: u64) {
         let period = timer::Period { every_us, jitter_us: every_us / 10, seed: self.seed };
         let timer = self.timers.subscribe(period, now_us);
         self.register(timer, purpose, now_us);
     }
 
-    /// Sets the single tick of this purpose, instead of one set before.
+    /// Sets the one-shot timer of this purpose, replacing an earlier one.
     pub fn set(&mut self, purpose: Purpose, due_us: u64) {
         match self.by_purpose.get(&purpose) {
             Some(&timer) => {
@@ -100,14 +100,14 @@
         }
     }
 
-    /// Sets the single tick of this purpose unless one is set.
+    /// Sets the one-shot timer of this purpose unless one is already set.
     pub fn set_if_absent(&mut self, purpose: Purpose, due_us: u64) {
         if !self.by_purpose.contains_key(&purpose) {
             self.set(purpose, due_us);
         }
     }
 
-    /// Ends the subscription of this purpose.
+    /// Cancels the timer of this purpose, if there is one.
     pub fn cancel(&mut self, purpose: &Purpose) {
         if let Some(timer) = self.by_purpose.remove(purpose) {
             self.entries[timer.index()] = None;
@@ -115,12 +115,12 @@
         }
     }
 
-    /// When the next tick is due.
+    /// Returns when the next timer is due, in microseconds.
     pub fn next_due_us(&mut self) -> Option<u64> {
         self.timers.next_deadline_us()
     }
 
-    /// Adds what is due to `due`, in the order of the times.
+    /// Appends the timers that are due to `due`, in order of their due times.
     pub fn take_due(&mut self, now_us: u64, due: &mut Vec<Due>) {
         self.timers.take_due(now_us, &mut self.ids);
         for timer in self.ids.drain(..) {
--- a/crates/proxy/src/process/traffic.rs
+++ b/crates/proxy/src/process/traffic.rs
@@ -1,4 +1,4 @@
-//! The traffic threads: accepting callers, and what all of them share.
+//! The traffic threads: accepting callers, and the state that all connections share.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,22 +31,22 @@
 use crate::process::counters::Event;
 use crate::version::published::PublishedSlot;
 
-/// How often pools are looked after, and a stop is looked for.
+/// The interval of pool maintenance and of checks whether the process is stopping.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The pause after a connection that could not be accepted, for instance for lack of file
-/// descriptors: trying again at once would only burn the processor.
+/// The pause after a connection could not be accepted, for instance for lack of file descriptors:
+/// an immediate retry would only waste CPU time.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Retries that a group may make at once beyond its share.
+/// The burst of a group's retry budget: retries allowed in excess of the configured percentage.
 const RETRY_BURST: u32 = 50;
 
-/// What the traffic threads are started with.
+/// The parameters of the traffic threads.
 #[derive(Debug)]
 pub struct TrafficOptions {
-    /// How many threads serve callers.
+    /// The number of threads that serve callers.
     pub threads: usize,
-    /// Where callers and other proxies connect.
+    /// The listener for callers and other proxies.
     pub listener: TcpListener,
     /// The versions that the control thread publishes.
     pub slot: PublishedSlot,
@@ -60,13 +60,13 @@
     pub vm: String,
     /// The name of its availability zone.
     pub zone: String,
-    /// The process's clock, which the times in published versions belong to.
+    /// The process's clock, by which the times in published versions are measured.
     pub clock: MonotonicClock,
-    /// Where this is logged.
+    /// The log for start, stop and errors of the traffic threads.
     pub log: slog::Logger,
 }
 
-/// What all connections of one process share.
+/// The state that all connections of one process share.
 #[derive(Debug)]
 pub struct Traffic {
     /// The versions that the control thread publishes.
@@ -83,13 +83,13 @@
     pub zone: String,
     /// The process's clock.
     pub clock: MonotonicClock,
-    /// The connections to targets and other proxies.
+    /// The pools of connections to targets and other proxies.
     pub pools: Pools,
-    /// The callers' prepared statements.
+    /// The prepared statements of callers.
     pub statements: StatementTable,
-    /// The callers by their cancel keys.
+    /// The registry that maps cancel keys to callers.
     pub cancels: CancelRegistry,
-    /// How many callers there are.
+    /// The connections of callers, and the limits on them.
     pub callers: Arc<Callers>,
     budgets: RwLock<FastMap<Box<str>, Arc<RetryBudget>>>,
     spread: AtomicU32,
@@ -97,7 +97,7 @@
 }
 
 impl Traffic {
-    /// The shared state of a process that is about to serve.
+    /// Creates the shared state, without any connection.
     pub fn new(options: &TrafficOptions) -> Arc<Traffic> {
         let limits = options.limits.clone();
         let pools =
@@ -120,7 +120,7 @@
         })
     }
 
-    /// The retry budget of a group.
+    /// Returns the retry budget of a group, creating it on first use.
     pub fn budget_of(&self, group: &str) -> Arc<RetryBudget> {
         if let Some(known) = self.budgets.read().get(group) {
             return Arc::clone(known);
@@ -129,24 +129,25 @@
         Arc::clone(self.budgets.write().entry(group.into()).or_insert(made))
     }
 
-    /// A number that differs from request to request.
+    /// Returns the next value of a wrapping counter, by which requests are spread over replicas.
     pub fn next_spread(&self) -> u32 {
         self.spread.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Tells when the process stops.
+    /// Returns a receiver that changes to true when the process stops.
     pub fn stopping(&self) -> watch::Receiver<bool> {
         self.stopping.subscribe()
     }
 
-    /// Until when a commit of a request with this deadline may wait for its confirmation.
+    /// Returns until when a commit may wait for its confirmation: the request's deadline or the
+    /// confirmation timeout, whichever is earlier.
     pub fn confirm_deadline(&self, deadline: Instant) -> Instant {
         deadline.min(Instant::now() + Duration::from_millis(self.limits.confirm_ms))
     }
 }
 
-/// Serves callers until the published version says that the process stops, and the callers that
-/// were in the middle of something have ended or used up their grace.
+/// Serves callers until the published version says that the process is stopping, and then until all
+/// callers have ended or the grace period is over.
 pub async fn serve(options: TrafficOptions) {
     let traffic = Traffic::new(&options);
     let TrafficOptions { threads, listener, log, .. } = options;
@@ -156,7 +157,7 @@
     let loops = start_loops(threads, &log);
     let accepting = accept(&traffic, &listener, &loops);
     let stopped = async {
-        // The sender lives as long as the process's state, so this ends only with a stop.
+        // The sender is owned by `traffic`, which is alive here, so this returns only on a stop.
         let _ = stopping.wait_for(|stopping| *stopping).await;
         drain(&traffic).await;
     };
@@ -168,12 +169,12 @@
     slog::info!(log, "stopped"; "callers_cut" => traffic.callers.count());
 }
 
-/// Starts the threads that serve callers. One that can't be started leaves its share to the others.
+/// Starts the threads that serve callers. If one can't be started, the others serve its share.
 fn start_loops(threads: usize, log: &slog::Logger) -> EventLoops {
     let mut loops = EventLoops::default();
     for _ in 0..threads {
         if let Err(error) = loops.start_one() {
-            slog::error!(log, "a traffic thread could not be started"; "error" => %error);
+            slog::error!(log, "failed to start a traffic thread"; "error" => %error);
         }
     }
     loops
@@ -183,7 +184,7 @@
     listener.local_addr().map_or(String::new(), |address: SocketAddr| address.to_string())
 }
 
-/// Waits until no caller is left, or the grace is over.
+/// Waits until no caller is left or the grace period is over.
 async fn drain(traffic: &Traffic) {
     let until = Instant::now() + Duration::from_millis(traffic.limits.stop_grace_ms);
     while traffic.callers.count() > 0 && Instant::now() < until {
@@ -191,7 +192,8 @@
     }
 }
 
-/// Accepts connections for ever; while the process stops they are told so.
+/// Accepts connections until cancelled. While the process stops, new connections are still accepted and
+/// get an error that says so.
 async fn accept(traffic: &Arc<Traffic>, listener: &TcpListener, loops: &EventLoops) {
     loop {
         match listener.accept().await {
@@ -202,7 +204,7 @@
 }
 
 fn begin(traffic: &Arc<Traffic>, stream: TcpStream, event_loop: &Handle) {
-    // A socket that can't be taken out of this loop is of no use; dropping it closes it.
+    // A socket that can't be moved to another event loop is unusable; dropping it closes it.
     let Ok(stream) = stream.into_std() else { return };
     let permit = traffic.callers.begin();
     let traffic = Arc::clone(traffic);
@@ -221,8 +223,8 @@
     let started = tokio::select! {
         biased;
         started = Box::pin(startup::welcome(&traffic, stream)) => started,
-        // Closed without a word: in a flood of connections that never start, an answer would cost
-        // more than the flood does.
+        // The connection is closed without an error message: in a flood of connections that never
+        // complete the startup, sending messages would cost more than the flood itself.
         () = half_open.evicted() => {
             traffic.counters.refusal(ErrorKind::TooManyConnections);
             None
--- a/crates/proxy/src/version/configuration.rs
+++ b/crates/proxy/src/version/configuration.rs
@@ -1,4 +1,7 @@
-//! The version of the configuration in force, and how changes make the next one.
+//! The configuration in force, and the application of snapshots, incremental changes and VM lists to it.
+//!
+//! The revision of the objects never decreases. The list of VMs carries no revision, so it can be
+//! replaced while the revision stays the same.
 
 use std::sync::Arc;
 
@@ -12,29 +15,29 @@
 use skylark_core::version::topology::Topology;
 use skylark_core::version::topology::Vm;
 
-/// What became of a version that was offered.
+/// The result of applying an offered version.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ApplyOutcome {
-    /// It is in force.
+    /// The offered version is now in force.
     Version,
-    /// Its objects were in force already; its list of VMs is taken.
+    /// The objects were already in force; only the list of VMs was replaced.
     VmList,
-    /// It says nothing new, or is older than what is in force.
+    /// The offer changed nothing, or is older than the version in force.
     Unchanged,
-    /// The changes start from a later revision than the one in force: a whole snapshot is needed.
+    /// The changes are based on a later revision than the one in force, so a full snapshot is needed.
     NeedsSnapshot,
 }
 
-/// Changes that lead from one revision to a later one.
+/// The changes between one revision and a later one.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Changes {
-    /// The revision that they start from; zero for a whole snapshot.
+    /// The revision that the changes are based on; zero for a full snapshot.
     pub base_revision: u64,
-    /// The revision that they lead to.
+    /// The revision after the changes are applied.
     pub revision: u64,
-    /// The changed objects in their latest version; deleted ones are marked.
+    /// The latest version of each changed object; deleted objects are marked as such.
     pub objects: Vec<StoredObject>,
-    /// The list of VMs, where it comes along.
+    /// The complete list of VMs; `None` if the sender did not include it.
     pub vms: Option<Vec<VmRecord>>,
 }
 
@@ -48,12 +51,12 @@
 }
 
 impl Configuration {
-    /// How versions spread, for decisions about peers.
+    /// The state of configuration exchange with peers, which decides on offers and pulls.
     pub fn spreading(&mut self) -> &mut Spreading {
         &mut self.spreading
     }
 
-    /// The revision in force; zero before the first.
+    /// The revision in force; zero before the first version.
     pub fn revision(&self) -> u64 {
         self.spreading.revision()
     }
@@ -63,22 +66,22 @@
         self.spreading.is_ready()
     }
 
-    /// The objects and VMs in force.
+    /// The objects and the list of VMs in force, as received.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// The resolved version in force.
+    /// The topology resolved from the snapshot in force.
     pub fn topology(&self) -> &Arc<Topology> {
         &self.topology
     }
 
-    /// A digest of the list of VMs, which has no revision to compare.
+    /// A digest of the list of VMs, by which peers compare their lists; the list has no revision.
     pub fn vms_digest(&self) -> u64 {
         self.vms_digest
     }
 
-    /// Takes a whole snapshot if it is newer.
+    /// Applies a full snapshot if it is newer than the version in force.
     pub fn apply_snapshot(&mut self, snapshot: Snapshot, source: Source) -> ApplyOutcome {
         match self.spreading.judge_offer(snapshot.revision, source) {
             OfferVerdict::Take => {
@@ -91,7 +94,8 @@
         }
     }
 
-    /// Takes changes if they lead on from the version in force.
+    /// Applies changes if they are newer than the version in force and not based on a later one. Changes based
+    /// on an earlier revision are applicable too, since they hold complete objects.
     pub fn apply_changes(&mut self, changes: Changes, source: Source) -> ApplyOutcome {
         let Changes { base_revision, revision, objects, vms } = changes;
         let applicable = base_revision == 0 || self.is_ready() && base_revision <= self.revision();
@@ -111,7 +115,7 @@
             OfferVerdict::TakeVmsOnly => {
                 vms.map_or(ApplyOutcome::Unchanged, |vms| self.replace_vms(vms))
             }
-            // The objects are older; the list carries no revision, and a watcher's is fresh.
+            // The objects are older, but the list of VMs has no revision and a watcher's list is recent.
             OfferVerdict::IgnoreOlder if source != Source::Peer => {
                 vms.map_or(ApplyOutcome::Unchanged, |vms| self.replace_vms(vms))
             }
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Takes a list of VMs, which carries no revision.
+    /// Replaces the list of VMs, leaving the revision unchanged.
     pub fn replace_vms(&mut self, vms: Vec<VmRecord>) -> ApplyOutcome {
         if vms == self.snapshot.vms {
             return ApplyOutcome::Unchanged;
--- a/crates/proxy/src/version/mod.rs
+++ b/crates/proxy/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as one version of the configuration.
+//! State that lives as long as one version of the configuration.
 
 pub mod configuration;
 pub mod published;
