--- a/crates/proxy/src/process/control/drive.rs
+++ b/crates/proxy/src/process/control/drive.rs
@@ -59,8 +59,8 @@
         self.apply_group_effects(now_us, &location.group);
     }
 
-    /// Applies the effects of a group's latest events: executes the driver's actions, requests members' status
-    /// for a barrier, and arms the failure detector's timer.
+    /// Applies the effects of a group's latest events: executes the driver's actions, requests the
+    /// members' status for a barrier, and arms the failure detector's timer.
     pub(super) fn apply_group_effects(&mut self, now_us: u64, name: &Arc<str>) {
         self.execute_actions(now_us, name);
         let Some(group) = self.groups.get_mut(name) else { return };
--- a/crates/proxy/src/process/control/floors.rs
+++ b/crates/proxy/src/process/control/floors.rs
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Returns whether all members have to be asked for their status, which is true once for each barrier.
+    /// Returns whether the members' status has to be requested, and clears the flag. Each barrier sets it once.
     pub fn take_status_request(&mut self) -> bool {
         std::mem::take(&mut self.status_request_due)
     }
--- a/crates/proxy/src/process/control/leaders.rs
+++ b/crates/proxy/src/process/control/leaders.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Exchanges versions with every VM so that they learn of a new primary, unless the platform answers and
-    /// its lead record will tell them.
+    /// Exchanges versions with every VM so that they learn of a new primary, unless the platform answers, in
+    /// which case the lead record reaches them.
     pub(super) fn announce_leaders(&mut self) {
         if self.platform_answers {
             return;
--- a/crates/proxy/src/process/control/mod.rs
+++ b/crates/proxy/src/process/control/mod.rs
@@ -150,7 +150,7 @@
     watch_orders: watch::Sender<WatchOrder>,
     platform_answers: bool,
     exchanges: u64,
-    /// Whether health answers and peers are told that this process is about to stop.
+    /// Whether health answers and messages to peers say that this process is about to stop.
     stopping: bool,
     /// Whether new callers are refused.
     refusing: bool,
--- a/crates/proxy/src/process/control/reconcile.rs
+++ b/crates/proxy/src/process/control/reconcile.rs
@@ -1,4 +1,4 @@
-//! Bringing homes, groups and members in line with a new version of the configuration, and with
+//! Reconciliation of homes, groups and members with a new version of the configuration, and with
 //! evidence about VMs and targets.
 
 use std::sync::Arc;
@@ -29,13 +29,13 @@
 use crate::process::member::task::MemberTask;
 use crate::process::schedule::Purpose;
 
-/// How long a version of a member set counts as joint: twice as long as a version may take to be in
-/// force everywhere. Longer would cost: until then a quorum of the version before is needed too, so
-/// that a group that grew from two members to three survives the loss of neither of the two.
+/// The duration of the joint phase of a new member set: twice the time within which a version comes
+/// into force everywhere. A longer phase reduces availability: until its end a quorum of the previous set is
+/// needed too, so that a group that grew from two members to three tolerates the loss of neither of the two.
 const SETTLE_US: u64 = 14_000_000;
 
-/// How long the members of a group are still tracked after this VM stopped being home to one: the
-/// writes under way here wait for confirmations.
+/// How long the members of a group are still tracked after this VM ceased to be home to any of them,
+/// because writes in progress here still wait for confirmations.
 const END_TRACKING_DELAY_US: u64 = 10_000_000;
 
 impl<S, C> Control<S, C>
@@ -43,7 +43,7 @@
     S: ObjectStore,
     C: MemberClient,
 {
-    /// Brings everything in line with the version in force.
+    /// Reconciles all control state with the version in force.
     pub(super) fn reconcile(&mut self, now_us: u64) {
         let topology = Arc::clone(self.configuration.topology());
         self.membership.usable_vms(&topology, now_us, &mut self.usable);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes in that evidence came or expired.
+    /// Updates usable VMs and targets after evidence about them was added or has expired.
     pub(super) fn refresh_standing(&mut self, now_us: u64) {
         self.membership.expire(now_us);
         let mut usable = Vec::new();
@@ -99,7 +99,7 @@
         self.apply_group_effects(now_us, &Arc::from(name));
     }
 
-    /// This process's VM, once the platform lists it.
+    /// Returns this process's VM; `None` until the platform lists it.
     pub(super) fn own_vm(&self) -> Option<VmId> {
         self.configuration.topology().vm_id(&self.settings.vm)
     }
@@ -129,7 +129,7 @@
         self.update_driver_lead(now_us, spec, &name);
     }
 
-    /// Tells a tracked group's decisions about a new version of its members.
+    /// Applies a new version of a group's members, and passes it to the failover driver if tracked.
     fn reconcile_members(
         &mut self,
         now_us: u64,
@@ -215,10 +215,10 @@
             .iter()
             .map(|&target| self.connect_member(topology.target(target)))
             .collect();
-        // Tracking can end and begin again in one run of the process, and the new driver has forgotten
-        // which member the old one promoted. Under the same name it could take up the old one's votes
-        // and promote a second member in the same term, so the name carries the number of the next
-        // member connection, which is never used twice.
+        // Tracking can end and start again in one run of the process, and the new driver does not know
+        // which member the old one promoted. Under the same name it could use the old one's votes and
+        // promote a second member in the same term. The name therefore includes the key of the next
+        // member connection, which is never reused.
         let driver_name = format!("{}.{}", self.driver_name, self.next_member);
         let driver = FailoverDriver::new(
             failover::FailoverSettings::default(),
@@ -262,15 +262,16 @@
             Some((version, record)) => (*version, Some(record.clone())),
             None => (0, None),
         };
-        // A record without a primary announces a change that may come to nothing. Until it is
-        // done, the homes of the old primary know best where requests go.
+        // A record without a primary announces a change of primary that may still fail. Until the change
+        // completes, requests go to the homes of the old primary, which know its state best.
         if let Some(record) = record.as_ref().filter(|record| !record.primary.is_empty()) {
             group.hint_leader(&record.primary, record.term);
         }
         group.drive(now_us, &failover::Event::LeadSeen { version, record });
     }
 
-    /// Tells a group's driver its place among the candidates, which depends on who leads.
+    /// Passes this process's rank among the candidates to the group's failover driver. The rank depends
+    /// on the current primary.
     pub(super) fn update_driver_rank(&mut self, now_us: u64, id: GroupId) {
         let (Some(own_vm), Some(homes)) = (self.own_vm(), &self.homes) else { return };
         let topology = Arc::clone(self.configuration.topology());
@@ -293,7 +294,7 @@
         }
     }
 
-    /// Says for each target whether it gets new work.
+    /// Updates for each target whether it is excluded from new requests.
     fn refresh_targets(&mut self, now_us: u64) {
         let topology = Arc::clone(self.configuration.topology());
         for spec in &topology.groups {
@@ -327,10 +328,10 @@
     spec.members.iter().any(|&target| homes.rank_of(target, vm).is_some())
 }
 
-/// The member set of a version, and whether it could not follow from the one known here. A process
-/// that missed versions between goes on as one that has just started.
+/// Returns the member set of a version, and whether it replaces the known set instead of succeeding it. A
+/// process that missed intermediate versions starts with the new set like a newly started process.
 ///
-/// A version with the same members must not replace the known set: it would end a joint phase.
+/// A version with the same members must not replace the known set, because that would end a joint phase.
 fn next_member_set(known: &MemberSet, version: u64, names: &[String]) -> (MemberSet, bool) {
     if known.names() == names || version <= known.version() {
         return (known.clone(), false);
@@ -344,9 +345,9 @@
     }
 }
 
-/// The VMs that may drive a change of the group's primary, in the order in which they try: those
-/// that are home to other members than the primary first, since what takes a primary away often
-/// takes its zone away.
+/// Returns the VMs that may drive a change of the group's primary, in the order in which they try. Homes of
+/// members outside the primary's availability zone come first, because a failure of the primary is often a
+/// failure of its zone.
 fn candidates(
     topology: &Topology,
     homes: &Homes,
--- a/crates/proxy/src/process/control/report.rs
+++ b/crates/proxy/src/process/control/report.rs
@@ -1,4 +1,4 @@
-//! What operators, the balancer and other proxies are answered.
+//! Answers to calls of operators, the load balancer and other proxies, and the gauges for metrics.
 
 use std::sync::atomic::Ordering;
 
--- a/crates/proxy/src/process/control/sessions.rs
+++ b/crates/proxy/src/process/control/sessions.rs
@@ -1,8 +1,8 @@
-//! What traffic says, and the floors of sessions that roam without a token.
+//! Events from the traffic threads, and read floors of sessions that roam between proxies without a token.
 //!
-//! Records of writes need not be synchronous (see `skylark_core::process::session_floors`): a
-//! holder answers for what it can't account for with the position of a barrier. So a write's
-//! caller is never kept waiting for them.
+//! Writes are reported to the primary's other homes asynchronously (see
+//! `skylark_core::process::session_floors`): a home that may lack reports of some positions answers with the
+//! position of a barrier. The caller of a write therefore never waits for these reports.
 
 use std::sync::Arc;
 
@@ -30,15 +30,15 @@
 use crate::process::schedule::Purpose;
 use crate::version::published::Published;
 
-/// How long writes are collected before they are told to other homes.
+/// How long writes are collected before they are sent to other homes.
 const SESSION_WRITE_DELAY_US: u64 = 20_000;
 
-/// How long writes are collected while none of them belongs to a session with an identity. Told
-/// later they only keep such sessions' reads from the replicas for that long, and each call costs.
+/// How long writes are collected while none of them belongs to a session with an identity. The longer
+/// delay saves calls, and only prevents sessions with an identity from reading at replicas for that time.
 const PLAIN_WRITE_DELAY_US: u64 = 200_000;
 
-/// The most writes that wait to be told. What passes it stays unaccounted for at the other homes,
-/// whose answers then ask for more than they need to.
+/// The maximum number of collected writes of one group. Further writes are not sent to other homes, whose
+/// answers then give higher floors than needed.
 const MAX_UNSENT_WRITES: usize = 2_000;
 
 impl<S, C> Control<S, C>
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Asks the primary's homes in order of rank. Without an answer the reader gets none and goes
-    /// by what it can show itself.
+    /// Requests a session's floor from the primary's homes in order of rank. If none answers, the sender is
+    /// dropped, and the reader needs a floor that it can prove itself.
     fn request_floor_from_homes(
         &mut self,
         name: &str,
@@ -173,14 +173,14 @@
         }
     }
 
-    /// Tells the primary's other homes about writes.
+    /// Sends the collected writes of a group to the primary's other homes.
     pub(super) fn send_writes(&mut self, name: &str) {
         for call in self.writes_calls(name) {
             tokio::spawn(call);
         }
     }
 
-    /// Tells all writes that wait, before this process ends.
+    /// Sends the collected writes of all groups, and waits for the answers, before this process ends.
     pub(super) async fn send_all_writes(&mut self) {
         let names: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for name in names {
@@ -211,7 +211,7 @@
         let call = |client: jsonrpsee::http_client::HttpClient| {
             let notice = notice.clone();
             async move {
-                // A lost notice makes the other home's answers ask for more, never for less.
+                // A lost notice can only make the other home's floors higher than needed, never too low.
                 let _ = client.peer_writes(notice).await;
             }
         };
@@ -226,7 +226,7 @@
         target.zip(homes).map(|(target, homes)| homes.of(target).to_vec()).unwrap_or_default()
     }
 
-    /// Takes evidence of traffic's about a target, and asks the target itself at once.
+    /// Handles evidence about a target from a traffic thread, and immediately probes the target.
     fn target_failed(&mut self, version: &Published, id: TargetId, evidence: TargetEvidence) {
         let now_us = self.clock.now_us();
         let target = version.topology.target(id);
@@ -254,7 +254,7 @@
     Arc::from(version.topology.group(group).name.as_str())
 }
 
-/// The positions with each term said once.
+/// Groups positions by term.
 fn by_term(mut positions: Vec<LogPosition>) -> Vec<PlainWrites> {
     positions.sort_unstable();
     let runs = positions.chunk_by(|one, other| one.term == other.term);
--- a/crates/proxy/src/process/control/spread.rs
+++ b/crates/proxy/src/process/control/spread.rs
@@ -1,4 +1,5 @@
-//! Taking versions of the configuration, and passing them on to other proxies.
+//! Dissemination of the configuration: applying versions, offering them to other proxies, and pulling from
+//! proxies with a higher revision.
 
 use jsonrpsee::http_client::HttpClient;
 use rand::seq::IndexedRandom;
@@ -22,7 +23,7 @@
 use crate::version::configuration::ApplyOutcome;
 use crate::version::configuration::Changes;
 
-/// Every so many exchanges within the zone go to one of its watchers, whose list of VMs is fresh.
+/// One in this many exchanges within the zone goes to one of its watchers, whose list of VMs is recent.
 const WATCHER_EXCHANGE_PERIOD: u64 = 4;
 
 impl<S, C> Control<S, C>
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Tells the watch task whether to watch, and from where.
+    /// Updates the watch task's order: whether to watch, and from which revision.
     pub(super) fn update_watch_order(&mut self) {
         let order =
             WatchOrder { watching: self.should_watch(), revision: self.configuration.revision() };
@@ -60,7 +61,7 @@
         });
     }
 
-    /// Takes evidence about a VM.
+    /// Records evidence about a VM, and updates homes if it changes which VMs are usable.
     pub(super) fn vm_seen(&mut self, vm: &str, evidence: membership::Evidence) {
         let now_us = self.clock.now_us();
         if vm != self.settings.vm && self.membership.vm_seen(vm, evidence, now_us) {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// This process's version, as every message to a peer carries it.
+    /// Returns this process's version, as sent to peers in exchanges.
     pub(super) fn own_version(&self) -> api::PeerVersion {
         api::PeerVersion {
             revision: self.configuration.revision(),
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Takes a peer's version from any of its messages.
+    /// Handles a peer's version: records that the peer is alive, and pulls whatever it has newer.
     pub(super) fn peer_seen(&mut self, version: &api::PeerVersion) {
         let evidence = match version.stopping {
             true => membership::Evidence::Leaving,
@@ -92,8 +93,8 @@
         self.vms_seen(version);
     }
 
-    /// Takes over a list of VMs from a peer that reads it from the platform, where this process
-    /// does not; and from any peer while this process has none.
+    /// Pulls the list of VMs if a peer reads it from the platform and this process does not, or from any
+    /// peer while this process has no list.
     fn vms_seen(&mut self, version: &api::PeerVersion) {
         let own_empty = self.configuration.topology().vms.is_empty();
         let better = version.vms_fresh && !self.vms_fresh() || own_empty;
@@ -107,8 +108,8 @@
         self.platform_answers && self.watch_orders.borrow().watching
     }
 
-    /// Pulls from a peer that showed a higher revision. A lower one learns ours from the same
-    /// exchange and pulls by itself.
+    /// Pulls from a peer with a higher revision. A peer with a lower revision learns this process's
+    /// revision from the same exchange, and pulls itself.
     pub(super) fn revision_seen(&mut self, vm: &str, revision: u64) {
         let now_us = self.clock.now_us();
         if self.configuration.spreading().peer_seen(revision, now_us) == PeerAction::Pull {
@@ -116,7 +117,8 @@
         }
     }
 
-    /// Takes an offer; the changes may start from a later revision than ours.
+    /// Applies an offer. If its changes are based on a later revision than the one in force here, a snapshot
+    /// is pulled from the sender instead.
     pub(super) fn handle_offer(&mut self, offer: api::Offer) {
         let api::Offer { vm, base_revision, revision, objects, vms } = offer;
         let changes = Changes { base_revision, revision, objects, vms };
@@ -127,9 +129,9 @@
         self.after_apply(outcome);
     }
 
-    /// Exchanges versions with a proxy of this zone and with one of another. The first finds what
-    /// the watchers' offers missed; the second reaches a zone that the platform can't be reached
-    /// from.
+    /// Exchanges versions with a random proxy of this availability zone and with one of another zone. The
+    /// first makes up for lost offers of watchers; the second carries versions into a zone whose
+    /// watchers can't reach the platform.
     pub(super) fn exchange_versions(&mut self) {
         let Some(own_vm) = self.own_vm() else {
             self.exchange_with_named_peer();
@@ -153,7 +155,8 @@
         }
     }
 
-    /// A process that no list of VMs names yet knows only the peers of its settings.
+    /// Exchanges versions with a random peer of the settings, because a process that is not in its list of
+    /// VMs yet does not know its zone.
     fn exchange_with_named_peer(&mut self) {
         let Some(peer) = self.settings.peers.choose(&mut rand::rng()) else { return };
         let Some(client) = self.peers.get(&peer.to_string()) else { return };
@@ -165,21 +168,21 @@
         });
     }
 
-    /// Tells the proxies of this zone at once that this one is stopping.
+    /// Immediately announces to the proxies of this availability zone that this one is stopping.
     pub(super) fn announce_stopping(&mut self) {
         for vm in self.zone_peers() {
             self.exchange_with(vm);
         }
     }
 
-    /// The client of a VM's control address by the VM's name.
+    /// Returns a client of the control address of the VM with this name.
     pub(super) fn client_by_name(&mut self, vm: &str) -> Option<HttpClient> {
         let address = self.address_by_name(vm)?;
         self.peers.get(&address)
     }
 
-    /// A VM's control address by the VM's name. While the list of VMs is not known, any peer of the settings
-    /// serves as well.
+    /// Returns the control address of the VM with this name. If the VM is not in the list of VMs, returns the
+    /// address of a random peer of the settings, which serves as well.
     fn address_by_name(&self, vm: &str) -> Option<String> {
         let topology = self.configuration.topology();
         match topology.vm_id(vm) {
@@ -188,7 +191,7 @@
         }
     }
 
-    /// The client of a VM's control address.
+    /// Returns a client of a VM's control address.
     pub(super) fn client_of(&mut self, vm: VmId) -> Option<HttpClient> {
         let topology = self.configuration.topology();
         self.peers.get(&topology.vm(vm).control_address)
@@ -197,8 +200,8 @@
     fn should_watch(&self) -> bool {
         let Some(homes) = &self.homes else { return false };
         let Some(own_vm) = self.own_vm() else {
-            // The lagging list does not name this VM yet, so no other one counts on it; until it
-            // does, nobody would offer new versions to it either.
+            // The list of VMs lags and does not include this VM yet. Until it does, no watcher offers new
+            // versions to this VM, so it watches the platform itself.
             return self.configuration.is_ready();
         };
         homes.watchers(self.configuration.topology().vm(own_vm).zone).contains(&own_vm)
@@ -236,8 +239,8 @@
         let outcome = self.configuration.apply_changes(changes, Source::Platform);
         self.after_apply(outcome);
         if self.watch_orders.borrow().watching {
-            // Also when another watcher's offer was faster: what that one could not reach, this
-            // one may.
+            // Offer the changes even if another watcher offered them first: this process may reach
+            // proxies that the other watcher can't.
             self.offer(after_revision, revision, objects, None);
         }
     }
@@ -297,8 +300,8 @@
         });
     }
 
-    /// Has a snapshot sent by a peer that answers a short question: a long call to one that died would
-    /// keep this process from asking another.
+    /// Pulls a snapshot from a peer after it has answered a call with a short timeout. A call with the long
+    /// timeout of snapshots to a failed peer would delay a pull from another one.
     fn pull_from(&mut self, vm: &str, source: Source) {
         let address = self.address_by_name(vm);
         let short = address.as_ref().and_then(|address| self.peers.get(address));
@@ -320,7 +323,7 @@
         });
     }
 
-    /// The other VMs of this zone.
+    /// Returns the other VMs of this availability zone.
     fn zone_peers(&self) -> Vec<VmId> {
         let Some(own_vm) = self.own_vm() else { return Vec::new() };
         let topology = self.configuration.topology();
--- a/crates/proxy/src/process/control/tracking.rs
+++ b/crates/proxy/src/process/control/tracking.rs
@@ -1,4 +1,4 @@
-//! What is kept of a group whose members this process tracks.
+//! The state of a group whose members this process tracks by control connections.
 
 use skylark_core::log_position::Term;
 use skylark_core::member_status::MemberStatus;
@@ -14,27 +14,27 @@
 use crate::process::member::task::MemberHandle;
 use crate::process::member::task::MemberKey;
 
-/// A member under track.
+/// A tracked member.
 #[derive(Debug)]
 pub struct TrackedMember {
     /// The member's key in events.
     pub key: MemberKey,
     /// The target's name.
     pub target: String,
-    /// Its IP address and port.
+    /// The member's IP address and port.
     pub address: String,
-    /// Its control connection.
+    /// The task of the member's control connection.
     pub handle: MemberHandle,
-    /// Whether its last report says that it is leaving.
+    /// Whether the member's last report says that it is leaving.
     pub reports_leaving: bool,
-    /// Whether an operator drains it, or traffic was told by it that it is leaving.
+    /// Whether the member is drained by an operator, or answered a request that it is leaving.
     pub excluded: bool,
-    /// The role and the term of its last report.
+    /// The role and the raised term in the member's last report; `None` before the first.
     pub seen: Option<(Role, Term)>,
 }
 
 impl TrackedMember {
-    /// A member of which nothing was heard yet.
+    /// Creates a member without reports.
     pub fn new(key: MemberKey, target: &str, address: &str, handle: MemberHandle) -> TrackedMember {
         TrackedMember {
             key,
@@ -51,43 +51,44 @@
 /// A member's report, as its control connection delivered it.
 #[derive(Debug)]
 pub struct Report {
-    /// The member's place in the group.
+    /// The member's index in the group's member list.
     pub member_index: usize,
     /// The status.
     pub status: MemberStatus,
-    /// When the command was sent whose answer this is.
+    /// When the command that this answers was sent, in microseconds of this process's clock; `None` for a
+    /// notice.
     pub sent_us: Option<u64>,
-    /// The failover driver's call that this answers.
+    /// The call of the failover driver that this answers, if any.
     pub call: Option<failover::MemberCall>,
 }
 
-/// The decisions about a group whose members this process tracks.
+/// The state of decisions about a group whose members this process tracks.
 #[derive(Debug)]
 pub struct Tracking {
-    /// Changes of primary, and what the reports prove.
+    /// The failover driver, which also derives confirmed positions from the reports.
     pub driver: FailoverDriver,
     /// The members, in the order of the group's member list.
     pub members: Vec<TrackedMember>,
-    /// How old each member's data can be.
+    /// Upper bounds of the age of each member's data.
     pub ages: ReadAge,
-    /// The floors of sessions without a token.
+    /// Lookups of the floors of sessions without a token.
     pub floors: FloorLookups,
     /// Whether a majority is known to be unable to confirm writes.
     pub stalled: bool,
-    /// What the driver wants done; taken by the control thread after each event.
+    /// The actions requested by the driver, executed by the control thread after each event.
     pub actions: Vec<failover::Action>,
-    /// The bounds of the failure detector.
+    /// The settings of the failure detector.
     pub detection: detection::DetectionSettings,
-    /// The failure detector of the primary that the reports show.
+    /// The failure detector of the current primary according to the reports.
     pub detector: Option<PrimaryDetector>,
-    /// Its last verdict.
+    /// The failure detector's last verdict.
     pub verdict: detection::Verdict,
     /// Whether the detector's timer is set.
     pub detector_armed: bool,
 }
 
 impl Tracking {
-    /// Tracking that has no reports yet.
+    /// Creates the state before the first report.
     pub fn new(
         driver: FailoverDriver,
         members: Vec<TrackedMember>,
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Replaces the members by those of another set. What was known of ages and barriers belongs to
-    /// the old places.
+    /// Replaces the members by those of another set. Ages, barriers and the failure detector are reset,
+    /// because they refer to members by their old indexes.
     pub fn replace_members(&mut self, members: Vec<TrackedMember>, set: &MemberSet) {
         self.ages = ReadAge::for_set(set.clone());
         self.members = members;
@@ -117,7 +118,7 @@
         self.detector = None;
     }
 
-    /// When the failure detector's verdict can change without new evidence.
+    /// Returns when the failure detector's verdict can next change without new evidence, in microseconds.
     pub fn detector_due_us(&self) -> Option<u64> {
         self.detector.as_ref().map(PrimaryDetector::due_us)
     }
--- a/crates/proxy/src/process/control_handle.rs
+++ b/crates/proxy/src/process/control_handle.rs
@@ -24,8 +24,8 @@
         session: Option<String>,
         /// The log position of the commit.
         position: LogPosition,
-        /// Completed or dropped once the control thread has recorded the write. The caller gets its answer only
-        /// then, so that the session's next read can't overtake the record.
+        /// Completed or dropped once the control thread has recorded the write. The caller gets its answer
+        /// only then, so that the session's next read can't overtake the record.
         recorded: oneshot::Sender<()>,
     },
     /// A session with an identity but without a token reads, and needs its read floor.
--- a/crates/proxy/src/process/traffic.rs
+++ b/crates/proxy/src/process/traffic.rs
@@ -50,7 +50,7 @@
     pub listener: TcpListener,
     /// The versions that the control thread publishes.
     pub slot: PublishedSlot,
-    /// The way to the control thread.
+    /// The handle to the control thread.
     pub control: ControlHandle,
     /// The counters.
     pub counters: Arc<Counters>,
@@ -71,7 +71,7 @@
 pub struct Traffic {
     /// The versions that the control thread publishes.
     pub slot: PublishedSlot,
-    /// The way to the control thread.
+    /// The handle to the control thread.
     pub control: ControlHandle,
     /// The counters.
     pub counters: Arc<Counters>,
--- a/crates/proxy/src/version/configuration.rs
+++ b/crates/proxy/src/version/configuration.rs
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Applies changes if they are newer than the version in force and not based on a later one. Changes based
-    /// on an earlier revision are applicable too, since they hold complete objects.
+    /// Applies changes if they are newer than the version in force and not based on a later one.
+    /// Changes based on an earlier revision are applicable too, since they hold complete objects.
     pub fn apply_changes(&mut self, changes: Changes, source: Source) -> ApplyOutcome {
         let Changes { base_revision, revision, objects, vms } = changes;
         let applicable = base_revision == 0 || self.is_ready() && base_revision <= self.revision();
