--- a/crates/proxy/src/process/control/drive.rs
+++ b/crates/proxy/src/process/control/drive.rs
@@ -95,7 +95,7 @@
         self.apply_group_effects(now_us, &Arc::from(name));
     }
 
-    pub(super) fn lead_answered(
+    pub(super) fn handle_lead_answer(
         &mut self,
         group_name: &str,
         call: failover::PlatformCall,
@@ -153,14 +153,14 @@
         slog::info!(self.log, "decided";
             "group" => &**name, "decision" => decision.to_string(), "reason" => decision.reason());
         if let Some(group) = self.groups.get_mut(name) {
-            group.decide(now_us, decision);
+            group.log_decision(now_us, decision);
             group.changed = true;
         }
     }
 
     fn announce(&mut self, now_us: u64, name: &Arc<str>, leader: failover::Leader) {
         let Some(group) = self.groups.get_mut(name) else { return };
-        group.refresh_stall(now_us);
+        group.update_stalled(now_us);
         let Some(tracking) = &group.tracking else { return };
         let target = tracking.members[leader.member].target.clone();
         self.record_decision(now_us, name, Decision::Announced { target, term: leader.term });
--- a/crates/proxy/src/process/control/first_version.rs
+++ b/crates/proxy/src/process/control/first_version.rs
@@ -61,7 +61,7 @@
     }
 
     /// Records a failed call, and returns the pause before the next one, in milliseconds.
-    pub fn failed(&mut self) -> u64 {
+    pub fn record_failure(&mut self) -> u64 {
         let pause_ms = doubled(self.first_pause_ms, self.calls).min(MAX_PAUSE_MS);
         self.calls = self.calls.saturating_add(1);
         jitter::upper_half_us(self.seed, u64::from(self.calls), pause_ms)
@@ -102,7 +102,7 @@
         if let Some(snapshot) = self.read_platform(&backoff).await {
             return (snapshot, Source::Platform);
         }
-        let pause_ms = backoff.failed();
+        let pause_ms = backoff.record_failure();
         tokio::select! {
             snapshot = self.poll_platform(backoff, pause_ms) => (snapshot, Source::Platform),
             snapshot = self.poll_peers() => (snapshot, Source::Peer),
@@ -121,7 +121,7 @@
             if let Some(snapshot) = self.read_platform(&backoff).await {
                 return snapshot;
             }
-            pause_ms = backoff.failed();
+            pause_ms = backoff.record_failure();
         }
     }
 
@@ -145,10 +145,10 @@
         let chosen = spreading::choose_start_peers(peers.len(), spreading::START_PEERS, seed);
         let addresses: Vec<String> = chosen.iter().map(|&index| peers[index].to_string()).collect();
         let clients = addresses.iter().map(|address| client::open(address, timeout));
-        let mut asked: Vec<_> = clients.map(request_version).collect();
+        let mut requests: Vec<_> = clients.map(request_version).collect();
         // Each call has its own timeout, so the choice needs no deadline.
-        let mut choice = StartChoice::new(asked.len(), u64::MAX);
-        for (index, answer) in asked.iter_mut().enumerate() {
+        let mut choice = StartChoice::new(requests.len(), u64::MAX);
+        for (index, answer) in requests.iter_mut().enumerate() {
             match answer.await {
                 Ok(Some(version)) => choice.answered(index, version.revision),
                 Ok(None) | Err(_) => choice.failed(),
--- a/crates/proxy/src/process/control/floors.rs
+++ b/crates/proxy/src/process/control/floors.rs
@@ -126,11 +126,12 @@
 
     /// Drops lookups that have timed out, and restarts a barrier that has.
     pub fn expire(&mut self, now_us: u64) {
-        let late = |(id, pending): (&session_floors::LookupId, &PendingLookup)| {
+        let timed_out = |(id, pending): (&session_floors::LookupId, &PendingLookup)| {
             (pending.until_us <= now_us).then_some(*id)
         };
-        let late: Vec<session_floors::LookupId> = self.pending.iter().filter_map(late).collect();
-        for id in late {
+        let timed_out: Vec<session_floors::LookupId> =
+            self.pending.iter().filter_map(timed_out).collect();
+        for id in timed_out {
             self.floors.cancel_lookup(id);
             if let Some(PendingLookup { requester: FloorRequester::Peer(answer), .. }) =
                 self.pending.remove(&id)
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Returns whether the members' status has to be requested, and clears the flag. Each barrier sets it once.
+    /// Returns whether the members' status has to be requested, and clears the flag, which each barrier sets
+    /// once.
     pub fn take_status_request(&mut self) -> bool {
         std::mem::take(&mut self.status_request_due)
     }
--- a/crates/proxy/src/process/control/group.rs
+++ b/crates/proxy/src/process/control/group.rs
@@ -116,7 +116,7 @@
         else {
             return;
         };
-        let moved = self.record_member_status(member_index, status);
+        let role_or_term_changed = self.record_member_status(member_index, status);
         self.record_read_age(now_us, member_index, status, sent_us);
         self.record_detection(now_us, member_index, status, sent_us);
         if let Some(tracking) = &mut self.tracking {
@@ -124,8 +124,8 @@
         }
         self.update_detector(now_us);
         self.update_verdict(now_us);
-        if moved {
-            self.refresh_stall(now_us);
+        if role_or_term_changed {
+            self.update_stalled(now_us);
         }
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Updates whether a majority can confirm writes.
-    pub fn refresh_stall(&mut self, now_us: u64) {
+    pub fn update_stalled(&mut self, now_us: u64) {
         let Some(tracking) = &mut self.tracking else { return };
         let reports = tracking.driver.acknowledgement();
         let leader = tracking.driver.announced();
@@ -174,13 +174,13 @@
             leader.is_some_and(|leader| reports.stalled(now_us, leader.member, leader.term));
         if stalled != tracking.stalled {
             tracking.stalled = stalled;
-            self.decide(now_us, Decision::StallChanged { stalled });
+            self.log_decision(now_us, Decision::StallChanged { stalled });
             self.changed = true;
         }
     }
 
     /// Adds a decision to the group's decision log.
-    pub fn decide(&mut self, now_us: u64, decision: Decision) {
+    pub fn log_decision(&mut self, now_us: u64, decision: Decision) {
         self.decisions.add(now_us, decision);
     }
 
@@ -197,7 +197,7 @@
         live.leaving.store(leaving, Ordering::Relaxed);
         if leaving != before {
             let target = target.to_owned();
-            self.decide(now_us, Decision::TargetStanding { target, leaving });
+            self.log_decision(now_us, Decision::TargetStanding { target, leaving });
         }
     }
 
@@ -288,7 +288,7 @@
                 failover::Event::Trusted
             }
         };
-        self.decide(now_us, Decision::Judged { target, term, verdict });
+        self.log_decision(now_us, Decision::Judged { target, term, verdict });
         self.drive(now_us, &event);
     }
 }
--- a/crates/proxy/src/process/control/leaders.rs
+++ b/crates/proxy/src/process/control/leaders.rs
@@ -23,11 +23,11 @@
 {
     /// Returns a digest of the terms of all groups, independent of their order.
     pub(super) fn leaders_digest(&self) -> u64 {
-        let part = |group: &Group| {
+        let group_hash = |group: &Group| {
             let (_, term) = group.leader()?;
             Some(jitter::seed_of(&group.name).wrapping_mul(term.0))
         };
-        self.groups.values().filter_map(part).fold(0, u64::wrapping_add)
+        self.groups.values().filter_map(group_hash).fold(0, u64::wrapping_add)
     }
 
     /// Returns the primaries known to this process.
--- a/crates/proxy/src/process/control/mod.rs
+++ b/crates/proxy/src/process/control/mod.rs
@@ -153,7 +153,7 @@
     /// Whether health answers and messages to peers say that this process is about to stop.
     stopping: bool,
     /// Whether new callers are refused.
-    refusing: bool,
+    refusing_callers: bool,
     changed: bool,
     /// The prefix of this process's names as a failover driver, unique to this run.
     driver_name: String,
@@ -214,7 +214,7 @@
         platform_answers: false,
         exchanges: 0,
         stopping: false,
-        refusing: false,
+        refusing_callers: false,
         changed: true,
         metrics: Metrics::open(&settings, &log),
         settings,
@@ -248,7 +248,7 @@
             (Purpose::ExpireEvidence, EVIDENCE_EXPIRY_INTERVAL_US),
         ];
         for (purpose, every_us) in periods {
-            self.schedule.every(purpose, every_us, now_us);
+            self.schedule.set_periodic(purpose, every_us, now_us);
         }
         self.start_platform_tasks();
     }
@@ -335,7 +335,7 @@
                 }
                 tracking.floors.expire(now_us);
             }
-            group.refresh_stall(now_us);
+            group.update_stalled(now_us);
         }
         let names: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for name in names {
@@ -352,7 +352,7 @@
             }
             Order::BeginStop => {
                 self.stopping = true;
-                self.refusing = true;
+                self.refusing_callers = true;
                 self.changed = true;
                 LoopAction::Continue
             }
--- a/crates/proxy/src/process/control/publish.rs
+++ b/crates/proxy/src/process/control/publish.rs
@@ -27,7 +27,7 @@
         let groups = topology.group_ids().map(|id| self.view(&topology, id)).collect();
         let homes = self.homes.as_ref().map(|homes| homes.all().to_vec()).unwrap_or_default();
         let ready = self.configuration.is_ready();
-        let (own_vm, stopping) = (self.own_vm(), self.refusing);
+        let (own_vm, stopping) = (self.own_vm(), self.refusing_callers);
         let version = Published { topology, own_vm, groups, homes, ready, stopping };
         self.published.store(Arc::new(version));
     }
--- a/crates/proxy/src/process/control/reconcile.rs
+++ b/crates/proxy/src/process/control/reconcile.rs
@@ -32,7 +32,7 @@
 /// The duration of the joint phase of a new member set: twice the time within which a version comes
 /// into force everywhere. A longer phase reduces availability: until its end a quorum of the previous set is
 /// needed too, so that a group that grew from two members to three tolerates the loss of neither of the two.
-const SETTLE_US: u64 = 14_000_000;
+const JOINT_PHASE_US: u64 = 14_000_000;
 
 /// How long the members of a group are still tracked after this VM ceased to be home to any of them,
 /// because writes in progress here still wait for confirmations.
@@ -58,7 +58,7 @@
             self.update_driver_rank(now_us, id);
         }
         self.index_members();
-        self.refresh_targets(now_us);
+        self.update_excluded_targets(now_us);
         self.update_watch_order();
         self.changed = true;
         let names: Vec<Arc<str>> = self.groups.keys().cloned().collect();
@@ -75,7 +75,7 @@
         if usable != self.usable {
             self.reconcile(now_us);
         } else {
-            self.refresh_targets(now_us);
+            self.update_excluded_targets(now_us);
         }
     }
 
@@ -149,17 +149,17 @@
         };
         let known = tracking.driver.members();
         let (set, replaced) = next_member_set(known, spec.version, names);
-        let moved = spec
+        let address_changed = spec
             .members
             .iter()
             .zip(&tracking.members)
             .any(|(&target, member)| topology.target(target).address != member.address);
-        let changed = moved || set.names() != known.names();
+        let changed = address_changed || set.names() != known.names();
         let profiles = profiles(topology, spec);
         if changed {
             group.resize(names.len());
             self.replace_members(topology, id, name, &set);
-            self.schedule.set(Purpose::SettleMembers(spec.name.clone()), now_us + SETTLE_US);
+            self.schedule.set(Purpose::SettleMembers(spec.name.clone()), now_us + JOINT_PHASE_US);
         }
         if replaced {
             self.record_decision(now_us, name, Decision::MembersReplaced { version: spec.version });
@@ -295,7 +295,7 @@
     }
 
     /// Updates for each target whether it is excluded from new requests.
-    fn refresh_targets(&mut self, now_us: u64) {
+    fn update_excluded_targets(&mut self, now_us: u64) {
         let topology = Arc::clone(self.configuration.topology());
         for spec in &topology.groups {
             let Some(group) = self.groups.get_mut(spec.name.as_str()) else { continue };
--- a/crates/proxy/src/process/control/sessions.rs
+++ b/crates/proxy/src/process/control/sessions.rs
@@ -143,7 +143,7 @@
         question: api::FloorQuestion,
         answer: server::Answer<api::FloorAnswer>,
     ) {
-        self.revision_seen(&question.vm, question.revision);
+        self.compare_revision(&question.vm, question.revision);
         let now_us = self.clock.now_us();
         let revision = self.configuration.revision();
         let Some(group) = self.groups.get_mut(question.group.as_str()) else {
@@ -160,7 +160,7 @@
     }
 
     pub(super) fn handle_writes_notice(&mut self, notice: &api::WritesNotice) {
-        self.revision_seen(&notice.vm, notice.revision);
+        self.compare_revision(&notice.vm, notice.revision);
         let Some(group) = self.groups.get_mut(notice.group.as_str()) else { return };
         let Some(tracking) = &mut group.tracking else { return };
         for write in &notice.writes {
--- a/crates/proxy/src/process/control/spread.rs
+++ b/crates/proxy/src/process/control/spread.rs
@@ -43,7 +43,7 @@
                 self.handle_watch_result(after_revision, result)
             }
             Input::VmList(result) => self.handle_vm_list(result),
-            Input::Lead { group, call, answer } => self.lead_answered(&group, call, answer),
+            Input::Lead { group, call, answer } => self.handle_lead_answer(&group, call, answer),
             Input::PeerAnswered(version) => self.peer_seen(&version),
             Input::Leaders(hints) => self.handle_leader_hints(&hints),
             Input::PeerFailed { vm, evidence } => self.vm_seen(&vm, evidence),
@@ -88,14 +88,14 @@
             false => membership::Evidence::Healthy,
         };
         self.vm_seen(&version.vm, evidence);
-        self.revision_seen(&version.vm, version.revision);
+        self.compare_revision(&version.vm, version.revision);
         self.compare_leaders_digest(&version.vm, version.leaders_digest);
-        self.vms_seen(version);
+        self.compare_vms_digest(version);
     }
 
     /// Pulls the list of VMs if a peer reads it from the platform and this process does not, or from any
     /// peer while this process has no list.
-    fn vms_seen(&mut self, version: &api::PeerVersion) {
+    fn compare_vms_digest(&mut self, version: &api::PeerVersion) {
         let own_empty = self.configuration.topology().vms.is_empty();
         let better = version.vms_fresh && !self.vms_fresh() || own_empty;
         let same_revision = version.revision == self.configuration.revision();
@@ -110,7 +110,7 @@
 
     /// Pulls from a peer with a higher revision. A peer with a lower revision learns this process's
     /// revision from the same exchange, and pulls itself.
-    pub(super) fn revision_seen(&mut self, vm: &str, revision: u64) {
+    pub(super) fn compare_revision(&mut self, vm: &str, revision: u64) {
         let now_us = self.clock.now_us();
         if self.configuration.spreading().peer_seen(revision, now_us) == PeerAction::Pull {
             self.pull_from(vm, Source::Peer);
@@ -124,7 +124,7 @@
         let changes = Changes { base_revision, revision, objects, vms };
         let outcome = self.configuration.apply_changes(changes, Source::Watcher);
         if outcome == ApplyOutcome::NeedsSnapshot {
-            self.revision_seen(&vm, revision);
+            self.compare_revision(&vm, revision);
         }
         self.after_apply(outcome);
     }
@@ -134,7 +134,7 @@
     /// watchers can't reach the platform.
     pub(super) fn exchange_versions(&mut self) {
         let Some(own_vm) = self.own_vm() else {
-            self.exchange_with_named_peer();
+            self.exchange_with_settings_peer();
             return;
         };
         self.exchanges += 1;
@@ -145,9 +145,9 @@
             }
             Some(_) | None => Vec::new(),
         };
-        let asks_watcher = !watchers.is_empty();
+        let use_watcher = !watchers.is_empty();
         let near = self.random_vm(|vm, zone| {
-            zone == own_zone && vm != own_vm && (!asks_watcher || watchers.contains(&vm))
+            zone == own_zone && vm != own_vm && (!use_watcher || watchers.contains(&vm))
         });
         let far = self.random_vm(|_, zone| zone != own_zone);
         for vm in [near, far].into_iter().flatten() {
@@ -157,7 +157,7 @@
 
     /// Exchanges versions with a random peer of the settings, because a process that is not in its list of
     /// VMs yet does not know its zone.
-    fn exchange_with_named_peer(&mut self) {
+    fn exchange_with_settings_peer(&mut self) {
         let Some(peer) = self.settings.peers.choose(&mut rand::rng()) else { return };
         let Some(client) = self.peers.get(&peer.to_string()) else { return };
         let (own, inputs) = (self.own_version(), self.senders.inputs.clone());
@@ -304,16 +304,17 @@
     /// timeout of snapshots to a failed peer would delay a pull from another one.
     fn pull_from(&mut self, vm: &str, source: Source) {
         let address = self.address_by_name(vm);
-        let short = address.as_ref().and_then(|address| self.peers.get(address));
-        let long = address.as_ref().and_then(|address| client::open_for_snapshots(address));
-        let (Some(short), Some(long)) = (short, long) else {
+        let short_client = address.as_ref().and_then(|address| self.peers.get(address));
+        let snapshot_client =
+            address.as_ref().and_then(|address| client::open_for_snapshots(address));
+        let (Some(short_client), Some(snapshot_client)) = (short_client, snapshot_client) else {
             self.configuration.spreading().pull_failed();
             return;
         };
         let (own, inputs) = (self.own_version(), self.senders.inputs.clone());
         tokio::spawn(async move {
-            let pulled = match short.peer_version(own).await {
-                Ok(_) => long.peer_snapshot().await,
+            let pulled = match short_client.peer_version(own).await {
+                Ok(_) => snapshot_client.peer_snapshot().await,
                 Err(error) => Err(error),
             };
             let _ = inputs.send(match pulled {
--- a/crates/proxy/src/process/metrics.rs
+++ b/crates/proxy/src/process/metrics.rs
@@ -55,8 +55,8 @@
     /// if no socket can be opened: a proxy without metrics is better than none.
     pub fn open(settings: &ProxySettings, log: &slog::Logger) -> Option<Metrics> {
         let address = settings.metrics.statsd_address?;
-        let any = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
-        let opened = UdpSocket::bind(any).and_then(|socket| {
+        let bind_address = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
+        let opened = UdpSocket::bind(bind_address).and_then(|socket| {
             socket.set_nonblocking(true)?;
             Ok(socket)
         });
@@ -73,7 +73,8 @@
                 Some(Metrics { client, sent: FastMap::default() })
             }
             Err(reason) => {
-                slog::error!(log, "metrics are disabled: the statsd socket could not be opened"; "reason" => reason);
+                slog::error!(log, "metrics are disabled: the statsd socket could not be opened";
+                    "reason" => reason);
                 None
             }
         }
--- a/crates/proxy/src/process/schedule.rs
+++ b/crates/proxy/src/process/schedule.rs
@@ -80,7 +80,7 @@
     }
 
     /// Starts a periodic timer with jitter of up to a tenth of its period.
-    pub fn every(&mut self, purpose: Purpose, every_us: u64, now_us: u64) {
+    pub fn set_periodic(&mut self, purpose: Purpose, every_us: u64, now_us: u64) {
         let period = timer::Period { every_us, jitter_us: every_us / 10, seed: self.seed };
         let timer = self.timers.subscribe(period, now_us);
         self.register(timer, purpose, now_us);
--- a/crates/proxy/src/process/traffic.rs
+++ b/crates/proxy/src/process/traffic.rs
@@ -125,8 +125,8 @@
         if let Some(known) = self.budgets.read().get(group) {
             return Arc::clone(known);
         }
-        let made = Arc::new(RetryBudget::new(self.limits.retry_budget_percent, RETRY_BURST));
-        Arc::clone(self.budgets.write().entry(group.into()).or_insert(made))
+        let new_budget = Arc::new(RetryBudget::new(self.limits.retry_budget_percent, RETRY_BURST));
+        Arc::clone(self.budgets.write().entry(group.into()).or_insert(new_budget))
     }
 
     /// Returns the next value of a wrapping counter, by which requests are spread over replicas.
@@ -197,21 +197,21 @@
 async fn accept(traffic: &Arc<Traffic>, listener: &TcpListener, loops: &EventLoops) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => begin(traffic, stream, &loops.least_busy()),
+            Ok((stream, _)) => spawn_caller(traffic, stream, &loops.least_busy()),
             Err(_) => time::sleep(ACCEPT_PAUSE).await,
         }
     }
 }
 
-fn begin(traffic: &Arc<Traffic>, stream: TcpStream, event_loop: &Handle) {
+fn spawn_caller(traffic: &Arc<Traffic>, stream: TcpStream, event_loop: &Handle) {
     // A socket that can't be moved to another event loop is unusable; dropping it closes it.
     let Ok(stream) = stream.into_std() else { return };
     let permit = traffic.callers.begin();
     let traffic = Arc::clone(traffic);
-    event_loop.spawn(serve_one(traffic, stream, permit));
+    event_loop.spawn(serve_caller(traffic, stream, permit));
 }
 
-async fn serve_one(
+async fn serve_caller(
     traffic: Arc<Traffic>,
     stream: std::net::TcpStream,
     mut half_open: HalfOpenPermit,
--- a/crates/proxy/tests/control_start.rs
+++ b/crates/proxy/tests/control_start.rs
@@ -82,7 +82,7 @@
         while now_ms < FIVE_MINUTES_MS {
             limits.push(pace.timeout_ms());
             now_ms += pace.timeout_ms();
-            pauses.push(pace.failed());
+            pauses.push(pace.record_failure());
             now_ms += pauses[pauses.len() - 1];
         }
         assert_eq!(limits[..6], [2_000, 4_000, 8_000, 16_000, 30_000, 30_000]);
