--- a/crates/proxy/src/process/control/input.rs
+++ b/crates/proxy/src/process/control/input.rs
@@ -17,7 +17,7 @@
     Snapshot {
         /// The snapshot.
         snapshot: Snapshot,
-        /// The sender of the snapshot.
+        /// The kind of sender: the platform, a watcher or another peer.
         source: Source,
     },
     /// A pull from a peer failed.
--- a/crates/proxy/src/process/decisions.rs
+++ b/crates/proxy/src/process/decisions.rs
@@ -47,7 +47,7 @@
     Announced {
         /// The primary.
         target: String,
-        /// Its term.
+        /// The primary's term.
         term: Term,
     },
     /// New writes are held back for a change of primary requested by an operator.
--- a/crates/proxy/src/process/member/task.rs
+++ b/crates/proxy/src/process/member/task.rs
@@ -59,7 +59,7 @@
 pub struct MemberEvent {
     /// The member.
     pub member: MemberKey,
-    /// What happened.
+    /// The update.
     pub update: MemberUpdate,
 }
 
--- a/crates/proxy/src/process/peer/api.rs
+++ b/crates/proxy/src/process/peer/api.rs
@@ -163,7 +163,7 @@
     pub ready: bool,
     /// Whether the process is stopping.
     pub stopping: bool,
-    /// Whether this proxy watches the platform for its zone.
+    /// Whether this proxy watches the platform on behalf of its availability zone.
     pub watching: bool,
     /// Whether the platform answered this proxy's last call.
     pub platform_answers: bool,
@@ -237,7 +237,7 @@
     pub decisions: Vec<DecisionReport>,
 }
 
-/// The control protocol.
+/// The methods of the control protocol.
 #[rpc(server, client)]
 pub trait PeerApi {
     /// Exchanges versions: sends the sender's and returns the receiver's.
--- a/crates/proxy/src/process/schedule.rs
+++ b/crates/proxy/src/process/schedule.rs
@@ -31,7 +31,7 @@
 }
 
 impl Purpose {
-    fn is_single(&self) -> bool {
+    fn is_one_shot(&self) -> bool {
         match self {
             Purpose::ProbeMembers
             | Purpose::ExchangeVersions
@@ -126,7 +126,7 @@
         for timer in self.ids.drain(..) {
             let Some(entry) = self.entries[timer.index()].as_ref() else { continue };
             due.push(entry.clone());
-            if entry.purpose.is_single() {
+            if entry.purpose.is_one_shot() {
                 self.by_purpose.remove(&entry.purpose);
                 self.entries[timer.index()] = None;
             }
--- a/crates/proxy/src/process/traffic.rs
+++ b/crates/proxy/src/process/traffic.rs
@@ -54,7 +54,7 @@
     pub control: ControlHandle,
     /// The counters.
     pub counters: Arc<Counters>,
-    /// The bounds.
+    /// The limits on callers, connections and waiting times.
     pub limits: TrafficLimits,
     /// The name of this process's VM.
     pub vm: String,
@@ -75,7 +75,7 @@
     pub control: ControlHandle,
     /// The counters.
     pub counters: Arc<Counters>,
-    /// The bounds.
+    /// The limits on callers, connections and waiting times.
     pub limits: TrafficLimits,
     /// The name of this process's VM.
     pub vm: String,
