--- a/crates/proxy/src/process/control/drive.rs
+++ b/crates/proxy/src/process/control/drive.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the failover drivers ask for, and feeding them what happens.
+//! Passes events to the failover drivers of groups, and executes the actions that they request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,53 +21,60 @@
 use crate::process::member::client::MemberCommand;
 use crate::process::member::client::MemberError;
 use crate::process::member::task::MemberEvent;
-use crate::process::member::task::MemberNews;
+use crate::process::member::task::MemberUpdate;
 use crate::process::schedule::Purpose;
 
-/// How long a call about a lead record may take before it counts as unanswered.
-const LEAD_CALL: Duration = Duration::from_millis(1000);
+/// The timeout of a call to the platform to read or update a lead record.
+const LEAD_CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 impl<S, C> Control<S, C>
 where
     S: ObjectStore,
     C: MemberClient,
 {
-    pub(super) fn take_member_event(&mut self, event: MemberEvent) {
-        let Some(place) = self.members.get(&event.member).cloned() else { return };
-        let Some(group) = self.groups.get_mut(&place.group) else { return };
+    pub(super) fn handle_member_event(&mut self, event: MemberEvent) {
+        let Some(location) = self.members.get(&event.member).cloned() else { return };
+        let Some(group) = self.groups.get_mut(&location.group) else { return };
         let now_us = self.clock.now_us();
-        match event.news {
-            MemberNews::Report { status, sent_us, command } => {
+        match event.update {
+            MemberUpdate::Report { status, sent_us, command } => {
                 let call = command.and_then(|command| call_of(group, &command));
-                group.report(now_us, Report { place: place.member, status, sent_us, call });
+                group.report(
+                    now_us,
+                    Report { member_index: location.member, status, sent_us, call },
+                );
             }
-            MemberNews::Refused { command, reason } => {
+            MemberUpdate::Refused { command, reason } => {
                 slog::debug!(self.log, "a member refused a command";
-                    "group" => &group.name, "member" => place.member, "reason" => reason);
+                    "group" => &group.name, "member" => location.member, "reason" => reason);
                 if let Some(call) = call_of(group, &command) {
-                    let event = failover::Event::MemberFailed { member: place.member, call };
+                    let event = failover::Event::MemberFailed { member: location.member, call };
                     group.drive(now_us, &event);
                 }
             }
-            MemberNews::Lost(error) => group.lost(now_us, place.member, evidence_of(&error)),
+            MemberUpdate::Lost(error) => {
+                group.connection_lost(now_us, location.member, evidence_of(&error))
+            }
         }
-        self.settle_group(now_us, &place.group);
+        self.apply_group_effects(now_us, &location.group);
     }
 
-    /// Carries out what the latest events of a group asked for.
-    pub(super) fn settle_group(&mut self, now_us: u64, name: &Arc<str>) {
-        self.carry_out(now_us, name);
+    /// Applies the effects of a group's latest events: executes the driver's actions, requests the
+    /// members' status for a barrier, and arms the failure detector's timer.
+    pub(super) fn apply_group_effects(&mut self, now_us: u64, name: &Arc<str>) {
+        self.execute_actions(now_us, name);
         let Some(group) = self.groups.get_mut(name) else { return };
         if std::mem::take(&mut group.changed) {
             self.changed = true;
         }
         let Some(tracking) = &mut group.tracking else { return };
-        if tracking.floors.take_asks_members() {
+        if tracking.floors.take_status_request() {
             for member in &tracking.members {
                 member.handle.send(MemberCommand::Status);
             }
         }
-        // The due time moves with each report; the timer is set once and asks again when it comes.
+        // The due time moves with each report. Instead of being reset each time, the timer runs to its
+        // first due time and is armed again then.
         if !tracking.detector_armed
             && let Some(due_us) = tracking.detector_due_us()
         {
@@ -79,16 +86,16 @@
     pub(super) fn driver_timer(&mut self, now_us: u64, name: &str) {
         let Some(group) = self.groups.get_mut(name) else { return };
         group.drive(now_us, &failover::Event::Timer);
-        self.settle_group(now_us, &Arc::from(name));
+        self.apply_group_effects(now_us, &Arc::from(name));
     }
 
     pub(super) fn detector_timer(&mut self, now_us: u64, name: &str, due_us: u64) {
         let Some(group) = self.groups.get_mut(name) else { return };
         group.detector_timer(now_us, due_us);
-        self.settle_group(now_us, &Arc::from(name));
+        self.apply_group_effects(now_us, &Arc::from(name));
     }
 
-    pub(super) fn lead_answered(
+    pub(super) fn handle_lead_answer(
         &mut self,
         group_name: &str,
         call: failover::PlatformCall,
@@ -97,11 +104,11 @@
         let now_us = self.clock.now_us();
         let Some(group) = self.groups.get_mut(group_name) else { return };
         group.drive(now_us, &failover::Event::Platform { call, answer });
-        self.settle_group(now_us, &Arc::from(group_name));
+        self.apply_group_effects(now_us, &Arc::from(group_name));
     }
 
-    fn carry_out(&mut self, now_us: u64, name: &Arc<str>) {
-        // An action may tell the driver something, which then asks for more.
+    fn execute_actions(&mut self, now_us: u64, name: &Arc<str>) {
+        // Executing an action can pass an event to the driver, which may request further actions.
         loop {
             let Some(group) = self.groups.get_mut(name) else { return };
             let Some(tracking) = &mut group.tracking else { return };
@@ -110,51 +117,55 @@
             }
             let actions = std::mem::take(&mut tracking.actions);
             for action in actions {
-                self.carry_out_one(now_us, name, action);
+                self.execute_action(now_us, name, action);
             }
         }
     }
 
-    fn carry_out_one(&mut self, now_us: u64, name: &Arc<str>, action: failover::Action) {
+    fn execute_action(&mut self, now_us: u64, name: &Arc<str>, action: failover::Action) {
         match action {
             failover::Action::CallMember { member, call } => self.call_member(name, member, call),
             failover::Action::UpdateLead { call, expected_version, record } => {
                 self.update_lead(name, call, expected_version, record);
             }
             failover::Action::ReadLead { call } => self.read_lead(name, call),
-            failover::Action::HoldWrites => self.note(now_us, name, Decision::WritesHeld),
-            failover::Action::ReleaseWrites => self.note(now_us, name, Decision::WritesReleased),
+            failover::Action::HoldWrites => {
+                self.record_decision(now_us, name, Decision::WritesHeld)
+            }
+            failover::Action::ReleaseWrites => {
+                self.record_decision(now_us, name, Decision::WritesReleased)
+            }
             failover::Action::Announce { leader } => self.announce(now_us, name, leader),
             failover::Action::SetTimer { at_us } => {
                 self.schedule.set(Purpose::Driver(name.to_string()), at_us);
             }
             failover::Action::Trace { step, term } => {
-                self.note(now_us, name, Decision::Stepped { step, term });
+                self.record_decision(now_us, name, Decision::Stepped { step, term });
                 if step == failover::Step::Opened {
-                    self.tell_leaders();
+                    self.announce_leaders();
                 }
             }
         }
     }
 
-    /// Records a decision about a group, logs it, and has it published.
-    pub(super) fn note(&mut self, now_us: u64, name: &Arc<str>, decision: Decision) {
+    /// Logs a decision about a group, adds it to the group's decision log and marks the group as changed.
+    pub(super) fn record_decision(&mut self, now_us: u64, name: &Arc<str>, decision: Decision) {
         slog::info!(self.log, "decided";
             "group" => &**name, "decision" => decision.to_string(), "reason" => decision.reason());
         if let Some(group) = self.groups.get_mut(name) {
-            group.decide(now_us, decision);
+            group.log_decision(now_us, decision);
             group.changed = true;
         }
     }
 
     fn announce(&mut self, now_us: u64, name: &Arc<str>, leader: failover::Leader) {
         let Some(group) = self.groups.get_mut(name) else { return };
-        group.refresh_stall(now_us);
+        group.update_stalled(now_us);
         let Some(tracking) = &group.tracking else { return };
         let target = tracking.members[leader.member].target.clone();
-        self.note(now_us, name, Decision::Announced { target, term: leader.term });
+        self.record_decision(now_us, name, Decision::Announced { target, term: leader.term });
         if let Some(id) = self.configuration.topology().group_id(name) {
-            self.feed_rank(now_us, id);
+            self.update_driver_rank(now_us, id);
         }
     }
 
@@ -187,10 +198,10 @@
     ) {
         let (store, group) = (self.store.clone(), Arc::clone(name));
         let inputs = self.senders.inputs.clone();
-        let body = serde_json::to_value(record).expect("a lead record is plain data");
+        let body = serde_json::to_value(record).expect("a lead record is serializable");
         tokio::spawn(async move {
             let put = store.put(ObjectKind::Lead, &group, expected_version, body);
-            let answer = match time::timeout(LEAD_CALL, put).await {
+            let answer = match time::timeout(LEAD_CALL_TIMEOUT, put).await {
                 Ok(Ok(answer)) => failover::PlatformAnswer::Updated { version: answer.version },
                 Ok(Err(StoreError::Conflict { .. })) => failover::PlatformAnswer::Conflict,
                 Ok(Err(_)) | Err(_) => failover::PlatformAnswer::NoAnswer,
@@ -204,7 +215,7 @@
         let inputs = self.senders.inputs.clone();
         tokio::spawn(async move {
             let get = store.get(ObjectKind::Lead, &group);
-            let answer = match time::timeout(LEAD_CALL, get).await {
+            let answer = match time::timeout(LEAD_CALL_TIMEOUT, get).await {
                 Ok(Ok(object)) => read_answer(&object),
                 Ok(Err(StoreError::NotFound)) => {
                     failover::PlatformAnswer::Read { version: 0, record: None }
@@ -221,8 +232,8 @@
     failover::PlatformAnswer::Read { version: object.version, record }
 }
 
-/// The driver's call that a command carried out. A periodic probe answers the same question as a
-/// driver's own reading of the status.
+/// Returns the driver's call that a command executed. A periodic probe also answers the driver's own
+/// call to read the status.
 fn call_of(group: &Group, command: &MemberCommand) -> Option<failover::MemberCall> {
     match command {
         MemberCommand::Probe | MemberCommand::Status => Some(failover::MemberCall::ReadStatus),
--- a/crates/proxy/src/process/control/first_version.rs
+++ b/crates/proxy/src/process/control/first_version.rs
@@ -1,5 +1,5 @@
-//! The first version of a process that starts: from the platform, or from peers while the platform
-//! does not answer.
+//! Loading of the first configuration version at startup: from the platform, or from peers if the
+//! platform does not answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,43 +25,44 @@
 use crate::process::peer::api::PeerApiClient;
 use crate::process::peer::client;
 
-/// The time limit of the first call to the platform.
-pub const FIRST_LIMIT_MS: u64 = 2_000;
+/// The timeout of the first call to the platform, in milliseconds.
+pub const INITIAL_TIMEOUT_MS: u64 = 2_000;
 
-/// The highest time limit of a call.
-pub const MOST_LIMIT_MS: u64 = 30_000;
+/// The maximum timeout of a call to the platform, in milliseconds.
+pub const MAX_TIMEOUT_MS: u64 = 30_000;
 
-/// The longest pause between two calls. A platform that comes back waits for no process longer.
-pub const MOST_PAUSE_MS: u64 = 8_000;
+/// The maximum pause between two calls, in milliseconds. After the platform has recovered, each process calls
+/// it within this time.
+pub const MAX_PAUSE_MS: u64 = 8_000;
 
-/// The limits and the pauses of the calls for the first version.
+/// Timeouts of the platform calls for the first version, and pauses between them.
 ///
-/// With a fixed limit, a platform that needs longer for each call never gives a version to anybody,
-/// while all processes of a cold start go on asking: useless load just when the platform is slow.
-/// Doubling the limit lets some call have the time it needs, whatever that is up to the highest
-/// limit; and growing pauses that differ between processes let the load fall.
+/// With a fixed timeout, a platform that needs longer than that for a call would never deliver a version,
+/// while all processes of a cold start keep calling it: useless load just when the platform is slow.
+/// Doubling the timeout up to its maximum eventually gives a call enough time, and growing pauses with
+/// jitter reduce the load.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct StartPace {
+pub struct StartBackoff {
     seed: u64,
     first_pause_ms: u64,
     calls: u32,
 }
 
-impl StartPace {
-    /// The pace before the first call. Pauses begin at `first_pause_ms`; jitter is drawn from the
-    /// seed.
-    pub fn new(seed: u64, first_pause_ms: u64) -> StartPace {
-        StartPace { seed, first_pause_ms, calls: 0 }
+impl StartBackoff {
+    /// Creates the state before the first call. The first pause is up to `first_pause_ms`; jitter is drawn
+    /// from `seed`.
+    pub fn new(seed: u64, first_pause_ms: u64) -> StartBackoff {
+        StartBackoff { seed, first_pause_ms, calls: 0 }
     }
 
-    /// The time limit of the next call, in milliseconds.
-    pub fn limit_ms(&self) -> u64 {
-        doubled(FIRST_LIMIT_MS, self.calls).min(MOST_LIMIT_MS)
+    /// Returns the timeout of the next call, in milliseconds.
+    pub fn timeout_ms(&self) -> u64 {
+        doubled(INITIAL_TIMEOUT_MS, self.calls).min(MAX_TIMEOUT_MS)
     }
 
-    /// Takes in that a call failed, and returns the pause before the next one in milliseconds.
-    pub fn failed(&mut self) -> u64 {
-        let pause_ms = doubled(self.first_pause_ms, self.calls).min(MOST_PAUSE_MS);
+    /// Records a failed call, and returns the pause before the next one, in milliseconds.
+    pub fn record_failure(&mut self) -> u64 {
+        let pause_ms = doubled(self.first_pause_ms, self.calls).min(MAX_PAUSE_MS);
         self.calls = self.calls.saturating_add(1);
         jitter::upper_half_us(self.seed, u64::from(self.calls), pause_ms)
     }
@@ -71,7 +72,7 @@
     first_ms.saturating_mul(1_u64.checked_shl(times).unwrap_or(u64::MAX))
 }
 
-/// Gets the first version.
+/// The task that loads the first version.
 pub(super) struct FirstVersion<S> {
     pub(super) store: S,
     pub(super) settings: Arc<ProxySettings>,
@@ -87,52 +88,48 @@
     pub(super) async fn run(self) {
         let mut orders = self.orders.clone();
         let (snapshot, source) = tokio::select! {
-            found = self.find() => found,
-            // An offer or a pull was faster, or the process ends.
+            found = self.fetch() => found,
+            // Another version came into force by an offer or a pull, or the process ends.
             _ = orders.wait_for(|order| order.revision > 0) => return,
         };
         let _ = self.inputs.send(Input::Snapshot { snapshot, source });
     }
 
-    /// The platform's answer is the freshest, so its first call has its time before any peer is
-    /// asked. Later ones can be long, and peers are asked meanwhile.
-    async fn find(&self) -> (Snapshot, Source) {
-        let mut pace = StartPace::new(self.seed, self.settings.timing.platform_retry_ms);
-        if let Some(snapshot) = self.ask_platform(&pace).await {
+    /// Calls the platform once before any peer, because its version is the most recent. Further calls
+    /// can take long, so peers are called concurrently with them.
+    async fn fetch(&self) -> (Snapshot, Source) {
+        let mut backoff = StartBackoff::new(self.seed, self.settings.timing.platform_retry_ms);
+        if let Some(snapshot) = self.read_platform(&backoff).await {
             return (snapshot, Source::Platform);
         }
-        let pause_ms = pace.failed();
+        let pause_ms = backoff.record_failure();
         tokio::select! {
-            snapshot = self.go_on_asking_the_platform(pace, pause_ms) => (snapshot, Source::Platform),
-            snapshot = self.go_on_asking_peers() => (snapshot, Source::Peer),
+            snapshot = self.poll_platform(backoff, pause_ms) => (snapshot, Source::Platform),
+            snapshot = self.poll_peers() => (snapshot, Source::Peer),
         }
     }
 
-    async fn ask_platform(&self, pace: &StartPace) -> Option<Snapshot> {
-        let limit = Duration::from_millis(pace.limit_ms());
+    async fn read_platform(&self, backoff: &StartBackoff) -> Option<Snapshot> {
+        let limit = Duration::from_millis(backoff.timeout_ms());
         self.store.snapshot_with_timeout(limit).await.ok()
     }
 
-    async fn go_on_asking_the_platform(
-        &self,
-        mut pace: StartPace,
-        first_pause_ms: u64,
-    ) -> Snapshot {
+    async fn poll_platform(&self, mut backoff: StartBackoff, first_pause_ms: u64) -> Snapshot {
         let mut pause_ms = first_pause_ms;
         loop {
             time::sleep(Duration::from_millis(pause_ms)).await;
-            if let Some(snapshot) = self.ask_platform(&pace).await {
+            if let Some(snapshot) = self.read_platform(&backoff).await {
                 return snapshot;
             }
-            pause_ms = pace.failed();
+            pause_ms = backoff.record_failure();
         }
     }
 
-    async fn go_on_asking_peers(&self) -> Snapshot {
+    async fn poll_peers(&self) -> Snapshot {
         let retry = Duration::from_millis(self.settings.timing.platform_retry_ms);
         let mut attempt = 0;
         loop {
-            if let Some(snapshot) = self.ask_some_peers(attempt).await {
+            if let Some(snapshot) = self.fetch_from_peers(attempt).await {
                 return snapshot;
             }
             attempt += 1;
@@ -140,29 +137,29 @@
         }
     }
 
-    /// The highest version among several peers.
-    async fn ask_some_peers(&self, attempt: u64) -> Option<Snapshot> {
+    /// Returns the snapshot of the peer with the highest revision among several random peers.
+    async fn fetch_from_peers(&self, attempt: u64) -> Option<Snapshot> {
         let timeout = Duration::from_millis(self.settings.timing.peer_timeout_ms);
         let peers = &self.settings.peers;
         let seed = self.seed.wrapping_add(attempt);
         let chosen = spreading::choose_start_peers(peers.len(), spreading::START_PEERS, seed);
-        let addresses: Vec<String> = chosen.iter().map(|&place| peers[place].to_string()).collect();
+        let addresses: Vec<String> = chosen.iter().map(|&index| peers[index].to_string()).collect();
         let clients = addresses.iter().map(|address| client::open(address, timeout));
-        let mut asked: Vec<_> = clients.map(ask_version).collect();
-        // Every call ends by its own timeout, so the choice needs no deadline.
-        let mut choice = StartChoice::new(asked.len(), u64::MAX);
-        for (place, answer) in asked.iter_mut().enumerate() {
+        let mut requests: Vec<_> = clients.map(request_version).collect();
+        // Each call has its own timeout, so the choice needs no deadline.
+        let mut choice = StartChoice::new(requests.len(), u64::MAX);
+        for (index, answer) in requests.iter_mut().enumerate() {
             match answer.await {
-                Ok(Some(version)) => choice.answered(place, version.revision),
+                Ok(Some(version)) => choice.answered(index, version.revision),
                 Ok(None) | Err(_) => choice.failed(),
             }
         }
-        let StartVerdict::Take(place) = choice.verdict(0) else { return None };
-        client::open_for_snapshots(&addresses[place])?.peer_snapshot().await.ok()
+        let StartVerdict::Take(index) = choice.verdict(0) else { return None };
+        client::open_for_snapshots(&addresses[index])?.peer_snapshot().await.ok()
     }
 }
 
-fn ask_version(client: Option<HttpClient>) -> JoinHandle<Option<api::PeerVersion>> {
-    let nobody = api::PeerVersion::default();
-    tokio::spawn(async move { client?.peer_version(nobody).await.ok() })
+fn request_version(client: Option<HttpClient>) -> JoinHandle<Option<api::PeerVersion>> {
+    let anonymous = api::PeerVersion::default();
+    tokio::spawn(async move { client?.peer_version(anonymous).await.ok() })
 }
--- a/crates/proxy/src/process/control/floors.rs
+++ b/crates/proxy/src/process/control/floors.rs
@@ -1,7 +1,8 @@
-//! Answers for sessions that roam without a token: who asked, and the barriers under way.
+//! Lookups of read floors for sessions that roam between proxies without a token: the pending requesters,
+//! and the barrier in progress.
 //!
-//! The decision is `skylark_core::process::session_floors`. A lookup that can't be answered in its
-//! time is dropped, and the reader then goes by what it can show itself or is refused.
+//! The floors are decided by `skylark_core::process::session_floors`. A lookup that is not answered
+//! within its timeout is dropped; the reader then needs a floor that it can prove itself, or is refused.
 
 use skylark_core::FastMap;
 use skylark_core::log_position::LogPosition;
@@ -15,15 +16,15 @@
 use crate::process::peer::server;
 use crate::process::peer::server::Refusal;
 
-/// How long a lookup may take.
-const LOOKUP_US: u64 = 1_000_000;
+/// The timeout of a lookup.
+const LOOKUP_TIMEOUT_US: u64 = 1_000_000;
 
-/// How long a barrier may take before it is begun again: a member may have gone meanwhile.
-const BARRIER_US: u64 = 200_000;
+/// The time after which a barrier is restarted, because a member may have failed meanwhile.
+const BARRIER_TIMEOUT_US: u64 = 200_000;
 
-/// Who wants to know a session's floor.
+/// The requester of a session's read floor, with the sender of the answer.
 #[derive(Debug)]
-pub enum Asker {
+pub enum FloorRequester {
     /// A traffic thread of this process.
     Traffic(oneshot::Sender<LogPosition>),
     /// Another proxy.
@@ -31,48 +32,48 @@
 }
 
 #[derive(Debug)]
-struct Open {
-    asker: Asker,
+struct PendingLookup {
+    requester: FloorRequester,
     until_us: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct OpenBarrier {
+struct PendingBarrier {
     id: session_floors::BarrierId,
     began_us: u64,
 }
 
-/// The lookups and barriers of one group.
+/// The floor lookups and the barrier of one group.
 #[derive(Debug)]
-pub struct FloorDesk {
+pub struct FloorLookups {
     floors: SessionFloors,
-    barrier: Option<OpenBarrier>,
-    open: FastMap<session_floors::LookupId, Open>,
+    barrier: Option<PendingBarrier>,
+    pending: FastMap<session_floors::LookupId, PendingLookup>,
     next_lookup: u64,
-    asks_members: bool,
+    status_request_due: bool,
     revision: u64,
 }
 
-impl FloorDesk {
-    /// A holder that begins now.
-    pub fn new(members: MemberSet) -> FloorDesk {
+impl FloorLookups {
+    /// Creates the state without any recorded write or lookup.
+    pub fn new(members: MemberSet) -> FloorLookups {
         let settings = session_floors::SessionFloorsSettings::default();
-        FloorDesk {
+        FloorLookups {
             floors: SessionFloors::new(settings, members),
             barrier: None,
-            open: FastMap::default(),
+            pending: FastMap::default(),
             next_lookup: 0,
-            asks_members: false,
+            status_request_due: false,
             revision: 0,
         }
     }
 
-    /// Sets the revision that answers to other proxies carry.
+    /// Sets the revision that is sent in answers to other proxies.
     pub fn set_revision(&mut self, revision: u64) {
         self.revision = revision;
     }
 
-    /// Replaces the member set.
+    /// Replaces the member set, and drops the barrier in progress.
     pub fn change_members(&mut self, members: MemberSet) {
         self.barrier = None;
         self.floors.change_members(members);
@@ -83,35 +84,36 @@
         self.floors.settle_members();
     }
 
-    /// Records a write that was executed here or that a co-home reported.
+    /// Records a write that this process executed or that another home of the primary reported.
     pub fn record(&mut self, session: Option<&str>, position: LogPosition) {
         self.floors.record(session_floors::SessionWrite { session, position });
     }
 
-    /// Looks a session's floor up for the asker.
-    pub fn look_up(&mut self, now_us: u64, session: &str, asker: Asker) {
+    /// Starts a lookup of a session's floor for the requester.
+    pub fn look_up(&mut self, now_us: u64, session: &str, requester: FloorRequester) {
         self.next_lookup += 1;
         let id = session_floors::LookupId(self.next_lookup);
-        self.open.insert(id, Open { asker, until_us: now_us + LOOKUP_US });
+        self.pending.insert(id, PendingLookup { requester, until_us: now_us + LOOKUP_TIMEOUT_US });
         self.floors.look_up(id, session);
         self.begin_barrier(now_us);
     }
 
-    /// Takes a member's report. One that was asked for after a barrier began counts for it; one of
-    /// the same microsecond may have been asked for before.
-    pub fn note_report(
+    /// Handles a member's report. It counts for the barrier only if it was requested after the barrier
+    /// began. A request in the same microsecond may have been earlier, so it does not count.
+    pub fn handle_report(
         &mut self,
         now_us: u64,
-        place: usize,
+        member_index: usize,
         status: &MemberStatus,
         sent_us: Option<u64>,
     ) {
-        let asked_since = |barrier: &OpenBarrier| sent_us.is_some_and(|at| at > barrier.began_us);
+        let asked_since =
+            |barrier: &PendingBarrier| sent_us.is_some_and(|at| at > barrier.began_us);
         let Some(barrier) = self.barrier.filter(asked_since) else {
-            self.floors.note_status(place, status);
+            self.floors.note_status(member_index, status);
             return;
         };
-        let answers = self.floors.barrier_status(barrier.id, place, status);
+        let answers = self.floors.barrier_status(barrier.id, member_index, status);
         if answers.is_empty() {
             return;
         }
@@ -122,27 +124,32 @@
         self.begin_barrier(now_us);
     }
 
-    /// Gives up what took too long.
+    /// Drops lookups that have timed out, and restarts a barrier that has.
     pub fn expire(&mut self, now_us: u64) {
-        let late = |(id, open): (&session_floors::LookupId, &Open)| {
-            (open.until_us <= now_us).then_some(*id)
+        let timed_out = |(id, pending): (&session_floors::LookupId, &PendingLookup)| {
+            (pending.until_us <= now_us).then_some(*id)
         };
-        let late: Vec<session_floors::LookupId> = self.open.iter().filter_map(late).collect();
-        for id in late {
+        let timed_out: Vec<session_floors::LookupId> =
+            self.pending.iter().filter_map(timed_out).collect();
+        for id in timed_out {
             self.floors.cancel_lookup(id);
-            if let Some(Open { asker: Asker::Peer(answer), .. }) = self.open.remove(&id) {
+            if let Some(PendingLookup { requester: FloorRequester::Peer(answer), .. }) =
+                self.pending.remove(&id)
+            {
                 let _ = answer.send(Err(Refusal::Unavailable));
             }
         }
-        if let Some(barrier) = self.barrier.take_if(|it| it.began_us + BARRIER_US <= now_us) {
+        if let Some(barrier) = self.barrier.take_if(|it| it.began_us + BARRIER_TIMEOUT_US <= now_us)
+        {
             self.floors.abandon_barrier(barrier.id);
             self.begin_barrier(now_us);
         }
     }
 
-    /// Whether every member is to be asked for its status now; says so once for each barrier.
-    pub fn take_asks_members(&mut self) -> bool {
-        std::mem::take(&mut self.asks_members)
+    /// Returns whether the members' status has to be requested, and clears the flag, which each barrier sets
+    /// once.
+    pub fn take_status_request(&mut self) -> bool {
+        std::mem::take(&mut self.status_request_due)
     }
 
     fn begin_barrier(&mut self, now_us: u64) {
@@ -150,19 +157,19 @@
             return;
         }
         if let Some(id) = self.floors.begin_barrier() {
-            self.barrier = Some(OpenBarrier { id, began_us: now_us });
-            self.asks_members = true;
+            self.barrier = Some(PendingBarrier { id, began_us: now_us });
+            self.status_request_due = true;
         }
     }
 
     fn answer(&mut self, answer: session_floors::FloorAnswer) {
-        let Some(open) = self.open.remove(&answer.lookup) else { return };
+        let Some(pending) = self.pending.remove(&answer.lookup) else { return };
         let position = answer.floor;
-        match open.asker {
-            Asker::Traffic(answer) => {
+        match pending.requester {
+            FloorRequester::Traffic(answer) => {
                 let _ = answer.send(position);
             }
-            Asker::Peer(answer) => {
+            FloorRequester::Peer(answer) => {
                 let revision = self.revision;
                 let _ = answer.send(Ok(api::FloorAnswer { position, revision }));
             }
--- a/crates/proxy/src/process/control/align.rs
+++ b/crates/proxy/src/process/control/reconcile.rs
@@ -1,4 +1,4 @@
-//! Bringing homes, groups and members in line with a new version of the configuration, and with
+//! Reconciliation of homes, groups and members with a new version of the configuration, and with
 //! evidence about VMs and targets.
 
 use std::sync::Arc;
@@ -17,9 +17,9 @@
 use skylark_objects::ObjectStore;
 
 use crate::process::control::Control;
-use crate::process::control::Place;
+use crate::process::control::MemberLocation;
 use crate::process::control::US_PER_MS;
-use crate::process::control::floors::FloorDesk;
+use crate::process::control::floors::FloorLookups;
 use crate::process::control::group::Group;
 use crate::process::control::tracking::TrackedMember;
 use crate::process::control::tracking::Tracking;
@@ -29,53 +29,53 @@
 use crate::process::member::task::MemberTask;
 use crate::process::schedule::Purpose;
 
-/// How long a version of a member set counts as joint: twice as long as a version may take to be in
-/// force everywhere. Longer would cost: until then a quorum of the version before is needed too, so
-/// that a group that grew from two members to three survives the loss of neither of the two.
-const SETTLE_US: u64 = 14_000_000;
+/// The duration of the joint phase of a new member set: twice the time within which a version comes
+/// into force everywhere. A longer phase reduces availability: until its end a quorum of the previous set is
+/// needed too, so that a group that grew from two members to three tolerates the loss of neither of the two.
+const JOINT_PHASE_US: u64 = 14_000_000;
 
-/// How long the members of a group are still tracked after this VM stopped being home to one: the
-/// writes under way here wait for confirmations.
-const END_TRACKING_US: u64 = 10_000_000;
+/// How long the members of a group are still tracked after this VM ceased to be home to any of them,
+/// because writes in progress here still wait for confirmations.
+const END_TRACKING_DELAY_US: u64 = 10_000_000;
 
 impl<S, C> Control<S, C>
 where
     S: ObjectStore,
     C: MemberClient,
 {
-    /// Brings everything in line with the version in force.
-    pub(super) fn align(&mut self, now_us: u64) {
+    /// Reconciles all control state with the version in force.
+    pub(super) fn reconcile(&mut self, now_us: u64) {
         let topology = Arc::clone(self.configuration.topology());
         self.membership.usable_vms(&topology, now_us, &mut self.usable);
         let homes_per_target = self.settings.homes_per_target as usize;
         let homes = Homes::build(&topology, &self.usable, homes_per_target);
         self.groups.retain(|name, _| topology.group_id(name).is_some());
         for id in topology.group_ids() {
-            self.align_group(now_us, &topology, &homes, id);
+            self.reconcile_group(now_us, &topology, &homes, id);
         }
         self.homes = Some(homes);
         for id in topology.group_ids() {
-            self.feed_rank(now_us, id);
+            self.update_driver_rank(now_us, id);
         }
-        self.place_members();
-        self.refresh_targets(now_us);
-        self.order_watch();
+        self.index_members();
+        self.update_excluded_targets(now_us);
+        self.update_watch_order();
         self.changed = true;
         let names: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for name in names {
-            self.settle_group(now_us, &name);
+            self.apply_group_effects(now_us, &name);
         }
     }
 
-    /// Takes in that evidence came or expired.
+    /// Updates usable VMs and targets after evidence about them was added or has expired.
     pub(super) fn refresh_standing(&mut self, now_us: u64) {
         self.membership.expire(now_us);
         let mut usable = Vec::new();
         self.membership.usable_vms(self.configuration.topology(), now_us, &mut usable);
         if usable != self.usable {
-            self.align(now_us);
+            self.reconcile(now_us);
         } else {
-            self.refresh_targets(now_us);
+            self.update_excluded_targets(now_us);
         }
     }
 
@@ -86,7 +86,7 @@
             tracking.ages.settle_members();
         }
         group.drive(now_us, &failover::Event::MembersSettled);
-        self.settle_group(now_us, &Arc::from(name));
+        self.apply_group_effects(now_us, &Arc::from(name));
     }
 
     pub(super) fn end_tracking(&mut self, now_us: u64, name: &str) {
@@ -94,17 +94,17 @@
             group.tracking = None;
             group.changed = true;
         }
-        self.place_members();
-        self.note(now_us, &Arc::from(name), Decision::Untracked);
-        self.settle_group(now_us, &Arc::from(name));
+        self.index_members();
+        self.record_decision(now_us, &Arc::from(name), Decision::Untracked);
+        self.apply_group_effects(now_us, &Arc::from(name));
     }
 
-    /// This process's VM, once the platform lists it.
+    /// Returns this process's VM; `None` until the platform lists it.
     pub(super) fn own_vm(&self) -> Option<VmId> {
         self.configuration.topology().vm_id(&self.settings.vm)
     }
 
-    fn align_group(&mut self, now_us: u64, topology: &Topology, homes: &Homes, id: GroupId) {
+    fn reconcile_group(&mut self, now_us: u64, topology: &Topology, homes: &Homes, id: GroupId) {
         let spec = topology.group(id);
         let name: Arc<str> = Arc::from(spec.name.as_str());
         let names = member_names(topology, spec);
@@ -113,24 +113,24 @@
             self.groups.insert(Arc::clone(&name), group);
         }
         if self.groups[&name].version != spec.version {
-            self.note(now_us, &name, Decision::Configured { version: spec.version });
+            self.record_decision(now_us, &name, Decision::Configured { version: spec.version });
         }
-        self.align_members(now_us, topology, id, &name, &names);
+        self.reconcile_members(now_us, topology, id, &name, &names);
         let is_home = self.own_vm().is_some_and(|own_vm| is_home(homes, spec, own_vm));
         match (self.groups[&name].tracking.is_some(), is_home) {
             (false, true) => self.start_tracking(now_us, topology, id, &name, &names),
             (true, true) => self.schedule.cancel(&Purpose::EndTracking(spec.name.clone())),
             (true, false) => {
                 let purpose = Purpose::EndTracking(spec.name.clone());
-                self.schedule.set_once(purpose, now_us + END_TRACKING_US);
+                self.schedule.set_if_absent(purpose, now_us + END_TRACKING_DELAY_US);
             }
             (false, false) => {}
         }
-        self.feed_lead(now_us, spec, &name);
+        self.update_driver_lead(now_us, spec, &name);
     }
 
-    /// Tells a tracked group's decisions about a new version of its members.
-    fn align_members(
+    /// Applies a new version of a group's members, and passes it to the failover driver if tracked.
+    fn reconcile_members(
         &mut self,
         now_us: u64,
         topology: &Topology,
@@ -148,21 +148,21 @@
             return;
         };
         let known = tracking.driver.members();
-        let (set, replaced) = next_set(known, spec.version, names);
-        let moved = spec
+        let (set, replaced) = next_member_set(known, spec.version, names);
+        let address_changed = spec
             .members
             .iter()
             .zip(&tracking.members)
             .any(|(&target, member)| topology.target(target).address != member.address);
-        let changed = moved || set.names() != known.names();
+        let changed = address_changed || set.names() != known.names();
         let profiles = profiles(topology, spec);
         if changed {
             group.resize(names.len());
             self.replace_members(topology, id, name, &set);
-            self.schedule.set(Purpose::SettleMembers(spec.name.clone()), now_us + SETTLE_US);
+            self.schedule.set(Purpose::SettleMembers(spec.name.clone()), now_us + JOINT_PHASE_US);
         }
         if replaced {
-            self.note(now_us, name, Decision::MembersReplaced { version: spec.version });
+            self.record_decision(now_us, name, Decision::MembersReplaced { version: spec.version });
         }
         if let Some(group) = self.groups.get_mut(name) {
             group.drive(now_us, &failover::Event::Members { members: set, profiles });
@@ -190,8 +190,8 @@
                     member.target == target.name && member.address == target.address
                 };
                 match known.iter().position(same) {
-                    Some(place) => known.swap_remove(place),
-                    None => self.track(target),
+                    Some(member_index) => known.swap_remove(member_index),
+                    None => self.connect_member(target),
                 }
             })
             .collect();
@@ -210,12 +210,15 @@
     ) {
         let spec = topology.group(id);
         let Ok(set) = MemberSet::new(spec.version, names.to_vec()) else { return };
-        let members =
-            spec.members.iter().map(|&target| self.track(topology.target(target))).collect();
-        // Tracking can end and begin again in one run of the process, and the new driver has forgotten
-        // which member the old one promoted. Under the same name it could take up the old one's votes
-        // and promote a second member in the same term, so the name carries the number of the next
-        // member connection, which is never used twice.
+        let members = spec
+            .members
+            .iter()
+            .map(|&target| self.connect_member(topology.target(target)))
+            .collect();
+        // Tracking can end and start again in one run of the process, and the new driver does not know
+        // which member the old one promoted. Under the same name it could use the old one's votes and
+        // promote a second member in the same term. The name therefore includes the key of the next
+        // member connection, which is never reused.
         let driver_name = format!("{}.{}", self.driver_name, self.next_member);
         let driver = FailoverDriver::new(
             failover::FailoverSettings::default(),
@@ -226,15 +229,15 @@
             self.seed,
         );
         let detection = self.detection_settings();
-        let tracking = Tracking::new(driver, members, FloorDesk::new(set), detection);
+        let tracking = Tracking::new(driver, members, FloorLookups::new(set), detection);
         if let Some(group) = self.groups.get_mut(name) {
             group.tracking = Some(tracking);
         }
-        self.note(now_us, name, Decision::Tracked);
+        self.record_decision(now_us, name, Decision::Tracked);
     }
 
     /// Opens the control connection of a member.
-    fn track(&mut self, target: &topology::Target) -> TrackedMember {
+    fn connect_member(&mut self, target: &topology::Target) -> TrackedMember {
         let key = MemberKey(self.next_member);
         self.next_member += 1;
         let task = MemberTask {
@@ -253,22 +256,23 @@
         detection::DetectionSettings { silence_us, ..detection::DetectionSettings::default() }
     }
 
-    fn feed_lead(&mut self, now_us: u64, spec: &topology::Group, name: &Arc<str>) {
+    fn update_driver_lead(&mut self, now_us: u64, spec: &topology::Group, name: &Arc<str>) {
         let Some(group) = self.groups.get_mut(name) else { return };
         let (version, record) = match &spec.lead {
             Some((version, record)) => (*version, Some(record.clone())),
             None => (0, None),
         };
-        // A record without a primary announces a change that may come to nothing. Until it is
-        // done, the homes of the old primary know best where requests go.
+        // A record without a primary announces a change of primary that may still fail. Until the change
+        // completes, requests go to the homes of the old primary, which know its state best.
         if let Some(record) = record.as_ref().filter(|record| !record.primary.is_empty()) {
             group.hint_leader(&record.primary, record.term);
         }
         group.drive(now_us, &failover::Event::LeadSeen { version, record });
     }
 
-    /// Tells a group's driver its place among the candidates, which depends on who leads.
-    pub(super) fn feed_rank(&mut self, now_us: u64, id: GroupId) {
+    /// Passes this process's rank among the candidates to the group's failover driver. The rank depends
+    /// on the current primary.
+    pub(super) fn update_driver_rank(&mut self, now_us: u64, id: GroupId) {
         let (Some(own_vm), Some(homes)) = (self.own_vm(), &self.homes) else { return };
         let topology = Arc::clone(self.configuration.topology());
         let spec = topology.group(id);
@@ -279,29 +283,30 @@
         group.drive(now_us, &failover::Event::Rank { rank: rank as u32 });
     }
 
-    fn place_members(&mut self) {
+    fn index_members(&mut self) {
         self.members.clear();
         for (name, group) in &self.groups {
             let Some(tracking) = &group.tracking else { continue };
             for (member, tracked) in tracking.members.iter().enumerate() {
-                self.members.insert(tracked.key, Place { group: Arc::clone(name), member });
+                self.members
+                    .insert(tracked.key, MemberLocation { group: Arc::clone(name), member });
             }
         }
     }
 
-    /// Says for each target whether it gets new work.
-    fn refresh_targets(&mut self, now_us: u64) {
+    /// Updates for each target whether it is excluded from new requests.
+    fn update_excluded_targets(&mut self, now_us: u64) {
         let topology = Arc::clone(self.configuration.topology());
         for spec in &topology.groups {
             let Some(group) = self.groups.get_mut(spec.name.as_str()) else { continue };
-            for (place, &target) in spec.members.iter().enumerate() {
+            for (member_index, &target) in spec.members.iter().enumerate() {
                 let target = topology.target(target);
                 let standing = self.membership.target_standing(target, now_us);
-                let kept_out = matches!(
+                let excluded = matches!(
                     standing,
                     membership::Standing::ListedLeaving | membership::Standing::ReportedLeaving
                 );
-                group.keep_out(now_us, place, &target.name, kept_out);
+                group.set_excluded(now_us, member_index, &target.name, excluded);
             }
         }
     }
@@ -323,11 +328,11 @@
     spec.members.iter().any(|&target| homes.rank_of(target, vm).is_some())
 }
 
-/// The member set of a version, and whether it could not follow from the one known here. A process
-/// that missed versions between goes on as one that has just started.
+/// Returns the member set of a version, and whether it replaces the known set instead of succeeding it. A
+/// process that missed intermediate versions starts with the new set like a newly started process.
 ///
-/// A version with the same members must not replace the known set: it would end a joint phase.
-fn next_set(known: &MemberSet, version: u64, names: &[String]) -> (MemberSet, bool) {
+/// A version with the same members must not replace the known set, because that would end a joint phase.
+fn next_member_set(known: &MemberSet, version: u64, names: &[String]) -> (MemberSet, bool) {
     if known.names() == names || version <= known.version() {
         return (known.clone(), false);
     }
@@ -340,9 +345,9 @@
     }
 }
 
-/// The VMs that may drive a change of the group's primary, in the order in which they try: those
-/// that are home to other members than the primary first, since what takes a primary away often
-/// takes its zone away.
+/// Returns the VMs that may drive a change of the group's primary, in the order in which they try. Homes of
+/// members outside the primary's availability zone come first, because a failure of the primary is often a
+/// failure of its zone.
 fn candidates(
     topology: &Topology,
     homes: &Homes,
@@ -350,9 +355,10 @@
     primary: Option<skylark_core::ids::TargetId>,
 ) -> Vec<VmId> {
     let zone_of = |target| topology.target(target).zone;
-    let beside = |target| primary.is_some_and(|primary| zone_of(primary) == zone_of(target));
+    let shares_primary_zone =
+        |target| primary.is_some_and(|primary| zone_of(primary) == zone_of(target));
     let (near, far): (Vec<_>, Vec<_>) =
-        spec.members.iter().copied().partition(|&target| beside(target));
+        spec.members.iter().copied().partition(|&target| shares_primary_zone(target));
     let mut candidates = Vec::new();
     for targets in [far, near] {
         let ranks = targets.iter().map(|&target| homes.of(target).len()).max().unwrap_or(0);
--- a/crates/proxy/src/process/control/sessions.rs
+++ b/crates/proxy/src/process/control/sessions.rs
@@ -1,8 +1,8 @@
-//! What traffic says, and the floors of sessions that roam without a token.
+//! Events from the traffic threads, and read floors of sessions that roam between proxies without a token.
 //!
-//! Records of writes need not be synchronous (see `skylark_core::process::session_floors`): a
-//! holder answers for what it can't account for with the position of a barrier. So a write's
-//! caller is never kept waiting for them.
+//! Writes are reported to the primary's other homes asynchronously (see
+//! `skylark_core::process::session_floors`): a home that may lack reports of some positions answers with the
+//! position of a barrier. The caller of a write therefore never waits for these reports.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 use tokio::sync::oneshot;
 
 use crate::process::control::Control;
-use crate::process::control::floors::Asker;
+use crate::process::control::floors::FloorRequester;
 use crate::process::control_handle::ControlEvent;
 use crate::process::control_handle::TargetEvidence;
 use crate::process::control_handle::VersionedEvent;
@@ -30,31 +30,31 @@
 use crate::process::schedule::Purpose;
 use crate::version::published::Published;
 
-/// How long writes are collected before they are told to other homes.
-const COLLECT_US: u64 = 20_000;
+/// How long writes are collected before they are sent to other homes.
+const SESSION_WRITE_DELAY_US: u64 = 20_000;
 
-/// How long writes are collected while none of them belongs to a session with an identity. Told
-/// later they only keep such sessions' reads from the replicas for that long, and each call costs.
-const COLLECT_PLAIN_US: u64 = 200_000;
+/// How long writes are collected while none of them belongs to a session with an identity. The longer
+/// delay saves calls, and only prevents sessions with an identity from reading at replicas for that time.
+const PLAIN_WRITE_DELAY_US: u64 = 200_000;
 
-/// The most writes that wait to be told. What passes it stays unaccounted for at the other homes,
-/// whose answers then ask for more than they need to.
-const MAX_WAITING: usize = 2_000;
+/// The maximum number of collected writes of one group. Further writes are not sent to other homes, whose
+/// answers then give higher floors than needed.
+const MAX_UNSENT_WRITES: usize = 2_000;
 
 impl<S, C> Control<S, C>
 where
     S: ObjectStore,
     C: MemberClient,
 {
-    pub(super) fn take_traffic_event(&mut self, versioned: VersionedEvent) {
+    pub(super) fn handle_traffic_event(&mut self, versioned: VersionedEvent) {
         let VersionedEvent { version, event } = versioned;
         match event {
             ControlEvent::WriteAcknowledged { group, session, position, recorded } => {
                 self.write_acknowledged(group_name(&version, group), session, position);
                 let _ = recorded.send(());
             }
-            ControlEvent::FloorWanted { group, session, answer } => {
-                self.floor_wanted(group_name(&version, group), session, answer);
+            ControlEvent::FloorRequested { group, session, answer } => {
+                self.handle_floor_request(group_name(&version, group), session, answer);
             }
             ControlEvent::TargetFailed { target, evidence } => {
                 self.target_failed(&version, target, evidence);
@@ -77,25 +77,25 @@
         if let Some(tracking) = &mut group.tracking {
             tracking.floors.record(session.as_deref(), position);
         }
-        if group.unsent_writes.len() + group.unsent_plain.len() >= MAX_WAITING {
+        if group.unsent_writes.len() + group.unsent_plain.len() >= MAX_UNSENT_WRITES {
             return;
         }
         let purpose = Purpose::SendWrites(name.to_string());
         match session {
             Some(session) => {
                 if group.unsent_writes.is_empty() {
-                    self.schedule.set(purpose, now_us + COLLECT_US);
+                    self.schedule.set(purpose, now_us + SESSION_WRITE_DELAY_US);
                 }
                 group.unsent_writes.push(api::SessionWrite { session, position });
             }
             None => {
                 group.unsent_plain.push(position);
-                self.schedule.set_once(purpose, now_us + COLLECT_PLAIN_US);
+                self.schedule.set_if_absent(purpose, now_us + PLAIN_WRITE_DELAY_US);
             }
         }
     }
 
-    fn floor_wanted(
+    fn handle_floor_request(
         &mut self,
         name: Arc<str>,
         session: String,
@@ -105,16 +105,21 @@
         let Some(group) = self.groups.get_mut(&name) else { return };
         match &mut group.tracking {
             Some(tracking) => {
-                tracking.floors.look_up(now_us, &session, Asker::Traffic(answer));
-                self.settle_group(now_us, &name);
+                tracking.floors.look_up(now_us, &session, FloorRequester::Traffic(answer));
+                self.apply_group_effects(now_us, &name);
             }
-            None => self.ask_homes(&name, session, answer),
+            None => self.request_floor_from_homes(&name, session, answer),
         }
     }
 
-    /// Asks the primary's homes in order of rank. Without an answer the reader gets none and goes
-    /// by what it can show itself.
-    fn ask_homes(&mut self, name: &str, session: String, answer: oneshot::Sender<LogPosition>) {
+    /// Requests a session's floor from the primary's homes in order of rank. If none answers, the sender is
+    /// dropped, and the reader needs a floor that it can prove itself.
+    fn request_floor_from_homes(
+        &mut self,
+        name: &str,
+        session: String,
+        answer: oneshot::Sender<LogPosition>,
+    ) {
         let homes = self.primary_homes(name);
         let clients: Vec<_> = homes.iter().filter_map(|&vm| self.client_of(vm)).collect();
         let question = api::FloorQuestion {
@@ -133,12 +138,12 @@
         });
     }
 
-    pub(super) fn peer_asks_floor(
+    pub(super) fn handle_floor_question(
         &mut self,
         question: api::FloorQuestion,
         answer: server::Answer<api::FloorAnswer>,
     ) {
-        self.revision_seen(&question.vm, question.revision);
+        self.compare_revision(&question.vm, question.revision);
         let now_us = self.clock.now_us();
         let revision = self.configuration.revision();
         let Some(group) = self.groups.get_mut(question.group.as_str()) else {
@@ -150,12 +155,12 @@
             return;
         };
         tracking.floors.set_revision(revision);
-        tracking.floors.look_up(now_us, &question.session, Asker::Peer(answer));
-        self.settle_group(now_us, &Arc::from(question.group));
+        tracking.floors.look_up(now_us, &question.session, FloorRequester::Peer(answer));
+        self.apply_group_effects(now_us, &Arc::from(question.group));
     }
 
-    pub(super) fn peer_tells_writes(&mut self, notice: &api::WritesNotice) {
-        self.revision_seen(&notice.vm, notice.revision);
+    pub(super) fn handle_writes_notice(&mut self, notice: &api::WritesNotice) {
+        self.compare_revision(&notice.vm, notice.revision);
         let Some(group) = self.groups.get_mut(notice.group.as_str()) else { return };
         let Some(tracking) = &mut group.tracking else { return };
         for write in &notice.writes {
@@ -168,14 +173,14 @@
         }
     }
 
-    /// Tells the primary's other homes about writes.
+    /// Sends the collected writes of a group to the primary's other homes.
     pub(super) fn send_writes(&mut self, name: &str) {
         for call in self.writes_calls(name) {
             tokio::spawn(call);
         }
     }
 
-    /// Tells all writes that wait, before this process ends.
+    /// Sends the collected writes of all groups, and waits for the answers, before this process ends.
     pub(super) async fn send_all_writes(&mut self) {
         let names: Vec<Arc<str>> = self.groups.keys().cloned().collect();
         for name in names {
@@ -206,7 +211,7 @@
         let call = |client: jsonrpsee::http_client::HttpClient| {
             let notice = notice.clone();
             async move {
-                // A lost notice makes the other home's answers ask for more, never for less.
+                // A lost notice can only make the other home's floors higher than needed, never too low.
                 let _ = client.peer_writes(notice).await;
             }
         };
@@ -221,7 +226,7 @@
         target.zip(homes).map(|(target, homes)| homes.of(target).to_vec()).unwrap_or_default()
     }
 
-    /// Takes evidence of traffic's about a target, and asks the target itself at once.
+    /// Handles evidence about a target from a traffic thread, and immediately probes the target.
     fn target_failed(&mut self, version: &Published, id: TargetId, evidence: TargetEvidence) {
         let now_us = self.clock.now_us();
         let target = version.topology.target(id);
@@ -237,14 +242,15 @@
         }
         let Some(group) = self.groups.get_mut(&name) else { return };
         let Some(tracking) = &group.tracking else { return };
-        let Some(place) = tracking.members.iter().position(|it| it.target == target.name) else {
+        let Some(member_index) = tracking.members.iter().position(|it| it.target == target.name)
+        else {
             return;
         };
-        tracking.members[place].handle.send(MemberCommand::Probe);
+        tracking.members[member_index].handle.send(MemberCommand::Probe);
         if evidence == TargetEvidence::Broken {
-            group.primary_evidence(now_us, place, detection::Evidence::Broken);
+            group.primary_evidence(now_us, member_index, detection::Evidence::Broken);
         }
-        self.settle_group(now_us, &name);
+        self.apply_group_effects(now_us, &name);
     }
 }
 
@@ -252,7 +258,7 @@
     Arc::from(version.topology.group(group).name.as_str())
 }
 
-/// The positions with each term said once.
+/// Groups positions by term.
 fn by_term(mut positions: Vec<LogPosition>) -> Vec<PlainWrites> {
     positions.sort_unstable();
     let runs = positions.chunk_by(|one, other| one.term == other.term);
--- a/crates/proxy/src/process/control/spread.rs
+++ b/crates/proxy/src/process/control/spread.rs
@@ -1,4 +1,5 @@
-//! Taking versions of the configuration, and passing them on to other proxies.
+//! Dissemination of the configuration: applying versions, offering them to other proxies, and pulling from
+//! proxies with a higher revision.
 
 use jsonrpsee::http_client::HttpClient;
 use rand::seq::IndexedRandom;
@@ -19,38 +20,40 @@
 use crate::process::peer::api;
 use crate::process::peer::api::PeerApiClient;
 use crate::process::peer::client;
+use crate::version::configuration::ApplyOutcome;
 use crate::version::configuration::Changes;
-use crate::version::configuration::Taken;
 
-/// Every so many exchanges within the zone go to one of its watchers, whose list of VMs is fresh.
-const WATCHER_EVERY: u64 = 4;
+/// One in this many exchanges within the zone goes to one of its watchers, whose list of VMs is recent.
+const WATCHER_EXCHANGE_PERIOD: u64 = 4;
 
 impl<S, C> Control<S, C>
 where
     S: ObjectStore,
     C: MemberClient,
 {
-    pub(super) fn take_input(&mut self, input: Input) {
+    pub(super) fn handle_input(&mut self, input: Input) {
         match input {
             Input::Snapshot { snapshot, source } => {
                 self.platform_answers |= source == Source::Platform;
-                let taken = self.configuration.take_snapshot(snapshot, source);
-                self.after_taking(taken);
+                let outcome = self.configuration.apply_snapshot(snapshot, source);
+                self.after_apply(outcome);
             }
             Input::PullFailed => self.configuration.spreading().pull_failed(),
-            Input::Watched { after_revision, result } => self.watched(after_revision, result),
-            Input::VmList(result) => self.vm_list_read(result),
-            Input::Lead { group, call, answer } => self.lead_answered(&group, call, answer),
+            Input::Watched { after_revision, result } => {
+                self.handle_watch_result(after_revision, result)
+            }
+            Input::VmList(result) => self.handle_vm_list(result),
+            Input::Lead { group, call, answer } => self.handle_lead_answer(&group, call, answer),
             Input::PeerAnswered(version) => self.peer_seen(&version),
-            Input::Leaders(hints) => self.take_leader_hints(&hints),
+            Input::Leaders(hints) => self.handle_leader_hints(&hints),
             Input::PeerFailed { vm, evidence } => self.vm_seen(&vm, evidence),
         }
     }
 
-    /// Tells the watch task whether to watch, and from where.
-    pub(super) fn order_watch(&mut self) {
+    /// Updates the watch task's order: whether to watch, and from which revision.
+    pub(super) fn update_watch_order(&mut self) {
         let order =
-            WatchOrder { watching: self.watches(), revision: self.configuration.revision() };
+            WatchOrder { watching: self.should_watch(), revision: self.configuration.revision() };
         self.watch_orders.send_if_modified(|known| {
             let differs = *known != order;
             *known = order;
@@ -58,7 +61,7 @@
         });
     }
 
-    /// Takes evidence about a VM.
+    /// Records evidence about a VM, and updates homes if it changes which VMs are usable.
     pub(super) fn vm_seen(&mut self, vm: &str, evidence: membership::Evidence) {
         let now_us = self.clock.now_us();
         if vm != self.settings.vm && self.membership.record_vm_evidence(vm, evidence, now_us) {
@@ -66,7 +69,7 @@
         }
     }
 
-    /// This process's version, as every message to a peer carries it.
+    /// Returns this process's version, as sent to peers in exchanges.
     pub(super) fn own_version(&self) -> api::PeerVersion {
         api::PeerVersion {
             revision: self.configuration.revision(),
@@ -78,21 +81,21 @@
         }
     }
 
-    /// Takes a peer's version from any of its messages.
+    /// Handles a peer's version: records that the peer is alive, and pulls whatever it has newer.
     pub(super) fn peer_seen(&mut self, version: &api::PeerVersion) {
         let evidence = match version.stopping {
             true => membership::Evidence::Leaving,
             false => membership::Evidence::Healthy,
         };
         self.vm_seen(&version.vm, evidence);
-        self.revision_seen(&version.vm, version.revision);
-        self.leaders_digest_seen(&version.vm, version.leaders_digest);
-        self.vms_seen(version);
+        self.compare_revision(&version.vm, version.revision);
+        self.compare_leaders_digest(&version.vm, version.leaders_digest);
+        self.compare_vms_digest(version);
     }
 
-    /// Takes over a list of VMs from a peer that reads it from the platform, where this process
-    /// does not; and from any peer while this process has none.
-    fn vms_seen(&mut self, version: &api::PeerVersion) {
+    /// Pulls the list of VMs if a peer reads it from the platform and this process does not, or from any
+    /// peer while this process has no list.
+    fn compare_vms_digest(&mut self, version: &api::PeerVersion) {
         let own_empty = self.configuration.topology().vms.is_empty();
         let better = version.vms_fresh && !self.vms_fresh() || own_empty;
         let same_revision = version.revision == self.configuration.revision();
@@ -105,52 +108,56 @@
         self.platform_answers && self.watch_orders.borrow().watching
     }
 
-    /// Pulls from a peer that showed a higher revision. A lower one learns ours from the same
-    /// exchange and pulls by itself.
-    pub(super) fn revision_seen(&mut self, vm: &str, revision: u64) {
+    /// Pulls from a peer with a higher revision. A peer with a lower revision learns this process's
+    /// revision from the same exchange, and pulls itself.
+    pub(super) fn compare_revision(&mut self, vm: &str, revision: u64) {
         let now_us = self.clock.now_us();
         if self.configuration.spreading().peer_seen(revision, now_us) == PeerAction::Pull {
             self.pull_from(vm, Source::Peer);
         }
     }
 
-    /// Takes an offer; the changes may start from a later revision than ours.
-    pub(super) fn take_offer(&mut self, offer: api::Offer) {
+    /// Applies an offer. If its changes are based on a later revision than the one in force here, a snapshot
+    /// is pulled from the sender instead.
+    pub(super) fn handle_offer(&mut self, offer: api::Offer) {
         let api::Offer { vm, base_revision, revision, objects, vms } = offer;
         let changes = Changes { base_revision, revision, objects, vms };
-        let taken = self.configuration.take_changes(changes, Source::Watcher);
-        if taken == Taken::NeedsSnapshot {
-            self.revision_seen(&vm, revision);
+        let outcome = self.configuration.apply_changes(changes, Source::Watcher);
+        if outcome == ApplyOutcome::NeedsSnapshot {
+            self.compare_revision(&vm, revision);
         }
-        self.after_taking(taken);
+        self.after_apply(outcome);
     }
 
-    /// Exchanges versions with a proxy of this zone and with one of another. The first finds what
-    /// the watchers' offers missed; the second reaches a zone that the platform can't be reached
-    /// from.
+    /// Exchanges versions with a random proxy of this availability zone and with one of another zone. The
+    /// first makes up for lost offers of watchers; the second carries versions into a zone whose
+    /// watchers can't reach the platform.
     pub(super) fn exchange_versions(&mut self) {
         let Some(own_vm) = self.own_vm() else {
-            self.exchange_with_named_peer();
+            self.exchange_with_settings_peer();
             return;
         };
         self.exchanges += 1;
         let own_zone = self.configuration.topology().vm(own_vm).zone;
         let watchers = match &self.homes {
-            Some(homes) if self.exchanges.is_multiple_of(WATCHER_EVERY) => homes.watchers(own_zone),
+            Some(homes) if self.exchanges.is_multiple_of(WATCHER_EXCHANGE_PERIOD) => {
+                homes.watchers(own_zone)
+            }
             Some(_) | None => Vec::new(),
         };
-        let asks_watcher = !watchers.is_empty();
-        let near = self.some_vm(|vm, zone| {
-            zone == own_zone && vm != own_vm && (!asks_watcher || watchers.contains(&vm))
+        let use_watcher = !watchers.is_empty();
+        let near = self.random_vm(|vm, zone| {
+            zone == own_zone && vm != own_vm && (!use_watcher || watchers.contains(&vm))
         });
-        let far = self.some_vm(|_, zone| zone != own_zone);
+        let far = self.random_vm(|_, zone| zone != own_zone);
         for vm in [near, far].into_iter().flatten() {
             self.exchange_with(vm);
         }
     }
 
-    /// A process that no list of VMs names yet knows only the peers of its settings.
-    fn exchange_with_named_peer(&mut self) {
+    /// Exchanges versions with a random peer of the settings, because a process that is not in its list of
+    /// VMs yet does not know its zone.
+    fn exchange_with_settings_peer(&mut self) {
         let Some(peer) = self.settings.peers.choose(&mut rand::rng()) else { return };
         let Some(client) = self.peers.get(&peer.to_string()) else { return };
         let (own, inputs) = (self.own_version(), self.senders.inputs.clone());
@@ -161,21 +168,21 @@
         });
     }
 
-    /// Tells the proxies of this zone at once that this one is stopping.
-    pub(super) fn tell_stopping(&mut self) {
+    /// Immediately announces to the proxies of this availability zone that this one is stopping.
+    pub(super) fn announce_stopping(&mut self) {
         for vm in self.zone_peers() {
             self.exchange_with(vm);
         }
     }
 
-    /// The client of a VM's control address by the VM's name.
+    /// Returns a client of the control address of the VM with this name.
     pub(super) fn client_by_name(&mut self, vm: &str) -> Option<HttpClient> {
         let address = self.address_by_name(vm)?;
         self.peers.get(&address)
     }
 
-    /// A VM's control address by the VM's name. While the list of VMs is not known, any peer of the settings
-    /// serves as well.
+    /// Returns the control address of the VM with this name. If the VM is not in the list of VMs, returns the
+    /// address of a random peer of the settings, which serves as well.
     fn address_by_name(&self, vm: &str) -> Option<String> {
         let topology = self.configuration.topology();
         match topology.vm_id(vm) {
@@ -184,37 +191,41 @@
         }
     }
 
-    /// The client of a VM's control address.
+    /// Returns a client of a VM's control address.
     pub(super) fn client_of(&mut self, vm: VmId) -> Option<HttpClient> {
         let topology = self.configuration.topology();
         self.peers.get(&topology.vm(vm).control_address)
     }
 
-    fn watches(&self) -> bool {
+    fn should_watch(&self) -> bool {
         let Some(homes) = &self.homes else { return false };
         let Some(own_vm) = self.own_vm() else {
-            // The lagging list does not name this VM yet, so no other one counts on it; until it
-            // does, nobody would offer new versions to it either.
+            // The list of VMs lags and does not include this VM yet. Until it does, no watcher offers new
+            // versions to this VM, so it watches the platform itself.
             return self.configuration.is_ready();
         };
         homes.watchers(self.configuration.topology().vm(own_vm).zone).contains(&own_vm)
     }
 
-    fn after_taking(&mut self, taken: Taken) {
-        match taken {
-            Taken::Version | Taken::VmList => {
+    fn after_apply(&mut self, outcome: ApplyOutcome) {
+        match outcome {
+            ApplyOutcome::Version | ApplyOutcome::VmList => {
                 let now_us = self.clock.now_us();
-                self.align(now_us);
+                self.reconcile(now_us);
                 slog::info!(self.log, "configuration in force";
                     "revision" => self.configuration.revision(),
                     "vms" => self.configuration.topology().vms.len());
             }
-            Taken::Nothing | Taken::NeedsSnapshot => {}
+            ApplyOutcome::Unchanged | ApplyOutcome::NeedsSnapshot => {}
         }
     }
 
-    fn watched(&mut self, after_revision: u64, result: Result<WatchResponse, StoreError>) {
-        self.note_platform(&result);
+    fn handle_watch_result(
+        &mut self,
+        after_revision: u64,
+        result: Result<WatchResponse, StoreError>,
+    ) {
+        self.record_platform_result(&result);
         let Ok(WatchResponse { revision, objects }) = result else { return };
         if objects.is_empty() {
             return;
@@ -225,27 +236,27 @@
             objects: objects.clone(),
             vms: None,
         };
-        let taken = self.configuration.take_changes(changes, Source::Platform);
-        self.after_taking(taken);
+        let outcome = self.configuration.apply_changes(changes, Source::Platform);
+        self.after_apply(outcome);
         if self.watch_orders.borrow().watching {
-            // Also when another watcher's offer was faster: what that one could not reach, this
-            // one may.
+            // Offer the changes even if another watcher offered them first: this process may reach
+            // proxies that the other watcher can't.
             self.offer(after_revision, revision, objects, None);
         }
     }
 
-    fn vm_list_read(&mut self, result: Result<Vec<VmRecord>, StoreError>) {
-        self.note_platform(&result);
+    fn handle_vm_list(&mut self, result: Result<Vec<VmRecord>, StoreError>) {
+        self.record_platform_result(&result);
         let Ok(vms) = result else { return };
-        let taken = self.configuration.replace_vms(vms.clone());
-        if taken == Taken::VmList {
+        let outcome = self.configuration.replace_vms(vms.clone());
+        if outcome == ApplyOutcome::VmList {
             let revision = self.configuration.revision();
-            self.after_taking(taken);
+            self.after_apply(outcome);
             self.offer(revision, revision, Vec::new(), Some(vms));
         }
     }
 
-    fn note_platform<T>(&mut self, result: &Result<T, StoreError>) {
+    fn record_platform_result<T>(&mut self, result: &Result<T, StoreError>) {
         let answers = result.is_ok();
         if answers != self.platform_answers {
             self.platform_answers = answers;
@@ -274,7 +285,7 @@
             let (offer, inputs) = (offer.clone(), self.senders.inputs.clone());
             tokio::spawn(async move {
                 let answer = client.peer_offer(offer).await;
-                let _ = inputs.send(answered(name, answer));
+                let _ = inputs.send(exchange_result(name, answer));
             });
         }
     }
@@ -285,24 +296,25 @@
         let (own, inputs) = (self.own_version(), self.senders.inputs.clone());
         tokio::spawn(async move {
             let answer = client.peer_version(own).await;
-            let _ = inputs.send(answered(name, answer));
+            let _ = inputs.send(exchange_result(name, answer));
         });
     }
 
-    /// Has a snapshot sent by a peer that answers a short question: a long call to one that died would
-    /// keep this process from asking another.
+    /// Pulls a snapshot from a peer after it has answered a call with a short timeout. A call with the long
+    /// timeout of snapshots to a failed peer would delay a pull from another one.
     fn pull_from(&mut self, vm: &str, source: Source) {
         let address = self.address_by_name(vm);
-        let short = address.as_ref().and_then(|address| self.peers.get(address));
-        let long = address.as_ref().and_then(|address| client::open_for_snapshots(address));
-        let (Some(short), Some(long)) = (short, long) else {
+        let short_client = address.as_ref().and_then(|address| self.peers.get(address));
+        let snapshot_client =
+            address.as_ref().and_then(|address| client::open_for_snapshots(address));
+        let (Some(short_client), Some(snapshot_client)) = (short_client, snapshot_client) else {
             self.configuration.spreading().pull_failed();
             return;
         };
         let (own, inputs) = (self.own_version(), self.senders.inputs.clone());
         tokio::spawn(async move {
-            let pulled = match short.peer_version(own).await {
-                Ok(_) => long.peer_snapshot().await,
+            let pulled = match short_client.peer_version(own).await {
+                Ok(_) => snapshot_client.peer_snapshot().await,
                 Err(error) => Err(error),
             };
             let _ = inputs.send(match pulled {
@@ -312,7 +324,7 @@
         });
     }
 
-    /// The other VMs of this zone.
+    /// Returns the other VMs of this availability zone.
     fn zone_peers(&self) -> Vec<VmId> {
         let Some(own_vm) = self.own_vm() else { return Vec::new() };
         let topology = self.configuration.topology();
@@ -323,20 +335,23 @@
             .collect()
     }
 
-    fn some_vm<F>(&self, fits: F) -> Option<VmId>
+    fn random_vm<F>(&self, matches: F) -> Option<VmId>
     where
         F: Fn(VmId, ZoneId) -> bool,
     {
         let topology = self.configuration.topology();
-        let fitting: Vec<VmId> = (0..topology.vms.len() as u32)
+        let candidates: Vec<VmId> = (0..topology.vms.len() as u32)
             .map(VmId)
-            .filter(|&vm| fits(vm, topology.vm(vm).zone))
+            .filter(|&vm| matches(vm, topology.vm(vm).zone))
             .collect();
-        fitting.choose(&mut rand::rng()).copied()
+        candidates.choose(&mut rand::rng()).copied()
     }
 }
 
-fn answered(vm: String, answer: Result<api::PeerVersion, jsonrpsee::core::client::Error>) -> Input {
+fn exchange_result(
+    vm: String,
+    answer: Result<api::PeerVersion, jsonrpsee::core::client::Error>,
+) -> Input {
     match answer {
         Ok(version) => Input::PeerAnswered(version),
         Err(error) => Input::PeerFailed { vm, evidence: client::evidence(&error) },
--- a/crates/proxy/src/request/execute.rs
+++ b/crates/proxy/src/request/execute.rs
@@ -140,7 +140,7 @@
         return Ok(());
     }
     let (sender, answer) = oneshot::channel();
-    let event = ControlEvent::FloorWanted {
+    let event = ControlEvent::FloorRequested {
         group: snapshot.group,
         session: identity.to_owned(),
         answer: sender,
--- a/crates/proxy/src/version/configuration.rs
+++ b/crates/proxy/src/version/configuration.rs
@@ -1,4 +1,7 @@
-//! The version of the configuration in force, and how changes make the next one.
+//! The configuration in force, and the application of snapshots, incremental changes and VM lists to it.
+//!
+//! The revision of the objects never decreases. The list of VMs carries no revision, so it can be
+//! replaced while the revision stays the same.
 
 use std::sync::Arc;
 
@@ -12,29 +15,29 @@
 use skylark_core::version::topology::Topology;
 use skylark_core::version::topology::Vm;
 
-/// What became of a version that was offered.
+/// The result of applying an offered version.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Taken {
-    /// It is in force.
+pub enum ApplyOutcome {
+    /// The offered version is now in force.
     Version,
-    /// Its objects were in force already; its list of VMs is taken.
+    /// The objects were already in force; only the list of VMs was replaced.
     VmList,
-    /// It says nothing new, or is older than what is in force.
-    Nothing,
-    /// The changes start from a later revision than the one in force: a whole snapshot is needed.
+    /// The offer changed nothing, or is older than the version in force.
+    Unchanged,
+    /// The changes are based on a later revision than the one in force, so a full snapshot is needed.
     NeedsSnapshot,
 }
 
-/// Changes that lead from one revision to a later one.
+/// The changes between one revision and a later one.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Changes {
-    /// The revision that they start from; zero for a whole snapshot.
+    /// The revision that the changes are based on; zero for a full snapshot.
     pub base_revision: u64,
-    /// The revision that they lead to.
+    /// The revision after the changes are applied.
     pub revision: u64,
-    /// The changed objects in their latest version; deleted ones are marked.
+    /// The latest version of each changed object; deleted objects are marked as such.
     pub objects: Vec<StoredObject>,
-    /// The list of VMs, where it comes along.
+    /// The complete list of VMs; `None` if the sender did not include it.
     pub vms: Option<Vec<VmRecord>>,
 }
 
@@ -48,12 +51,12 @@
 }
 
 impl Configuration {
-    /// How versions spread, for decisions about peers.
+    /// The state of configuration exchange with peers, which decides on offers and pulls.
     pub fn spreading(&mut self) -> &mut Spreading {
         &mut self.spreading
     }
 
-    /// The revision in force; zero before the first.
+    /// The revision in force; zero before the first version.
     pub fn revision(&self) -> u64 {
         self.spreading.revision()
     }
@@ -63,40 +66,41 @@
         self.spreading.is_ready()
     }
 
-    /// The objects and VMs in force.
+    /// The objects and the list of VMs in force, as received.
     pub fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    /// The resolved version in force.
+    /// The topology resolved from the snapshot in force.
     pub fn topology(&self) -> &Arc<Topology> {
         &self.topology
     }
 
-    /// A digest of the list of VMs, which has no revision to compare.
+    /// A digest of the list of VMs, by which peers compare their lists; the list has no revision.
     pub fn vms_digest(&self) -> u64 {
         self.vms_digest
     }
 
-    /// Takes a whole snapshot if it is newer.
-    pub fn take_snapshot(&mut self, snapshot: Snapshot, source: Source) -> Taken {
+    /// Applies a full snapshot if it is newer than the version in force.
+    pub fn apply_snapshot(&mut self, snapshot: Snapshot, source: Source) -> ApplyOutcome {
         match self.spreading.judge_offer(snapshot.revision, source) {
             OfferVerdict::Take => {
                 self.snapshot = snapshot;
                 self.resolve();
-                Taken::Version
+                ApplyOutcome::Version
             }
             OfferVerdict::TakeVmsOnly => self.replace_vms(snapshot.vms),
-            OfferVerdict::IgnoreOlder => Taken::Nothing,
+            OfferVerdict::IgnoreOlder => ApplyOutcome::Unchanged,
         }
     }
 
-    /// Takes changes if they lead on from the version in force.
-    pub fn take_changes(&mut self, changes: Changes, source: Source) -> Taken {
+    /// Applies changes if they are newer than the version in force and not based on a later one.
+    /// Changes based on an earlier revision are applicable too, since they hold complete objects.
+    pub fn apply_changes(&mut self, changes: Changes, source: Source) -> ApplyOutcome {
         let Changes { base_revision, revision, objects, vms } = changes;
-        let leads_on = base_revision == 0 || self.is_ready() && base_revision <= self.revision();
-        if !leads_on {
-            return Taken::NeedsSnapshot;
+        let applicable = base_revision == 0 || self.is_ready() && base_revision <= self.revision();
+        if !applicable {
+            return ApplyOutcome::NeedsSnapshot;
         }
         match self.spreading.judge_offer(revision, source) {
             OfferVerdict::Take => {
@@ -106,25 +110,27 @@
                 self.merge(revision, objects);
                 self.snapshot.vms = vms.unwrap_or_else(|| std::mem::take(&mut self.snapshot.vms));
                 self.resolve();
-                Taken::Version
+                ApplyOutcome::Version
             }
-            OfferVerdict::TakeVmsOnly => vms.map_or(Taken::Nothing, |vms| self.replace_vms(vms)),
-            // The objects are older; the list carries no revision, and a watcher's is fresh.
+            OfferVerdict::TakeVmsOnly => {
+                vms.map_or(ApplyOutcome::Unchanged, |vms| self.replace_vms(vms))
+            }
+            // The objects are older, but the list of VMs has no revision and a watcher's list is recent.
             OfferVerdict::IgnoreOlder if source != Source::Peer => {
-                vms.map_or(Taken::Nothing, |vms| self.replace_vms(vms))
+                vms.map_or(ApplyOutcome::Unchanged, |vms| self.replace_vms(vms))
             }
-            OfferVerdict::IgnoreOlder => Taken::Nothing,
+            OfferVerdict::IgnoreOlder => ApplyOutcome::Unchanged,
         }
     }
 
-    /// Takes a list of VMs, which carries no revision.
-    pub fn replace_vms(&mut self, vms: Vec<VmRecord>) -> Taken {
+    /// Replaces the list of VMs, leaving the revision unchanged.
+    pub fn replace_vms(&mut self, vms: Vec<VmRecord>) -> ApplyOutcome {
         if vms == self.snapshot.vms {
-            return Taken::Nothing;
+            return ApplyOutcome::Unchanged;
         }
         self.snapshot.vms = vms;
         self.resolve();
-        Taken::VmList
+        ApplyOutcome::VmList
     }
 
     fn merge(&mut self, revision: u64, objects: Vec<StoredObject>) {
@@ -133,10 +139,10 @@
             let same =
                 |known: &StoredObject| known.kind == object.kind && known.name == object.name;
             match self.snapshot.objects.iter().position(same) {
-                Some(place) if object.deleted => {
-                    self.snapshot.objects.swap_remove(place);
+                Some(index) if object.deleted => {
+                    self.snapshot.objects.swap_remove(index);
                 }
-                Some(place) => self.snapshot.objects[place] = object,
+                Some(index) => self.snapshot.objects[index] = object,
                 None if object.deleted => {}
                 None => self.snapshot.objects.push(object),
             }
@@ -146,7 +152,7 @@
     fn resolve(&mut self) {
         self.topology = Arc::new(Topology::build(&self.snapshot));
         let vms = self.topology.vms.iter();
-        let part = |vm: &Vm| jitter::seed_of(&format!("{vm:?}"));
-        self.vms_digest = vms.map(part).fold(0, u64::wrapping_add);
+        let vm_hash = |vm: &Vm| jitter::seed_of(&format!("{vm:?}"));
+        self.vms_digest = vms.map(vm_hash).fold(0, u64::wrapping_add);
     }
 }
--- a/crates/proxy/tests/control_start.rs
+++ b/crates/proxy/tests/control_start.rs
@@ -10,7 +10,7 @@
 use control_support::settings;
 use control_support::wait_until;
 use skylark_proxy::process::control::first_version;
-use skylark_proxy::process::control::first_version::StartPace;
+use skylark_proxy::process::control::first_version::StartBackoff;
 use skylark_proxy::process::peer::api::PeerApiClient;
 use skylark_proxy::process::peer::client;
 use skylark_standin::deployment::fault::Fault;
@@ -81,18 +81,18 @@
     const FIVE_MINUTES_MS: u64 = 300_000;
     let mut pause_sequences = Vec::new();
     for seed in 0..50 {
-        let mut pace = StartPace::new(seed, 500);
+        let mut pace = StartBackoff::new(seed, 500);
         let (mut now_ms, mut limits, mut pauses) = (0, Vec::new(), Vec::new());
         while now_ms < FIVE_MINUTES_MS {
-            limits.push(pace.limit_ms());
-            now_ms += pace.limit_ms();
-            pauses.push(pace.failed());
+            limits.push(pace.timeout_ms());
+            now_ms += pace.timeout_ms();
+            pauses.push(pace.record_failure());
             now_ms += pauses[pauses.len() - 1];
         }
         assert_eq!(limits[..6], [2_000, 4_000, 8_000, 16_000, 30_000, 30_000]);
         assert!(limits.len() <= 13, "{} calls", limits.len());
         for (call_index, &pause_ms) in pauses.iter().enumerate() {
-            let max_pause_ms = (500 << call_index.min(10)).min(first_version::MOST_PAUSE_MS);
+            let max_pause_ms = (500 << call_index.min(10)).min(first_version::MAX_PAUSE_MS);
             assert!(
                 (max_pause_ms / 2..=max_pause_ms).contains(&pause_ms),
                 "pause of {pause_ms} ms after call {call_index}"
