--- a/crates/ctl/src/arguments.rs
+++ b/crates/ctl/src/arguments.rs
@@ -85,7 +85,7 @@
     },
 }
 
-fn name(id: &'static str) -> Arg {
+fn required_arg(id: &'static str) -> Arg {
     Arg::new(id).required(true)
 }
 
@@ -93,13 +93,13 @@
     clap::Command::new(command)
         .about(about)
         .subcommand_required(true)
-        .subcommand(clap::Command::new("target").about("A target").arg(name("name")))
-        .subcommand(clap::Command::new("vm").about("An entry VM").arg(name("name")))
+        .subcommand(clap::Command::new("target").about("A target").arg(required_arg("name")))
+        .subcommand(clap::Command::new("vm").about("An entry VM").arg(required_arg("name")))
 }
 
 fn plan_command() -> clap::Command {
-    let max_age = name("max_age_ms").value_parser(value_parser!(u64));
-    let weight = name("weight").value_parser(value_parser!(u32));
+    let max_age = required_arg("max_age_ms").value_parser(value_parser!(u64));
+    let weight = required_arg("weight").value_parser(value_parser!(u32));
     let to = Arg::new("to").long("to").value_name("TARGET").help("The member that is to lead");
     clap::Command::new("plan")
         .about("Says what an intent would change, step by step; changes nothing")
@@ -109,28 +109,28 @@
         .subcommand(
             clap::Command::new("move-primary")
                 .about("Lets another member lead a group")
-                .arg(name("group"))
+                .arg(required_arg("group"))
                 .arg(to),
         )
         .subcommand(
             clap::Command::new("set-staleness")
                 .about("Changes how old the data of a read kind may be")
-                .args([name("service"), name("read_kind"), max_age]),
+                .args([required_arg("service"), required_arg("read_kind"), max_age]),
         )
         .subcommand(
             clap::Command::new("set-weight")
                 .about("Changes a class's share of connections")
-                .args([name("service"), name("class"), weight]),
+                .args([required_arg("service"), required_arg("class"), weight]),
         )
         .subcommand(
             clap::Command::new("add-group")
                 .about("Serves a group, described by a settings file")
-                .arg(name("file").value_parser(value_parser!(PathBuf))),
+                .arg(required_arg("file").value_parser(value_parser!(PathBuf))),
         )
         .subcommand(
             clap::Command::new("remove-group")
                 .about("Stops serving a group; its databases are left as they are")
-                .arg(name("group")),
+                .arg(required_arg("group")),
         )
 }
 
@@ -178,13 +178,13 @@
         .subcommand(
             clap::Command::new("confirm")
                 .about("Puts a plan in force; safe to repeat")
-                .arg(name("id")),
+                .arg(required_arg("id")),
         )
         .subcommand(clap::Command::new("status").about("Shows what proxies do"))
         .subcommand(
             clap::Command::new("explain")
                 .about("Shows the latest decisions about a group, how far a plan has come, or why a request ended as it did")
-                .arg(name("subject").value_name("GROUP|PLAN|REQUEST"))
+                .arg(required_arg("subject").value_name("GROUP|PLAN|REQUEST"))
                 .arg(
                     Arg::new("log")
                         .long("log")
@@ -199,7 +199,7 @@
             clap::Command::new("check")
                 .about("Lists every mistake of a settings file")
                 .arg(kind.help("What the file describes; found out from its keys by default"))
-                .arg(name("file").value_parser(value_parser!(PathBuf))),
+                .arg(required_arg("file").value_parser(value_parser!(PathBuf))),
         )
 }
 
@@ -209,7 +209,7 @@
         Options {
             platform: matches.get_one("platform").copied(),
             proxies: matches.get_many("proxy").unwrap_or_default().copied().collect(),
-            zone: text(matches, "zone"),
+            zone: text_argument(matches, "zone"),
             timeout: Duration::from_millis(timeout_ms.copied().unwrap_or_default()),
             json: matches.get_flag("json"),
         }
@@ -217,11 +217,11 @@
 }
 
 /// A text argument; the definition sees to it that required ones are there.
-fn text(matches: &ArgMatches, id: &str) -> String {
+fn text_argument(matches: &ArgMatches, id: &str) -> String {
     matches.get_one::<String>(id).cloned().unwrap_or_default()
 }
 
-fn file(matches: &ArgMatches) -> PathBuf {
+fn file_argument(matches: &ArgMatches) -> PathBuf {
     matches.get_one::<PathBuf>("file").cloned().unwrap_or_default()
 }
 
@@ -230,19 +230,19 @@
     let (command, matches) = matches.subcommand().expect("a subcommand is required");
     Ok(match command {
         "plan" => Command::Plan(read_intent(matches)?),
-        "confirm" => Command::Confirm(text(matches, "id")),
+        "confirm" => Command::Confirm(text_argument(matches, "id")),
         "status" => Command::Status,
         "explain" => read_explain(matches),
         "check" => Command::Check {
-            kind: FileKind::from_name(&text(matches, "kind")),
-            file: file(matches),
+            kind: FileKind::from_name(&text_argument(matches, "kind")),
+            file: file_argument(matches),
         },
         other => unreachable!("the command line defines no command {other}"),
     })
 }
 
 fn read_explain(matches: &ArgMatches) -> Command {
-    let subject = text(matches, "subject");
+    let subject = text_argument(matches, "subject");
     match matches.get_many::<PathBuf>("log") {
         Some(logs) => Command::ExplainRequest { id: subject, logs: logs.cloned().collect() },
         None => Command::Explain(subject),
@@ -256,31 +256,31 @@
         "undrain" => read_drain(matches, false),
         "move-primary" => {
             let to = matches.get_one::<String>("to").cloned();
-            Intent::MovePrimary { group: text(matches, "group"), to }
+            Intent::MovePrimary { group: text_argument(matches, "group"), to }
         }
         "set-staleness" => Intent::SetStaleness {
-            service: text(matches, "service"),
-            read_kind: text(matches, "read_kind"),
+            service: text_argument(matches, "service"),
+            read_kind: text_argument(matches, "read_kind"),
             max_age_ms: matches.get_one("max_age_ms").copied().unwrap_or_default(),
         },
         "set-weight" => Intent::SetWeight {
-            service: text(matches, "service"),
-            class: text(matches, "class"),
+            service: text_argument(matches, "service"),
+            class: text_argument(matches, "class"),
             weight: matches.get_one("weight").copied().unwrap_or_default(),
         },
         "add-group" => {
-            let group: Group = load(&file(matches))?;
+            let group: Group = load(&file_argument(matches))?;
             Intent::AddGroup { spec: group.spec(), group: group.name }
         }
-        "remove-group" => Intent::RemoveGroup { group: text(matches, "group") },
+        "remove-group" => Intent::RemoveGroup { group: text_argument(matches, "group") },
         other => unreachable!("the command line defines no intent {other}"),
     })
 }
 
 fn read_drain(matches: &ArgMatches, drain: bool) -> Intent {
-    let (what, matches) = matches.subcommand().expect("a subcommand is required");
-    let name = text(matches, "name");
-    match (what, drain) {
+    let (subject, matches) = matches.subcommand().expect("a subcommand is required");
+    let name = text_argument(matches, "name");
+    match (subject, drain) {
         ("target", true) => Intent::DrainTarget { target: name },
         ("target", false) => Intent::UndrainTarget { target: name },
         (_, true) => Intent::DrainVm { vm: name },
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -14,7 +14,7 @@
 use crate::report::Report;
 
 pub(crate) fn run(kind: Option<FileKind>, file: &Path) -> Result<Report, Failure> {
-    let kind = kind.unwrap_or_else(|| guess(file));
+    let kind = kind.unwrap_or_else(|| guess_kind(file));
     let name = match kind {
         FileKind::Proxy => arguments::load::<ProxySettings>(file).map(|_| "a proxy"),
         FileKind::Deployment => arguments::load::<DeploymentSettings>(file).map(|_| "a deployment"),
@@ -26,7 +26,7 @@
 
 /// The kind that a file's keys speak for. A file that can't be read is taken for a proxy's, whose
 /// check then says what is wrong with it.
-fn guess(file: &Path) -> FileKind {
+fn guess_kind(file: &Path) -> FileKind {
     let text = fs::read_to_string(file).unwrap_or_default();
     let has = |key: &str| text.contains(&format!("\"{key}\""));
     if has("groups") || has("zones") {
--- a/crates/ctl/src/confirm.rs
+++ b/crates/ctl/src/confirm.rs
@@ -20,11 +20,11 @@
 use crate::report::Report;
 
 /// The pause before a call is made again.
-const PAUSE: Duration = Duration::from_millis(200);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// How many calls in a row may stay without an answer before a confirmation that has changed
 /// nothing gives up.
-const MAX_LOST_CALLS: u32 = 3;
+const MAX_UNANSWERED_CALLS: u32 = 3;
 
 /// Confirms the plan with this id; gives up after `timeout`, or earlier where the platform does not
 /// answer and nothing has changed.
@@ -33,39 +33,43 @@
     S: ObjectStore,
 {
     let mut confirmation = Confirmation::new(id);
-    let give_up_at = Instant::now() + timeout;
-    let mut lost_calls = 0;
-    let mut lost_reason = String::new();
+    let deadline = Instant::now() + timeout;
+    let mut unanswered_calls = 0;
+    let mut last_error = String::new();
     loop {
         match confirmation.next_action() {
             Next::End(end) => return report(id, end, &confirmation),
-            Next::Pause => time::sleep(PAUSE).await,
+            Next::Pause => time::sleep(RETRY_PAUSE).await,
             Next::Call(call) => {
-                let answer = match make(store, call).await {
+                let answer = match make_call(store, call).await {
                     Ok(answer) => answer,
                     Err(StoreError::NoAnswer(reason)) => {
-                        lost_reason = reason;
+                        last_error = reason;
                         Answer::Lost
                     }
                     Err(error) => {
                         let reason = error.to_string();
-                        return Err(stopped(id, &confirmation, Stop::Refused(reason)));
+                        return Err(stop_failure(id, &confirmation, StopReason::Refused(reason)));
                     }
                 };
-                lost_calls = if answer == Answer::Lost { lost_calls + 1 } else { 0 };
+                unanswered_calls = if answer == Answer::Lost { unanswered_calls + 1 } else { 0 };
                 confirmation.answer(answer);
             }
         }
-        let untouched = confirmation.progress() == Progress::Untouched;
-        if Instant::now() >= give_up_at || (untouched && lost_calls >= MAX_LOST_CALLS) {
-            let stop = if lost_calls > 0 { Stop::Lost(lost_reason) } else { Stop::TimedOut };
-            return Err(stopped(id, &confirmation, stop));
+        let unchanged = confirmation.progress() == Progress::Untouched;
+        if Instant::now() >= deadline || (unchanged && unanswered_calls >= MAX_UNANSWERED_CALLS) {
+            let stop = if unanswered_calls > 0 {
+                StopReason::NoAnswer(last_error)
+            } else {
+                StopReason::TimedOut
+            };
+            return Err(stop_failure(id, &confirmation, stop));
         }
     }
 }
 
 /// Makes one call. What the state machine has no answer for is an error.
-async fn make<S>(store: &S, call: Call) -> Result<Answer, StoreError>
+async fn make_call<S>(store: &S, call: Call) -> Result<Answer, StoreError>
 where
     S: ObjectStore,
 {
@@ -107,37 +111,42 @@
 }
 
 /// Why a confirmation is stopped before its end.
-enum Stop {
+enum StopReason {
     /// The platform does not answer.
-    Lost(String),
+    NoAnswer(String),
     /// The platform refused a call.
     Refused(String),
     /// The time is up while a step waits.
     TimedOut,
 }
 
-fn stopped(id: &str, confirmation: &Confirmation, stop: Stop) -> Failure {
+fn stop_failure(id: &str, confirmation: &Confirmation, stop: StopReason) -> Failure {
     let id = id.to_owned();
     let reason = match &stop {
-        Stop::Lost(reason) => format!("the platform does not answer: {reason}"),
-        Stop::Refused(reason) => reason.clone(),
-        Stop::TimedOut => "the time is up".to_owned(),
+        StopReason::NoAnswer(reason) => format!("the platform does not answer: {reason}"),
+        StopReason::Refused(reason) => reason.clone(),
+        StopReason::TimedOut => "the time is up".to_owned(),
     };
     match (confirmation.progress(), stop) {
         (Progress::Unanswered, _) => Failure::OutcomeUnknown { id, cause: reason },
         (Progress::Unfinished, stop) => unfinished(id, confirmation.record(), stop, reason),
-        (Progress::Untouched, Stop::Refused(reason)) => Failure::PlatformRefused { reason },
-        (Progress::Untouched, Stop::Lost(reason)) => Failure::PlatformDown { reason },
-        (Progress::Untouched, Stop::TimedOut) => Failure::PlatformDown { reason },
+        (Progress::Untouched, StopReason::Refused(reason)) => Failure::PlatformRefused { reason },
+        (Progress::Untouched, StopReason::NoAnswer(reason)) => Failure::PlatformDown { reason },
+        (Progress::Untouched, StopReason::TimedOut) => Failure::PlatformDown { reason },
     }
 }
 
-fn unfinished(id: String, record: Option<&PlanRecord>, stop: Stop, reason: String) -> Failure {
+fn unfinished(
+    id: String,
+    record: Option<&PlanRecord>,
+    stop: StopReason,
+    reason: String,
+) -> Failure {
     let steps_done = record.map_or(0, |record| record.steps_done);
     let steps = record.map_or(0, |record| record.plan.steps.len());
     let next = record.and_then(|record| record.plan.steps.get(steps_done));
     let waits_for = match (stop, next) {
-        (Stop::TimedOut, Some(step)) => step.to_string(),
+        (StopReason::TimedOut, Some(step)) => step.to_string(),
         _ => reason,
     };
     Failure::Unfinished { id, steps_done, steps, waits_for }
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -26,10 +26,10 @@
     let ask = async |proxy| proxy::explain(proxy, subject).await;
     let answers = Answers::collect(&proxies, ask).await;
     let mut text = String::new();
-    for report in &answers.given {
+    for report in &answers.received {
         write_decisions(&mut text, report);
     }
-    let json = json!({ "reports": answers.given });
+    let json = json!({ "reports": answers.received });
     answers.report(text, json)
 }
 
@@ -52,22 +52,22 @@
     let stored = stored.ok_or_else(|| Failure::UnknownPlan { id: id.to_owned() })?;
     let record = PlanRecord::deserialize(&stored.body)
         .map_err(|error| Failure::PlatformRefused { reason: error.to_string() })?;
-    let mut text = format!("{}  {}\n", record.plan, state_words(&record));
-    let mut bases = Vec::new();
+    let mut text = format!("{}  {}\n", record.plan, state_text(&record));
+    let mut base_objects = Vec::new();
     for base in record.plan.base_versions() {
         let current = store::get(store, base.kind, base.name).await?;
         let version = current.map_or(0, |object| object.version);
         let (kind, name) = (base.kind.name(), base.name);
         let _ =
             writeln!(text, "  {kind} `{name}`: planned on version {}, now {version}", base.version);
-        bases.push(json!({
+        base_objects.push(json!({
             "kind": kind, "name": name, "base_version": base.version, "version": version,
         }));
     }
-    Ok(Report::success(text, json!({ "record": record, "objects": bases })))
+    Ok(Report::success(text, json!({ "record": record, "objects": base_objects })))
 }
 
-fn state_words(record: &PlanRecord) -> String {
+fn state_text(record: &PlanRecord) -> String {
     let steps = record.plan.steps.len();
     let done = record.steps_done;
     match record.state {
--- a/crates/ctl/src/failure.rs
+++ b/crates/ctl/src/failure.rs
@@ -111,7 +111,7 @@
 
 impl Failure {
     /// A call to the platform that was not answered as it should; nothing has changed.
-    pub fn of_store(error: StoreError) -> Failure {
+    pub fn from_store_error(error: StoreError) -> Failure {
         match error {
             StoreError::NoAnswer(reason) => Failure::PlatformDown { reason },
             error => Failure::PlatformRefused { reason: error.to_string() },
@@ -123,7 +123,7 @@
         match self {
             Failure::MissingOption { .. } | Failure::UnreadableFile { .. } => Exit::Usage,
             Failure::Mistakes { .. } => Exit::BadValue,
-            Failure::NoPlan(error) => exit_of_plan(error),
+            Failure::NoPlan(error) => exit_for_plan_error(error),
             Failure::UnknownPlan { .. }
             | Failure::UnknownGroup { .. }
             | Failure::UnknownRequest { .. } => Exit::UnknownObject,
@@ -156,7 +156,7 @@
     }
 }
 
-fn exit_of_plan(error: &PlanError) -> Exit {
+fn exit_for_plan_error(error: &PlanError) -> Exit {
     match error {
         PlanError::Unknown { .. } => Exit::UnknownObject,
         PlanError::BadValue { .. } => Exit::BadValue,
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -41,10 +41,15 @@
     let matches = match arguments::command().try_get_matches_from(arguments) {
         Ok(matches) => matches,
         Err(usage) => {
-            let asked = !usage.use_stderr();
+            let is_help_or_version = !usage.use_stderr();
             let text = usage.render();
-            let written = if asked { write!(out, "{text}") } else { write!(err, "{text}") };
-            return if asked { written_exit(written, Exit::Success) } else { Exit::Usage };
+            let written =
+                if is_help_or_version { write!(out, "{text}") } else { write!(err, "{text}") };
+            return if is_help_or_version {
+                exit_after_write(written, Exit::Success)
+            } else {
+                Exit::Usage
+            };
         }
     };
     let options = Options::read(&matches);
@@ -55,11 +60,11 @@
     match outcome {
         Ok(report) => {
             let written = report.write(options.json, out);
-            written_exit(written, report.exit)
+            exit_after_write(written, report.exit)
         }
         Err(failure) => {
             let written = failure.write(options.json, err);
-            written_exit(written, failure.exit())
+            exit_after_write(written, failure.exit())
         }
     }
 }
@@ -76,6 +81,6 @@
 }
 
 /// A result that could not be written is not a success.
-fn written_exit(written: io::Result<()>, exit: Exit) -> Exit {
+fn exit_after_write(written: io::Result<()>, exit: Exit) -> Exit {
     if written.is_ok() { exit } else { Exit::Output }
 }
--- a/crates/ctl/src/plan.rs
+++ b/crates/ctl/src/plan.rs
@@ -18,21 +18,21 @@
 use crate::store;
 
 /// How many plans are kept. Every snapshot carries them, so their number must have a bound.
-const KEPT_PLANS: usize = 256;
+const MAX_STORED_PLANS: usize = 256;
 
 /// How many old plans one command removes at most.
-const REMOVED_AT_ONCE: usize = 8;
+const MAX_REMOVED_PLANS: usize = 8;
 
 /// How often storing a plan is tried where the answer is lost.
-const STORE_TRIES: usize = 3;
+const MAX_STORE_ATTEMPTS: usize = 3;
 
 pub(crate) async fn run<S>(store: &S, intent: &Intent) -> Result<Report, Failure>
 where
     S: ObjectStore,
 {
-    let snapshot = store.snapshot().await.map_err(Failure::of_store)?;
+    let snapshot = store.snapshot().await.map_err(Failure::from_store_error)?;
     let plan = planner::plan(intent, &snapshot).map_err(Failure::NoPlan)?;
-    propose(store, &plan).await?;
+    store_record(store, &plan).await?;
     remove_old_plans(store, &snapshot).await;
     let text = format!(
         "{plan}Nothing has changed yet. To put the plan in force: skylarkctl confirm {}\n",
@@ -42,26 +42,26 @@
 }
 
 /// Stores the plan's record, unless it is stored already.
-async fn propose<S>(store: &S, plan: &Plan) -> Result<(), Failure>
+async fn store_record<S>(store: &S, plan: &Plan) -> Result<(), Failure>
 where
     S: ObjectStore,
 {
     let record = PlanRecord::proposed(plan.clone());
-    let mut lost = String::new();
-    for _ in 0..STORE_TRIES {
+    let mut last_error = String::new();
+    for _ in 0..MAX_STORE_ATTEMPTS {
         match store.put(ObjectKind::Plan, &plan.id, 0, record.to_body()).await {
             Ok(_) => return Ok(()),
-            Err(StoreError::Conflict { .. }) => return check_stored(store, plan).await,
+            Err(StoreError::Conflict { .. }) => return compare_with_stored(store, plan).await,
             // The record may be stored: the next try then conflicts, and the record is compared.
-            Err(StoreError::NoAnswer(reason)) => lost = reason,
-            Err(error) => return Err(Failure::of_store(error)),
+            Err(StoreError::NoAnswer(reason)) => last_error = reason,
+            Err(error) => return Err(Failure::from_store_error(error)),
         }
     }
-    Err(Failure::PlatformDown { reason: lost })
+    Err(Failure::PlatformDown { reason: last_error })
 }
 
 /// The id is a hash of the plan, so what is stored under it is the same plan, but for a collision.
-async fn check_stored<S>(store: &S, plan: &Plan) -> Result<(), Failure>
+async fn compare_with_stored<S>(store: &S, plan: &Plan) -> Result<(), Failure>
 where
     S: ObjectStore,
 {
@@ -85,7 +85,7 @@
     let mut plans: Vec<&StoredObject> =
         stored.filter(|object| object.kind == ObjectKind::Plan).collect();
     plans.sort_by_key(|object| object.version);
-    let surplus = plans.len().saturating_sub(KEPT_PLANS).min(REMOVED_AT_ONCE);
+    let surplus = plans.len().saturating_sub(MAX_STORED_PLANS).min(MAX_REMOVED_PLANS);
     let old = plans.into_iter().filter(|object| !is_being_confirmed(object));
     for object in old.take(surplus) {
         let _ = store.delete(ObjectKind::Plan, &object.name, object.version).await;
--- a/crates/ctl/src/proxy.rs
+++ b/crates/ctl/src/proxy.rs
@@ -35,14 +35,14 @@
             purpose: "the proxies named are asked, or those that the platform lists",
         });
     }
-    let vms = store::open(options)?.vms().await.map_err(Failure::of_store)?;
+    let vms = store::open(options)?.vms().await.map_err(Failure::from_store_error)?;
     Ok(vms.iter().filter_map(|vm| vm.control_address.parse().ok()).collect())
 }
 
 /// What several proxies answered to one question.
 pub(crate) struct Answers<T> {
     /// The answers.
-    pub(crate) given: Vec<T>,
+    pub(crate) received: Vec<T>,
     /// Why the others gave none.
     failures: Vec<(SocketAddr, Failure)>,
 }
@@ -53,10 +53,10 @@
     where
         F: AsyncFn(SocketAddr) -> Result<T, Failure>,
     {
-        let mut answers = Answers { given: Vec::new(), failures: Vec::new() };
+        let mut answers = Answers { received: Vec::new(), failures: Vec::new() };
         for proxy in proxies {
             match ask(*proxy).await {
-                Ok(answer) => answers.given.push(answer),
+                Ok(answer) => answers.received.push(answer),
                 Err(failure) => answers.failures.push((*proxy, failure)),
             }
         }
@@ -66,7 +66,7 @@
     /// The result, with the failures below the answers. It is a failure itself where one proxy was
     /// asked and did not answer.
     pub(crate) fn report(self, mut text: String, mut json: Value) -> Result<Report, Failure> {
-        if let ([(_, only)], true) = (&*self.failures, self.given.is_empty()) {
+        if let ([(_, only)], true) = (&*self.failures, self.received.is_empty()) {
             return Err(only.clone());
         }
         let exit = self.failures.first().map_or(Exit::Success, |(_, failure)| failure.exit());
--- a/crates/ctl/src/status.rs
+++ b/crates/ctl/src/status.rs
@@ -17,10 +17,10 @@
     let proxies = proxy::find(options).await?;
     let answers = Answers::collect(&proxies, proxy::status).await;
     let mut text = String::new();
-    for status in &answers.given {
+    for status in &answers.received {
         write_status(&mut text, status);
     }
-    let json = json!({ "proxies": answers.given });
+    let json = json!({ "proxies": answers.received });
     answers.report(text, json)
 }
 
--- a/crates/ctl/src/store.rs
+++ b/crates/ctl/src/store.rs
@@ -31,6 +31,6 @@
         Ok(object) if object.deleted => Ok(None),
         Ok(object) => Ok(Some(object)),
         Err(StoreError::NotFound) => Ok(None),
-        Err(error) => Err(Failure::of_store(error)),
+        Err(error) => Err(Failure::from_store_error(error)),
     }
 }
--- a/crates/ctl/tests/operators.rs
+++ b/crates/ctl/tests/operators.rs
@@ -35,18 +35,18 @@
 }
 
 /// What one command said.
-struct Said {
+struct CommandOutput {
     exit: Exit,
     out: String,
     err: String,
 }
 
-async fn skylarkctl(arguments: &[&str]) -> Said {
+async fn skylarkctl(arguments: &[&str]) -> CommandOutput {
     let (mut out, mut err) = (Vec::new(), Vec::new());
     let arguments = [&["skylarkctl"], arguments].concat();
     let exit = skylark_ctl::run(arguments, &mut out, &mut err).await;
     let text = |bytes| String::from_utf8(bytes).expect("the output is text");
-    Said { exit, out: text(out), err: text(err) }
+    CommandOutput { exit, out: text(out), err: text(err) }
 }
 
 /// A platform that holds the deployment of Sfax, with the lead records of its groups.
@@ -77,17 +77,17 @@
         self.server.address().to_string()
     }
 
-    async fn ctl(&self, arguments: &[&str]) -> Said {
+    async fn ctl(&self, arguments: &[&str]) -> CommandOutput {
         let address = self.address();
         skylarkctl(&[&["--platform", &address, "--timeout-ms", "1000"], arguments].concat()).await
     }
 
     /// Plans an intent and gives the plan's id.
     async fn plan(&self, intent: &[&str]) -> String {
-        let said = self.ctl(&[&["--json", "plan"], intent].concat()).await;
-        assert_eq!(said.exit, Exit::Success, "{}", said.err);
-        let said: Value = serde_json::from_str(&said.out).expect("the output is JSON");
-        said["plan"]["id"].as_str().expect("the plan has an id").to_owned()
+        let output = self.ctl(&[&["--json", "plan"], intent].concat()).await;
+        assert_eq!(output.exit, Exit::Success, "{}", output.err);
+        let output: Value = serde_json::from_str(&output.out).expect("the output is JSON");
+        output["plan"]["id"].as_str().expect("the plan has an id").to_owned()
     }
 
     /// The objects of the configuration, without the plans.
@@ -117,9 +117,9 @@
         async fn $name() {
             let deployment = Deployment::start().await;
             let before = deployment.configuration();
-            let said = deployment.ctl(&$arguments).await;
-            assert_eq!((said.exit, &*said.err), (Exit::$exit, concat!("skylarkctl: ", $message, "\n")));
-            assert_eq!(said.out, "");
+            let output = deployment.ctl(&$arguments).await;
+            assert_eq!((output.exit, &*output.err), (Exit::$exit, concat!("skylarkctl: ", $message, "\n")));
+            assert_eq!(output.out, "");
             assert_eq!(deployment.configuration(), before);
         })+
     };
@@ -145,16 +145,16 @@
     let deployment = Deployment::start().await;
     let before = deployment.configuration();
     let id = deployment.plan(&WEIGHT_2).await;
-    let said = deployment.ctl(&["explain", &id]).await;
-    assert_eq!(said.exit, Exit::Success);
-    assert!(said.out.contains("proposed: nothing has changed"), "{}", said.out);
+    let output = deployment.ctl(&["explain", &id]).await;
+    assert_eq!(output.exit, Exit::Success);
+    assert!(output.out.contains("proposed: nothing has changed"), "{}", output.out);
     assert_eq!(deployment.configuration(), before);
 
-    let said = deployment.ctl(&["confirm", &id]).await;
-    assert_eq!(said.out, format!("plan {id} is in force: 1 of 1 steps are done\n"));
+    let output = deployment.ctl(&["confirm", &id]).await;
+    assert_eq!(output.out, format!("plan {id} is in force: 1 of 1 steps are done\n"));
     assert_eq!(deployment.weight(), 2);
-    let said = deployment.ctl(&["confirm", &id]).await;
-    assert_eq!(said.out, format!("plan {id} was in force already: 1 of 1 steps are done\n"));
+    let output = deployment.ctl(&["confirm", &id]).await;
+    assert_eq!(output.out, format!("plan {id} was in force already: 1 of 1 steps are done\n"));
 }
 
 #[tokio::test]
@@ -179,11 +179,11 @@
     let first = deployment.plan(&WEIGHT_2).await;
     let second = deployment.plan(&WEIGHT_3).await;
     let (confirm_first, confirm_second) = (["confirm", &*first], ["confirm", &*second]);
-    let (of_first, of_second) =
+    let (first_output, second_output) =
         tokio::join!(deployment.ctl(&confirm_first), deployment.ctl(&confirm_second));
-    let (winner, loser, weight) = match of_first.exit {
-        Exit::Success => (of_first, of_second, 2),
-        _ => (of_second, of_first, 3),
+    let (winner, loser, weight) = match first_output.exit {
+        Exit::Success => (first_output, second_output, 2),
+        _ => (second_output, first_output, 3),
     };
     assert_eq!((winner.exit, loser.exit), (Exit::Success, Exit::Superseded));
     assert!(loser.err.contains("nothing of it was changed; plan again"), "{}", loser.err);
@@ -199,8 +199,8 @@
     let before = deployment.server.platform().store.snapshot().revision;
     deployment.server.platform().faults.change(|faults| faults.lose_answers = 3);
     let address = deployment.address();
-    let said = skylarkctl(&["--platform", &address, "confirm", &id]).await;
-    assert_eq!(said.exit, Exit::Success, "{}", said.err);
+    let output = skylarkctl(&["--platform", &address, "confirm", &id]).await;
+    assert_eq!(output.exit, Exit::Success, "{}", output.err);
     assert_eq!(deployment.weight(), 2);
     let after = deployment.server.platform().store.snapshot().revision;
     assert_eq!(after - before, 3, "the record twice and the service once");
@@ -210,18 +210,18 @@
 async fn platform_down() {
     // Nothing listens at the platform's address, or it answers that it is unavailable. Planning and
     // confirming say so at once, and that they changed nothing.
-    let gone = TcpListener::bind(LOOPBACK).await.expect("a free port");
-    let address = gone.local_addr().expect("an address").to_string();
-    drop(gone);
+    let listener = TcpListener::bind(LOOPBACK).await.expect("a free port");
+    let address = listener.local_addr().expect("an address").to_string();
+    drop(listener);
     let deployment = Deployment::start().await;
     let id = deployment.plan(&WEIGHT_2).await;
     deployment.server.platform().faults.change(|faults| faults.down = true);
     let down = deployment.address();
     for platform in [address, down] {
         for command in [["confirm", &id].as_slice(), &["plan", "drain", "vm", "sfax-1"]] {
-            let said = skylarkctl(&[&["--platform", &*platform], command].concat()).await;
-            assert_eq!(said.exit, Exit::PlatformDown, "{}", said.err);
-            assert!(said.err.contains("this command changed nothing"), "{}", said.err);
+            let output = skylarkctl(&[&["--platform", &*platform], command].concat()).await;
+            assert_eq!(output.exit, Exit::PlatformDown, "{}", output.err);
+            assert!(output.err.contains("this command changed nothing"), "{}", output.err);
         }
     }
     deployment.server.platform().faults.change(|faults| faults.down = false);
@@ -229,25 +229,25 @@
 }
 
 #[tokio::test]
-async fn nobody_to_ask() {
+async fn no_proxy_or_platform_given() {
     for command in [["status"].as_slice(), &["explain", "loans-1"]] {
-        let said = skylarkctl(command).await;
-        assert_eq!(said.exit, Exit::Usage);
-        assert!(said.err.contains("--proxy or --platform is needed"), "{}", said.err);
+        let output = skylarkctl(command).await;
+        assert_eq!(output.exit, Exit::Usage);
+        assert!(output.err.contains("--proxy or --platform is needed"), "{}", output.err);
     }
 }
 
 #[tokio::test]
 async fn proxy_down() {
-    let gone = TcpListener::bind(LOOPBACK).await.expect("a free port");
-    let address = gone.local_addr().expect("an address").to_string();
-    drop(gone);
+    let listener = TcpListener::bind(LOOPBACK).await.expect("a free port");
+    let address = listener.local_addr().expect("an address").to_string();
+    drop(listener);
     for command in [["status"].as_slice(), &["explain", "loans-1"]] {
-        let said = skylarkctl(&[&["--proxy", &*address], command].concat()).await;
-        assert_eq!(said.exit, Exit::ProxyDown);
-        assert!(said.err.contains("does not answer"), "{}", said.err);
-        let said = skylarkctl(&[&["--json", "--proxy", &*address], command].concat()).await;
-        let error: Value = serde_json::from_str(&said.err).expect("the failure is JSON");
+        let output = skylarkctl(&[&["--proxy", &*address], command].concat()).await;
+        assert_eq!(output.exit, Exit::ProxyDown);
+        assert!(output.err.contains("does not answer"), "{}", output.err);
+        let output = skylarkctl(&[&["--json", "--proxy", &*address], command].concat()).await;
+        let error: Value = serde_json::from_str(&output.err).expect("the failure is JSON");
         assert_eq!((&error["error"], &error["exit_code"]), (&json!("proxy_down"), &json!(9)));
     }
 }
@@ -333,9 +333,9 @@
     // primary; confirming the same id drains the target.
     let deployment = Deployment::start().await;
     let id = deployment.plan(&DRAIN_PRIMARY).await;
-    let said = deployment.ctl(&["confirm", &id]).await;
-    assert_eq!(said.exit, Exit::Unfinished, "{}", said.err);
-    assert!(said.err.contains("1 of 3 steps are in force"), "{}", said.err);
+    let output = deployment.ctl(&["confirm", &id]).await;
+    assert_eq!(output.exit, Exit::Unfinished, "{}", output.err);
+    assert!(output.err.contains("1 of 3 steps are in force"), "{}", output.err);
     let lead = deployment.body(ObjectKind::Lead, "loans-1");
     assert_eq!(lead["wanted"], "loans-1-depot");
     assert_eq!(deployment.body(ObjectKind::Group, "loans-1")["members"][0].get("drain"), None);
@@ -346,12 +346,12 @@
         "term": 2, "driver": "sfax-3", "primary": "loans-1-depot", "plan": lead["plan"],
     });
     store.put(ObjectKind::Lead, "loans-1", version, moved).expect("nobody else writes");
-    let said = deployment.ctl(&["confirm", &id]).await;
-    assert_eq!(said.exit, Exit::Success, "{}", said.err);
+    let output = deployment.ctl(&["confirm", &id]).await;
+    assert_eq!(output.exit, Exit::Success, "{}", output.err);
     assert_eq!(deployment.body(ObjectKind::Group, "loans-1")["members"][0]["drain"], true);
 
-    let said = deployment.ctl(&["plan", "drain", "target", "loans-1-sakiet"]).await;
-    assert_eq!(said.exit, Exit::Refused, "another drain would leave no majority");
+    let output = deployment.ctl(&["plan", "drain", "target", "loans-1-sakiet"]).await;
+    assert_eq!(output.exit, Exit::Refused, "another drain would leave no majority");
 }
 
 #[tokio::test]
@@ -369,8 +369,8 @@
     }"#;
     std::fs::write(&file, group).expect("the file is written");
     let path = file.display().to_string();
-    let said = skylarkctl(&["check", &path]).await;
-    assert!(said.out.ends_with("accepted as settings of a group\n"), "{}", said.out);
+    let output = skylarkctl(&["check", &path]).await;
+    assert!(output.out.ends_with("accepted as settings of a group\n"), "{}", output.out);
     let id = deployment.plan(&["add-group", &path]).await;
     assert_eq!(deployment.ctl(&["confirm", &id]).await.exit, Exit::Success);
     assert_eq!(deployment.body(ObjectKind::Group, "loans-4")["members"][2]["target"], "n3");
@@ -412,15 +412,15 @@
     for (name, kind) in
         [("sfax.jsonc", "deployment"), ("mittelland.jsonc", "deployment"), ("proxy.jsonc", "proxy")]
     {
-        let said = skylarkctl(&["check", &example(name)]).await;
-        assert_eq!(said.exit, Exit::Success, "{}", said.err);
-        assert!(said.out.ends_with(&format!("settings of a {kind}\n")), "{}", said.out);
+        let output = skylarkctl(&["check", &example(name)]).await;
+        assert_eq!(output.exit, Exit::Success, "{}", output.err);
+        assert!(output.out.ends_with(&format!("settings of a {kind}\n")), "{}", output.out);
     }
-    let said = skylarkctl(&["--json", "check", "--kind", "group", &example("proxy.jsonc")]).await;
-    assert_eq!(said.exit, Exit::BadValue);
-    let error: Value = serde_json::from_str(&said.err).expect("the failure is JSON");
+    let output = skylarkctl(&["--json", "check", "--kind", "group", &example("proxy.jsonc")]).await;
+    assert_eq!(output.exit, Exit::BadValue);
+    let error: Value = serde_json::from_str(&output.err).expect("the failure is JSON");
     let mistakes = error["mistakes"].as_array().expect("the mistakes are a list");
     assert!(mistakes.len() > 3, "{error}");
-    let said = skylarkctl(&["check", "/no/such/file.jsonc"]).await;
-    assert_eq!(said.exit, Exit::Usage);
+    let output = skylarkctl(&["check", "/no/such/file.jsonc"]).await;
+    assert_eq!(output.exit, Exit::Usage);
 }
--- a/crates/ctl/tests/proxies.rs
+++ b/crates/ctl/tests/proxies.rs
@@ -77,11 +77,11 @@
 }
 
 /// Opens a control address whose control thread always says the same.
-async fn proxy(vm: &'static str) -> (String, ServerHandle) {
-    let (requests, mut asked) = mpsc::unbounded_channel();
+async fn start_proxy(vm: &'static str) -> (String, ServerHandle) {
+    let (requests, mut received) = mpsc::unbounded_channel();
     let (address, handle) = server::start(LOOPBACK, requests).await.expect("a free port");
     tokio::spawn(async move {
-        while let Some(request) = asked.recv().await {
+        while let Some(request) = received.recv().await {
             match request {
                 PeerRequest::Status(answer) => drop(answer.send(Ok(status(vm)))),
                 PeerRequest::Explain(group, answer) => drop(answer.send(explain(&group))),
@@ -110,7 +110,7 @@
 
 #[tokio::test]
 async fn status_for_people_and_machines() {
-    let (address, _server) = proxy("sfax-1").await;
+    let (address, _server) = start_proxy("sfax-1").await;
     let (exit, out, err) = skylarkctl(&["--proxy", &address, "status"]).await;
     assert_eq!((exit, &*out, &*err), (Exit::Success, STATUS, ""));
     let (_, out, _) = skylarkctl(&["--proxy", &address, "--json", "status"]).await;
@@ -120,13 +120,13 @@
 }
 
 #[tokio::test]
-async fn one_proxy_down_hides_no_other() {
+async fn one_proxy_down_does_not_hide_the_others() {
     // The operator asks two proxies, and the first one is gone. The other one's answer is shown,
     // and the exit code says that one is missing.
-    let gone = TcpListener::bind(LOOPBACK).await.expect("a free port");
-    let down = gone.local_addr().expect("an address").to_string();
-    drop(gone);
-    let (address, _server) = proxy("sfax-1").await;
+    let listener = TcpListener::bind(LOOPBACK).await.expect("a free port");
+    let down = listener.local_addr().expect("an address").to_string();
+    drop(listener);
+    let (address, _server) = start_proxy("sfax-1").await;
     let arguments = ["--proxy", &down, "--proxy", &address, "status"];
     let (exit, out, _) = skylarkctl(&arguments).await;
     assert_eq!(exit, Exit::ProxyDown);
@@ -136,13 +136,13 @@
 
 #[tokio::test]
 async fn explain_a_group() {
-    let (address, _server) = proxy("sfax-1").await;
+    let (address, _server) = start_proxy("sfax-1").await;
     let (exit, out, _) = skylarkctl(&["--proxy", &address, "explain", "loans-1"]).await;
     assert_eq!(exit, Exit::Success);
     let expected = "group loans-1 at VM sfax-1, latest decisions:\n  250 ms ago: promote \
                     loans-1-depot in term 2: it holds most of the majority\n";
     assert_eq!(out, expected);
-    let (other, _other_server) = proxy("sfax-2").await;
+    let (other, _other_server) = start_proxy("sfax-2").await;
     let both = ["--json", "--proxy", &address, "--proxy", &other, "explain", "loans-1"];
     let (_, out, _) = skylarkctl(&both).await;
     let json: Value = serde_json::from_str(&out).expect("the output is JSON");
--- a/crates/ctl/tests/request.rs
+++ b/crates/ctl/tests/request.rs
@@ -53,25 +53,25 @@
 /// What the VM believed comes first, then what others decided about the service before, the refusal, and what
 /// came of it. Other services, other requests and later times are left out.
 #[tokio::test]
-async fn a_refusal_for_want_of_a_primary_shows_the_takeover() {
+async fn refusal_without_a_primary_shows_the_takeover() {
     let (exit, text, _) = explain("takeover", "a1", false).await;
     assert_eq!(exit, Exit::Success);
     let messages = messages(&text);
-    let begins = [
+    let prefixes = [
         "started",
         "configuration in force routes=4 version=5",
         "the primary has to be replaced need=Silent primary=i-1 service=loans",
         "refused configuration=5 kind=no_primary",
         "promote result=accepted",
     ];
-    assert_eq!(messages.len(), begins.len(), "{text}");
-    for (message, begin) in messages.iter().zip(begins) {
-        assert!(message.starts_with(begin), "{message}: {begin}");
+    assert_eq!(messages.len(), prefixes.len(), "{text}");
+    for (message, prefix) in messages.iter().zip(prefixes) {
+        assert!(message.starts_with(prefix), "{message}: {prefix}");
     }
 }
 
 #[tokio::test]
-async fn a_commit_in_doubt_shows_the_lost_answer() {
+async fn commit_with_unknown_outcome_shows_the_lost_answer() {
     let (exit, text, _) = explain("doubt", "c3", false).await;
     assert_eq!(exit, Exit::Success);
     let messages = messages(&text);
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn machines_read_the_lines_as_they_were_written() {
+async fn json_output_has_the_log_lines_unchanged() {
     let (exit, text, _) = explain("json", "b2", true).await;
     assert_eq!(exit, Exit::Success);
     let report: serde_json::Value = serde_json::from_str(&text).expect("it is JSON");
@@ -91,8 +91,8 @@
 }
 
 #[tokio::test]
-async fn a_request_that_no_line_names_is_unknown() {
-    let (exit, _, complaint) = explain("unknown", "nobody", false).await;
+async fn request_without_log_lines_is_unknown() {
+    let (exit, _, stderr) = explain("unknown", "nobody", false).await;
     assert_eq!(exit, Exit::UnknownObject);
-    assert!(complaint.contains("no line names the request `nobody`"), "{complaint}");
+    assert!(stderr.contains("no line names the request `nobody`"), "{stderr}");
 }
