--- a/crates/ctl/src/arguments.rs
+++ b/crates/ctl/src/arguments.rs
@@ -280,9 +280,9 @@
 }
 
 fn read_drain(matches: &ArgMatches, drain: bool) -> Intent {
-    let (subject, matches) = matches.subcommand().expect("a subcommand is required");
+    let (object_kind, matches) = matches.subcommand().expect("a subcommand is required");
     let name = text_argument(matches, "name");
-    match (subject, drain) {
+    match (object_kind, drain) {
         ("target", true) => Intent::DrainTarget { target: name },
         ("target", false) => Intent::UndrainTarget { target: name },
         (_, true) => Intent::DrainVm { vm: name },
--- a/crates/ctl/src/plan.rs
+++ b/crates/ctl/src/plan.rs
@@ -53,7 +53,7 @@
         match store.put(ObjectKind::Plan, &plan.id, 0, record.to_body()).await {
             Ok(_) => return Ok(()),
             Err(StoreError::Conflict { .. }) => return compare_with_stored(store, plan).await,
-            // The record may have been stored. Then the next attempt conflicts and compares the stored record.
+            // The record may have been stored. The next attempt then conflicts and compares the records.
             Err(StoreError::NoAnswer(reason)) => last_error = reason,
             Err(error) => return Err(Failure::from_store_error(error)),
         }
--- a/crates/ctl/tests/operators.rs
+++ b/crates/ctl/tests/operators.rs
@@ -318,7 +318,8 @@
     let id = deployment.plan(&WEIGHT_2).await;
     let store = HttpStore::new(&deployment.address(), "operators");
     let store = SilentAfterChange { store, silent: Arc::new(AtomicBool::new(false)) };
-    let failure = confirm::run(&store, &id, SECOND).await.expect_err("the outcome is unknown");
+    let failure =
+        confirm::run(&store, &id, SECOND).await.expect_err("success must not be reported");
     assert_eq!(failure.exit(), Exit::OutcomeUnknown, "{failure}");
     store.silent.store(false, Ordering::Relaxed);
     let report = confirm::run(&store, &id, MINUTE).await.expect("the platform answers again");
