--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -27,10 +27,10 @@
 use crate::organisations::Organisations;
 
 /// How long a caller waits for an answer before it gives its connection up.
-const PATIENCE: Duration = Duration::from_millis(4_000);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(4_000);
 
 /// The pause after a refusal or a lost connection.
-const PAUSE: Duration = Duration::from_millis(50);
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// What a proxy says to an unknown key.
 const DENIED: &[u8] = b"DENIED";
@@ -42,7 +42,7 @@
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// The errors that promise that nothing is kept.
-const PROMISES: [TargetError; 6] = [
+const NOT_APPLIED_ERRORS: [TargetError; 6] = [
     TargetError::Busy,
     TargetError::Aborted,
     TargetError::Lagging,
@@ -53,7 +53,7 @@
 
 /// What callers were told.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct Observations {
     /// The data of writes that were acknowledged.
     pub acknowledged: BTreeSet<String>,
     /// The data of writes that were said not to have run.
@@ -72,11 +72,11 @@
     /// The proxies it may connect to.
     pub proxies: Vec<SocketAddr>,
     /// What all callers were told.
-    pub told: Arc<Mutex<Told>>,
+    pub observations: Arc<Mutex<Observations>>,
     /// Whose keys they use, if there are organisations.
     pub organisations: Option<Arc<Organisations>>,
     /// Whether it goes on.
-    pub goes_on: watch::Receiver<bool>,
+    pub is_running: watch::Receiver<bool>,
 }
 
 /// What became of one statement.
@@ -89,7 +89,7 @@
 
 /// What a caller remembers of its writes.
 #[derive(Debug, Default)]
-struct Memory {
+struct CallerState {
     /// The number of its last write.
     sequence: u64,
     /// The last write that was acknowledged.
@@ -111,8 +111,8 @@
     /// Writes and reads until it is told to end.
     pub async fn run(self, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut memory = Memory::default();
-        while *self.goes_on.borrow() {
+        let mut state = CallerState::default();
+        while *self.is_running.borrow() {
             let database = if rng.random_bool(0.5) { "primary-db" } else { "own-db" };
             let proxy = self.proxies[rng.random_range(0..self.proxies.len())];
             let key = match &self.organisations {
@@ -120,22 +120,22 @@
                 None => NO_KEY.to_owned(),
             };
             let Some(mut connection) = open(proxy, database, &key).await else {
-                time::sleep(PAUSE).await;
+                time::sleep(RETRY_PAUSE).await;
                 continue;
             };
             for _ in 0..rng.random_range(1..40) {
-                let went_on = match rng.random_range(0..10) {
-                    0..3 => self.write(&mut connection, &mut memory).await,
-                    3..5 => self.transaction(&mut connection, &mut memory).await,
+                let is_usable = match rng.random_range(0..10) {
+                    0..3 => self.write(&mut connection, &mut state).await,
+                    3..5 => self.transaction(&mut connection, &mut state).await,
                     _ => {
                         let floor = match database {
-                            "primary-db" => memory.acknowledged,
+                            "primary-db" => state.acknowledged,
                             _ => connection.floor,
                         };
-                        self.read(&mut connection, floor, &mut memory).await
+                        self.read(&mut connection, floor, &mut state).await
                     }
                 };
-                if !went_on || !*self.goes_on.borrow() {
+                if !is_usable || !*self.is_running.borrow() {
                     break;
                 }
             }
@@ -146,19 +146,19 @@
         format!("c{}-{sequence}", self.number)
     }
 
-    async fn write(&self, connection: &mut Connection, memory: &mut Memory) -> bool {
-        memory.sequence += 1;
-        let sequence = memory.sequence;
+    async fn write(&self, connection: &mut Connection, state: &mut CallerState) -> bool {
+        state.sequence += 1;
+        let sequence = state.sequence;
         let (number, data) = (self.number, self.data(sequence));
         let arguments = format!("item{number} {data}");
         let id = format!("w{number}x{sequence}");
         let outcome = connection.run(&id, Statement::Write { arguments: &arguments }).await;
-        self.account(outcome, connection, memory, true).await
+        self.record_outcome(outcome, connection, state, true).await
     }
 
-    async fn transaction(&self, connection: &mut Connection, memory: &mut Memory) -> bool {
-        memory.sequence += 1;
-        let sequence = memory.sequence;
+    async fn transaction(&self, connection: &mut Connection, state: &mut CallerState) -> bool {
+        state.sequence += 1;
+        let sequence = state.sequence;
         let (number, data) = (self.number, self.data(sequence));
         let arguments = format!("item{number} {data}");
         let id = format!("t{number}x{sequence}");
@@ -171,58 +171,58 @@
         let wrote = connection.run(&id, Statement::Write { arguments: &arguments }).await;
         if !matches!(wrote, Outcome::Done(_)) {
             // Its commit was never sent, so nothing may be kept, whatever was said.
-            self.told.lock().denied.insert(data);
+            self.observations.lock().denied.insert(data);
             let ended = connection.run(&id, Statement::Rollback).await;
             return matches!(ended, Outcome::Done(_));
         }
         let outcome = connection.run(&id, Statement::Commit).await;
-        self.account(outcome, connection, memory, false).await
+        self.record_outcome(outcome, connection, state, false).await
     }
 
     /// Writes down what a commit was told. Returns whether the connection goes on.
-    async fn account(
+    async fn record_outcome(
         &self,
         outcome: Outcome,
         connection: &mut Connection,
-        memory: &mut Memory,
-        is_single: bool,
+        state: &mut CallerState,
+        is_autocommit: bool,
     ) -> bool {
-        let sequence = memory.sequence;
+        let sequence = state.sequence;
         let data = self.data(sequence);
         match outcome {
             Outcome::Done(_) => {
-                self.told.lock().acknowledged.insert(data);
-                memory.acknowledged = sequence;
+                self.observations.lock().acknowledged.insert(data);
+                state.acknowledged = sequence;
                 connection.floor = sequence;
                 true
             }
             Outcome::Failed(error) => {
-                if PROMISES.contains(&error) {
-                    self.told.lock().denied.insert(data);
+                if NOT_APPLIED_ERRORS.contains(&error) {
+                    self.observations.lock().denied.insert(data);
                 } else {
-                    memory.in_doubt.insert(sequence);
+                    state.in_doubt.insert(sequence);
                 }
-                time::sleep(PAUSE).await;
-                is_single
+                time::sleep(RETRY_PAUSE).await;
+                is_autocommit
             }
             Outcome::Lost => {
-                memory.in_doubt.insert(sequence);
+                state.in_doubt.insert(sequence);
                 false
             }
         }
     }
 
-    async fn read(&self, connection: &mut Connection, floor: u64, memory: &mut Memory) -> bool {
-        memory.reads += 1;
+    async fn read(&self, connection: &mut Connection, floor: u64, state: &mut CallerState) -> bool {
+        state.reads += 1;
         let item = format!("item{}", self.number);
-        let id = format!("r{}x{}", self.number, memory.reads);
+        let id = format!("r{}x{}", self.number, state.reads);
         match connection.run(&id, Statement::Read { item: &item }).await {
             Outcome::Done(row) => {
-                self.check(&row.unwrap_or_default(), floor, memory);
+                self.check(&row.unwrap_or_default(), floor, state);
                 true
             }
             Outcome::Failed(_) => {
-                time::sleep(PAUSE).await;
+                time::sleep(RETRY_PAUSE).await;
                 true
             }
             Outcome::Lost => false,
@@ -230,19 +230,23 @@
     }
 
     /// A read shows the caller's own item, no older than it has to see.
-    fn check(&self, row: &str, floor: u64, memory: &Memory) {
-        let mut told = self.told.lock();
-        told.reads += 1;
-        let own = format!("c{}-", self.number);
+    fn check(&self, row: &str, floor: u64, state: &CallerState) {
+        let mut observations = self.observations.lock();
+        observations.reads += 1;
+        let prefix = format!("c{}-", self.number);
         let seen = match row {
             "" => Some(0),
-            _ => row.strip_prefix(&own).and_then(|sequence| sequence.parse::<u64>().ok()),
+            _ => row.strip_prefix(&prefix).and_then(|sequence| sequence.parse::<u64>().ok()),
         };
         match seen {
-            None => told.violations.push(format!("crossed: caller {} read {row}", self.number)),
-            Some(seen) if seen < floor && !memory.in_doubt.contains(&seen) => {
+            None => {
+                observations.violations.push(format!("crossed: caller {} read {row}", self.number))
+            }
+            Some(seen) if seen < floor && !state.in_doubt.contains(&seen) => {
                 let number = self.number;
-                told.violations.push(format!("stale: caller {number} read {seen} after {floor}"));
+                observations
+                    .violations
+                    .push(format!("stale: caller {number} read {seen} after {floor}"));
             }
             Some(_) => (),
         }
@@ -252,18 +256,18 @@
 /// Opens a session with a key, if the proxy takes it.
 async fn open(proxy: SocketAddr, database: &str, key: &str) -> Option<Connection> {
     let mut connection = connect(proxy).await?;
-    match connection.exchange(startup(database, key).as_bytes()).await {
+    match connection.exchange(startup_message(database, key).as_bytes()).await {
         Outcome::Done(_) => Some(connection),
         Outcome::Failed(_) | Outcome::Lost => None,
     }
 }
 
 async fn connect(proxy: SocketAddr) -> Option<Connection> {
-    let stream = time::timeout(PATIENCE, TcpStream::connect(proxy)).await.ok()?.ok()?;
+    let stream = time::timeout(ANSWER_TIMEOUT, TcpStream::connect(proxy)).await.ok()?.ok()?;
     Some(Connection { stream, input: BytesMut::new(), floor: 0 })
 }
 
-fn startup(database: &str, key: &str) -> String {
+fn startup_message(database: &str, key: &str) -> String {
     format!("STARTUP {database} {key}\n")
 }
 
@@ -271,11 +275,11 @@
 pub async fn is_denied(proxy: SocketAddr, key: &str) -> bool {
     let refused = async {
         let mut connection = connect(proxy).await?;
-        connection.stream.write_all(startup("primary-db", key).as_bytes()).await.ok()?;
-        let message = connection.message().await?;
+        connection.stream.write_all(startup_message("primary-db", key).as_bytes()).await.ok()?;
+        let message = connection.next_message().await?;
         Some(message.windows(DENIED.len()).any(|part| part == DENIED))
     };
-    time::timeout(PATIENCE, refused).await.is_ok_and(|denied| denied.unwrap_or(false))
+    time::timeout(ANSWER_TIMEOUT, refused).await.is_ok_and(|denied| denied.unwrap_or(false))
 }
 
 impl Connection {
@@ -287,7 +291,7 @@
     }
 
     async fn exchange(&mut self, request: &[u8]) -> Outcome {
-        match time::timeout(PATIENCE, self.try_exchange(request)).await {
+        match time::timeout(ANSWER_TIMEOUT, self.try_exchange(request)).await {
             Ok(Some(outcome)) => outcome,
             Ok(None) | Err(_) => Outcome::Lost,
         }
@@ -297,7 +301,7 @@
         self.stream.write_all(request).await.ok()?;
         let (mut row, mut failed) = (None, None);
         loop {
-            let message = self.message().await?;
+            let message = self.next_message().await?;
             match Lines::decode_target(&message).ok()? {
                 TargetMessage::Row(text) => row = Some(text.to_owned()),
                 TargetMessage::Error { error, .. } => failed = Some(error),
@@ -309,7 +313,7 @@
         }
     }
 
-    async fn message(&mut self) -> Option<BytesMut> {
+    async fn next_message(&mut self) -> Option<BytesMut> {
         loop {
             if let Some(length) = Lines::message_len(&self.input, MAX_MESSAGE_BYTES).ok()? {
                 return Some(self.input.split_to(length));
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -16,20 +16,20 @@
 use crate::organisations::Organisations;
 use crate::process::Proxy;
 use crate::relay::Relay;
-use crate::relay::Treatment;
+use crate::relay::RelayMode;
 
 /// When members start again, in milliseconds of Unix time at least: each time another.
-const BORN_MS: u64 = 1_700_000_000_000;
+const BASE_START_TIME_MS: u64 = 1_700_000_000_000;
 
 /// How long a member that started with nothing may take to catch up before it counts as stuck.
 const CATCH_UP_LIMIT: Duration = Duration::from_secs(60);
 
 /// How often it is looked whether it has.
-const CATCH_UP_LOOK: Duration = Duration::from_millis(50);
+const CATCH_UP_POLL: Duration = Duration::from_millis(50);
 
 /// What faults are done to.
 #[derive(Clone, Debug)]
-pub struct Victims {
+pub struct SystemUnderTest {
     /// The proxies.
     pub proxies: Vec<Arc<Mutex<Proxy>>>,
     /// The way of each proxy to the platform.
@@ -43,7 +43,7 @@
     /// The organisations, if there are any.
     pub organisations: Option<Arc<Organisations>>,
     /// Held while a member starts again with nothing.
-    pub reborn: Arc<Mutex<()>>,
+    pub rebirth_lock: Arc<Mutex<()>>,
 }
 
 /// One kind of fault.
@@ -52,22 +52,22 @@
     Pause,
     Kill,
     Stop,
-    Hangup,
-    PlatformWay(Treatment),
-    TargetWay(Treatment),
+    Reload,
+    PlatformLink(RelayMode),
+    TargetLink(RelayMode),
     ResetTargets,
-    TargetDies,
+    TargetStops,
     TargetCut,
     TargetLeaves,
     /// A replica receives nothing while the primary is to be replaced.
     LaggingHandover,
-    LosesAnswers,
+    TargetLosesAnswers,
     Platform(Mood),
     ForgetHistory,
     /// A replica starts again under its name, and holds nothing of before.
-    ReplicaReborn,
+    ReplicaLosesData,
     /// The same, and the primary dies just before the replica is back.
-    ReplicaRebornAndPrimaryDies,
+    ReplicaLosesDataAndPrimaryStops,
     /// An organisation's key is withdrawn, and it gets another one.
     KeyReplaced,
     /// An organisation's limit is lowered, or raised again.
@@ -81,7 +81,7 @@
     /// The first kinds.
     Usual,
     /// The first kinds, and targets that start again with nothing.
-    WithRebirths,
+    WithDataLoss,
     /// The first kinds, and changes of organisations' keys and limits.
     WithOrganisations,
 }
@@ -94,7 +94,7 @@
     pub fn from_name(name: &str) -> Option<FaultSet> {
         match name {
             "usual" => Some(FaultSet::Usual),
-            "rebirths" => Some(FaultSet::WithRebirths),
+            "rebirths" => Some(FaultSet::WithDataLoss),
             "organisations" => Some(FaultSet::WithOrganisations),
             _ => None,
         }
@@ -102,23 +102,23 @@
 
     fn faults(self) -> Vec<Fault> {
         match self {
-            FaultSet::Usual => FAULTS.to_vec(),
-            FaultSet::WithRebirths => [FAULTS.as_slice(), &REBIRTHS].concat(),
-            FaultSet::WithOrganisations => [FAULTS.as_slice(), &ORGANISATION_CHANGES].concat(),
+            FaultSet::Usual => USUAL_FAULTS.to_vec(),
+            FaultSet::WithDataLoss => [USUAL_FAULTS.as_slice(), &DATA_LOSS_FAULTS].concat(),
+            FaultSet::WithOrganisations => [USUAL_FAULTS.as_slice(), &ORGANISATION_FAULTS].concat(),
         }
     }
 }
 
-const REBIRTHS: [Fault; 6] = [
-    Fault::ReplicaReborn,
-    Fault::ReplicaReborn,
-    Fault::ReplicaReborn,
-    Fault::ReplicaRebornAndPrimaryDies,
-    Fault::ReplicaRebornAndPrimaryDies,
-    Fault::ReplicaRebornAndPrimaryDies,
+const DATA_LOSS_FAULTS: [Fault; 6] = [
+    Fault::ReplicaLosesData,
+    Fault::ReplicaLosesData,
+    Fault::ReplicaLosesData,
+    Fault::ReplicaLosesDataAndPrimaryStops,
+    Fault::ReplicaLosesDataAndPrimaryStops,
+    Fault::ReplicaLosesDataAndPrimaryStops,
 ];
 
-const ORGANISATION_CHANGES: [Fault; 6] = [
+const ORGANISATION_FAULTS: [Fault; 6] = [
     Fault::KeyReplaced,
     Fault::KeyReplaced,
     Fault::KeyReplaced,
@@ -127,72 +127,72 @@
     Fault::LimitChanged,
 ];
 
-const FAULTS: [Fault; 20] = [
+const USUAL_FAULTS: [Fault; 20] = [
     Fault::Pause,
     Fault::Kill,
     Fault::Stop,
-    Fault::Hangup,
-    Fault::PlatformWay(Treatment::Silent),
-    Fault::PlatformWay(Treatment::OneWay),
-    Fault::PlatformWay(Treatment::Delay(150)),
-    Fault::TargetWay(Treatment::Silent),
-    Fault::TargetWay(Treatment::OneWay),
-    Fault::TargetWay(Treatment::Delay(40)),
+    Fault::Reload,
+    Fault::PlatformLink(RelayMode::Silent),
+    Fault::PlatformLink(RelayMode::OneWay),
+    Fault::PlatformLink(RelayMode::Delay(150)),
+    Fault::TargetLink(RelayMode::Silent),
+    Fault::TargetLink(RelayMode::OneWay),
+    Fault::TargetLink(RelayMode::Delay(40)),
     Fault::ResetTargets,
-    Fault::TargetDies,
+    Fault::TargetStops,
     Fault::TargetCut,
     Fault::TargetLeaves,
     Fault::LaggingHandover,
     Fault::LaggingHandover,
-    Fault::LosesAnswers,
+    Fault::TargetLosesAnswers,
     Fault::Platform(Mood::Silent),
     Fault::Platform(Mood::LosesAnswers),
     Fault::ForgetHistory,
 ];
 
 /// Brings faults about, each for a while, until the time is over; returns once all have ended.
-pub async fn series(victims: Victims, set: FaultSet, seed: u64, length: Duration) {
+pub async fn run_series(system: SystemUnderTest, set: FaultSet, seed: u64, length: Duration) {
     let faults = set.faults();
     let mut rng = StdRng::seed_from_u64(seed);
-    let until = time::Instant::now() + length;
-    let mut under_way = Vec::new();
-    while time::Instant::now() < until {
+    let deadline = time::Instant::now() + length;
+    let mut running = Vec::new();
+    while time::Instant::now() < deadline {
         let fault = faults[rng.random_range(0..faults.len())];
-        let lasts = Duration::from_millis(rng.random_range(200..2_500));
-        let (victims, which) = (victims.clone(), rng.random_range(0..usize::MAX));
-        under_way.push(tokio::spawn(async move { bring(&victims, fault, which, lasts).await }));
+        let duration = Duration::from_millis(rng.random_range(200..2_500));
+        let (system, choice) = (system.clone(), rng.random_range(0..usize::MAX));
+        running.push(tokio::spawn(async move { apply(&system, fault, choice, duration).await }));
         time::sleep(Duration::from_millis(rng.random_range(150..1_200))).await;
     }
-    for fault in under_way {
+    for fault in running {
         // One that was broken off has ended.
         let _ = fault.await;
     }
 }
 
-async fn bring(victims: &Victims, fault: Fault, which: usize, lasts: Duration) {
-    let proxy = &victims.proxies[which % victims.proxies.len()];
-    let target = which % victims.to_targets.len();
-    let group = &victims.group;
+async fn apply(system: &SystemUnderTest, fault: Fault, choice: usize, duration: Duration) {
+    let proxy = &system.proxies[choice % system.proxies.len()];
+    let target = choice % system.to_targets.len();
+    let group = &system.group;
     match fault {
         Fault::Pause => {
             proxy.lock().await.signal(Signal::SIGSTOP);
-            time::sleep(lasts).await;
+            time::sleep(duration).await;
             proxy.lock().await.signal(Signal::SIGCONT);
         }
-        Fault::Kill => end_and_start(proxy, Signal::SIGKILL, lasts).await,
-        Fault::Stop => end_and_start(proxy, Signal::SIGTERM, lasts).await,
-        Fault::Hangup => proxy.lock().await.hang_up(),
-        Fault::PlatformWay(treatment) => {
-            let relay = &victims.to_platform[which % victims.to_platform.len()];
-            treat_for(relay, treatment, lasts).await;
+        Fault::Kill => restart_proxy(proxy, Signal::SIGKILL, duration).await,
+        Fault::Stop => restart_proxy(proxy, Signal::SIGTERM, duration).await,
+        Fault::Reload => proxy.lock().await.reload(),
+        Fault::PlatformLink(mode) => {
+            let relay = &system.to_platform[choice % system.to_platform.len()];
+            set_mode_for(relay, mode, duration).await;
         }
-        Fault::TargetWay(treatment) => {
-            treat_for(&victims.to_targets[target], treatment, lasts).await;
+        Fault::TargetLink(mode) => {
+            set_mode_for(&system.to_targets[target], mode, duration).await;
         }
-        Fault::ResetTargets => victims.to_targets.iter().for_each(Relay::reset),
-        Fault::TargetDies => {
+        Fault::ResetTargets => system.to_targets.iter().for_each(Relay::reset),
+        Fault::TargetStops => {
             group.change(target, |member| member.alive = false);
-            time::sleep(lasts).await;
+            time::sleep(duration).await;
             group.change(target, |member| {
                 member.alive = true;
                 member.paused_term = 0;
@@ -201,67 +201,74 @@
         }
         Fault::TargetCut => {
             group.change(target, |member| member.cut = true);
-            time::sleep(lasts).await;
+            time::sleep(duration).await;
             group.change(target, |member| member.cut = false);
         }
         Fault::TargetLeaves => {
             group.change(target, |member| member.leaving = true);
-            time::sleep(lasts).await;
+            time::sleep(duration).await;
             group.change(target, |member| member.leaving = false);
         }
         Fault::LaggingHandover => {
             let Some(leader) = group.leader() else { return };
-            let replica = (leader + 1 + which % 2) % victims.to_targets.len();
+            let replica = (leader + 1 + choice % 2) % system.to_targets.len();
             group.change(replica, |member| member.cut = true);
-            time::sleep(lasts / 2).await;
+            time::sleep(duration / 2).await;
             group.change(leader, |member| member.leaving = true);
-            time::sleep(lasts).await;
+            time::sleep(duration).await;
             group.change(replica, |member| member.cut = false);
             group.change(leader, |member| member.leaving = false);
         }
-        Fault::LosesAnswers => {
-            group.change(target, |member| member.lose_answers += which as u32 % 5 + 1);
+        Fault::TargetLosesAnswers => {
+            group.change(target, |member| member.lose_answers += choice as u32 % 5 + 1);
         }
         Fault::Platform(mood) => {
-            victims.platform.set_mood(mood);
-            time::sleep(lasts).await;
-            victims.platform.set_mood(Mood::Serving);
+            system.platform.set_mood(mood);
+            time::sleep(duration).await;
+            system.platform.set_mood(Mood::Serving);
         }
-        Fault::ForgetHistory => victims.platform.objects.forget_history(),
+        Fault::ForgetHistory => system.platform.objects.forget_history(),
         Fault::KeyReplaced => {
-            victims.organisations.iter().for_each(|it| it.replace_key(which));
+            system.organisations.iter().for_each(|it| it.replace_key(choice));
+        }
+        Fault::LimitChanged => system.organisations.iter().for_each(|it| it.change_limit()),
+        Fault::ReplicaLosesData => restart_without_data(system, choice, duration, false).await,
+        Fault::ReplicaLosesDataAndPrimaryStops => {
+            restart_without_data(system, choice, duration, true).await
         }
-        Fault::LimitChanged => victims.organisations.iter().for_each(|it| it.change_limit()),
-        Fault::ReplicaReborn => reborn(victims, which, lasts, false).await,
-        Fault::ReplicaRebornAndPrimaryDies => reborn(victims, which, lasts, true).await,
     }
 }
 
 /// A replica starts again with nothing. One at a time, and not before the one before has caught up: a commit is
 /// acknowledged by two members, so it would be lost if both lost their logs.
-async fn reborn(victims: &Victims, which: usize, lasts: Duration, primary_dies: bool) {
-    let group = &victims.group;
-    let _only_one = victims.reborn.lock().await;
+async fn restart_without_data(
+    system: &SystemUnderTest,
+    choice: usize,
+    duration: Duration,
+    stops_primary: bool,
+) {
+    let group = &system.group;
+    let _guard = system.rebirth_lock.lock().await;
     let Some(leader) = group.leader() else { return };
-    let replica = (leader + 1 + which % 2) % victims.to_targets.len();
+    let replica = (leader + 1 + choice % 2) % system.to_targets.len();
     group.change(replica, |member| member.alive = false);
-    time::sleep(lasts / 4).await;
-    if primary_dies {
+    time::sleep(duration / 4).await;
+    if stops_primary {
         group.change(leader, |member| member.alive = false);
     }
-    group.start_with_nothing(replica, BORN_MS + which as u64 % BORN_MS);
+    group.start_with_nothing(replica, BASE_START_TIME_MS + choice as u64 % BASE_START_TIME_MS);
     group.change(replica, |member| member.alive = true);
-    time::sleep(lasts).await;
-    if primary_dies {
+    time::sleep(duration).await;
+    if stops_primary {
         group.change(leader, |member| {
             member.alive = true;
             member.paused_term = 0;
             member.start += 1;
         });
     }
-    let until = time::Instant::now() + CATCH_UP_LIMIT;
-    while !has_caught_up(group, replica) && time::Instant::now() < until {
-        time::sleep(CATCH_UP_LOOK).await;
+    let deadline = time::Instant::now() + CATCH_UP_LIMIT;
+    while !has_caught_up(group, replica) && time::Instant::now() < deadline {
+        time::sleep(CATCH_UP_POLL).await;
     }
 }
 
@@ -272,18 +279,18 @@
     })
 }
 
-async fn end_and_start(proxy: &Mutex<Proxy>, signal: Signal, pause: Duration) {
+async fn restart_proxy(proxy: &Mutex<Proxy>, signal: Signal, pause: Duration) {
     let mut proxy = proxy.lock().await;
     // One that stands still would not notice a request to stop.
     proxy.signal(Signal::SIGCONT);
     proxy.signal(signal);
     proxy.wait().await;
     time::sleep(pause / 4).await;
-    proxy.start_again().expect("the program was started before");
+    proxy.restart().expect("the program was started before");
 }
 
-async fn treat_for(relay: &Relay, treatment: Treatment, lasts: Duration) {
-    relay.treat(treatment);
-    time::sleep(lasts).await;
-    relay.treat(Treatment::Pass);
+async fn set_mode_for(relay: &Relay, mode: RelayMode, duration: Duration) {
+    relay.set_mode(mode);
+    time::sleep(duration).await;
+    relay.set_mode(RelayMode::Forward);
 }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -16,7 +16,7 @@
 use tokio::process::Command;
 
 /// After this time a started program runs, on a busy machine too.
-const PROGRAM_RUNS: Duration = Duration::from_millis(500);
+const STARTUP_TIME: Duration = Duration::from_millis(500);
 
 /// What a proxy is started with.
 #[derive(Clone, Debug)]
@@ -42,12 +42,12 @@
     /// Starts a proxy.
     pub fn start(setup: ProxySetup) -> io::Result<Proxy> {
         let mut proxy = Proxy { setup, child: None, started: Instant::now() };
-        proxy.start_again()?;
+        proxy.restart()?;
         Ok(proxy)
     }
 
     /// Starts it again after its end.
-    pub fn start_again(&mut self) -> io::Result<()> {
+    pub fn restart(&mut self) -> io::Result<()> {
         let vm = &self.setup.settings.sessions.vm;
         let file = self.setup.folder.join(format!("{vm}.toml"));
         std::fs::write(&file, settings::encode(&self.setup.settings))?;
@@ -77,8 +77,8 @@
 
     /// Asks it to reload, unless it was started a moment ago: until its program runs, nothing of it could
     /// hold the signal back, and the system would end it.
-    pub fn hang_up(&self) {
-        if self.started.elapsed() >= PROGRAM_RUNS {
+    pub fn reload(&self) {
+        if self.started.elapsed() >= STARTUP_TIME {
             self.signal(Signal::SIGHUP);
         }
     }
@@ -93,7 +93,7 @@
     }
 
     /// How it ended without having been told to; none while it runs.
-    pub fn ended_by_itself(&mut self) -> Option<ExitStatus> {
+    pub fn unexpected_exit(&mut self) -> Option<ExitStatus> {
         self.child.as_mut().and_then(|child| child.try_wait().ok().flatten())
     }
 }
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/relay.rs
@@ -24,7 +24,7 @@
 const SLOW_CHUNK_BYTES: usize = 2 << 10;
 
 /// How much of the time that bytes passed too late is made up for.
-const MADE_UP: Duration = Duration::from_millis(200);
+const MAX_CATCH_UP: Duration = Duration::from_millis(200);
 
 /// How much the system holds on a slow link that has not passed yet, in bytes. Otherwise it takes in far
 /// more than passes, and a sender sees no slow link.
@@ -32,9 +32,9 @@
 
 /// How the relay treats bytes.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Treatment {
+pub enum RelayMode {
     /// They pass.
-    Pass,
+    Forward,
     /// They pass later, by so many milliseconds.
     Delay(u64),
     /// Nothing passes back; what is sent arrives.
@@ -49,24 +49,24 @@
     /// What it carries each way.
     bytes_per_s: u64,
     /// When the next byte may pass, there and back.
-    free: [Mutex<Instant>; 2],
+    next_free: [Mutex<Instant>; 2],
 }
 
 impl SlowLink {
     fn new(bytes_per_s: u64) -> SlowLink {
         let now = Instant::now();
-        SlowLink { bytes_per_s, free: [Mutex::new(now), Mutex::new(now)] }
+        SlowLink { bytes_per_s, next_free: [Mutex::new(now), Mutex::new(now)] }
     }
 
     /// Waits until so many bytes have passed.
-    async fn pass(&self, is_back: bool, count: usize) {
-        let takes = Duration::from_secs_f64(count as f64 / self.bytes_per_s as f64);
+    async fn transmit(&self, is_response: bool, count: usize) {
+        let duration = Duration::from_secs_f64(count as f64 / self.bytes_per_s as f64);
         let until = {
-            let mut free = self.free[usize::from(is_back)].lock();
+            let mut next_free = self.next_free[usize::from(is_response)].lock();
             // Sleeping too long at one time is made up for at the next.
-            let earliest = Instant::now().checked_sub(MADE_UP).unwrap_or(*free);
-            *free = (*free).max(earliest) + takes;
-            *free
+            let earliest = Instant::now().checked_sub(MAX_CATCH_UP).unwrap_or(*next_free);
+            *next_free = (*next_free).max(earliest) + duration;
+            *next_free
         };
         time::sleep_until(until).await;
     }
@@ -77,7 +77,7 @@
 pub struct Relay {
     /// Where it listens.
     pub address: SocketAddr,
-    treatment: Arc<watch::Sender<Treatment>>,
+    mode: Arc<watch::Sender<RelayMode>>,
     /// Grows with each reset.
     resets: Arc<watch::Sender<u64>>,
     /// None if bytes pass as fast as they come.
@@ -87,15 +87,15 @@
 impl Relay {
     /// Starts a relay to an address.
     pub async fn start(to: SocketAddr) -> io::Result<Relay> {
-        Relay::start_over(to, None).await
+        Relay::start_with_link(to, None).await
     }
 
     /// Starts a relay that is a link of so many bytes a second each way.
     pub async fn start_slow(to: SocketAddr, bytes_per_s: u64) -> io::Result<Relay> {
-        Relay::start_over(to, Some(SlowLink::new(bytes_per_s))).await
+        Relay::start_with_link(to, Some(SlowLink::new(bytes_per_s))).await
     }
 
-    async fn start_over(to: SocketAddr, slow_link: Option<SlowLink>) -> io::Result<Relay> {
+    async fn start_with_link(to: SocketAddr, slow_link: Option<SlowLink>) -> io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         if slow_link.is_some() {
             // Connections that are accepted have the same.
@@ -103,7 +103,7 @@
         }
         let relay = Relay {
             address: listener.local_addr()?,
-            treatment: Arc::new(watch::Sender::new(Treatment::Pass)),
+            mode: Arc::new(watch::Sender::new(RelayMode::Forward)),
             resets: Arc::new(watch::Sender::new(0)),
             slow_link: slow_link.map(Arc::new),
         };
@@ -117,8 +117,8 @@
     }
 
     /// Changes how bytes are treated, on open connections too.
-    pub fn treat(&self, treatment: Treatment) {
-        self.treatment.send_replace(treatment);
+    pub fn set_mode(&self, mode: RelayMode) {
+        self.mode.send_replace(mode);
     }
 
     /// Closes all open connections.
@@ -128,31 +128,31 @@
 
     async fn serve(self, stream: TcpStream, to: SocketAddr) {
         let mut resets = self.resets.subscribe();
-        let Ok(other) = TcpStream::connect(to).await else { return };
+        let Ok(target_stream) = TcpStream::connect(to).await else { return };
         if self.slow_link.is_some()
-            && SockRef::from(&other).set_recv_buffer_size(SLOW_BUFFER_BYTES).is_err()
+            && SockRef::from(&target_stream).set_recv_buffer_size(SLOW_BUFFER_BYTES).is_err()
         {
             return;
         }
         let (from_caller, to_caller) = stream.into_split();
-        let (from_target, to_target) = other.into_split();
-        let there = self.pass(from_caller, to_target, false);
-        let back = self.pass(from_target, to_caller, true);
+        let (from_target, to_target) = target_stream.into_split();
+        let to_target_result = self.forward(from_caller, to_target, false);
+        let to_caller_result = self.forward(from_target, to_caller, true);
         tokio::select! {
             // One side closed, or broke: so does the other when both are dropped.
-            _ = there => (),
-            _ = back => (),
+            _ = to_target_result => (),
+            _ = to_caller_result => (),
             _ = resets.changed() => (),
         }
     }
 
-    async fn pass(
+    async fn forward(
         &self,
         mut from: OwnedReadHalf,
         mut to: OwnedWriteHalf,
-        is_back: bool,
+        is_response: bool,
     ) -> io::Result<()> {
-        let mut treatment = self.treatment.subscribe();
+        let mut mode = self.mode.subscribe();
         let chunk_bytes = self.slow_link.as_ref().map_or(CHUNK_BYTES, |_| SLOW_CHUNK_BYTES);
         let mut chunk = vec![0; chunk_bytes];
         loop {
@@ -160,18 +160,18 @@
             if count == 0 {
                 return Ok(());
             }
-            let held = |treatment: &Treatment| match treatment {
-                Treatment::Silent => true,
-                Treatment::OneWay => is_back,
-                Treatment::Pass | Treatment::Delay(_) => false,
+            let is_held = |mode: &RelayMode| match mode {
+                RelayMode::Silent => true,
+                RelayMode::OneWay => is_response,
+                RelayMode::Forward | RelayMode::Delay(_) => false,
             };
-            let now = treatment.wait_for(|treatment| !held(treatment)).await;
-            let now = *now.map_err(|_| io::ErrorKind::BrokenPipe)?;
-            if let Treatment::Delay(delay_ms) = now {
+            let current = mode.wait_for(|mode| !is_held(mode)).await;
+            let current = *current.map_err(|_| io::ErrorKind::BrokenPipe)?;
+            if let RelayMode::Delay(delay_ms) = current {
                 time::sleep(Duration::from_millis(delay_ms)).await;
             }
             if let Some(link) = &self.slow_link {
-                link.pass(is_back, count).await;
+                link.transmit(is_response, count).await;
             }
             to.write_all(&chunk[..count]).await?;
         }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -24,10 +24,10 @@
 use tokio::time;
 
 use crate::callers::Caller;
-use crate::callers::Told;
+use crate::callers::Observations;
 use crate::faults;
 use crate::faults::FaultSet;
-use crate::faults::Victims;
+use crate::faults::SystemUnderTest;
 use crate::organisations;
 use crate::organisations::Organisations;
 use crate::process::Proxy;
@@ -36,7 +36,7 @@
 
 /// How long a healed deployment has until it serves again. The users allow 12 s; a busy machine needs
 /// longer and must not change the verdict.
-const HEALED: Duration = Duration::from_secs(40);
+const RECOVERY_LIMIT: Duration = Duration::from_secs(40);
 
 /// The service of the soak.
 const SERVICE: &str = "soak";
@@ -87,7 +87,7 @@
         FaultSet::WithOrganisations => {
             Some(Arc::new(Organisations::start(&deployment.platform, routes())))
         }
-        FaultSet::Usual | FaultSet::WithRebirths => {
+        FaultSet::Usual | FaultSet::WithDataLoss => {
             deployment.configure(&routes());
             None
         }
@@ -117,33 +117,33 @@
         proxies.push(Arc::new(tokio::sync::Mutex::new(Proxy::start(setup)?)));
         to_platform.push(relay);
     }
-    let told = Arc::new(Mutex::new(Told::default()));
-    let (goes_on, _) = watch::channel(true);
+    let observations = Arc::new(Mutex::new(Observations::default()));
+    let (is_running, _) = watch::channel(true);
     let mut callers = Vec::new();
     for number in 0..options.callers {
         let caller = Caller {
             number,
             proxies: addresses.clone(),
-            told: Arc::clone(&told),
+            observations: Arc::clone(&observations),
             organisations: organisations.clone(),
-            goes_on: goes_on.subscribe(),
+            is_running: is_running.subscribe(),
         };
         let caller_seed = seed.wrapping_mul(1_000).wrapping_add(number as u64);
         callers.push(tokio::spawn(caller.run(caller_seed)));
     }
     let group = Arc::clone(&deployment.groups[0].0);
-    let victims = Victims {
+    let system = SystemUnderTest {
         proxies: proxies.clone(),
         to_platform,
         to_targets: to_targets.lock().clone(),
         group: Arc::clone(&group),
         platform: Arc::clone(&deployment.platform),
         organisations: organisations.clone(),
-        reborn: Arc::default(),
+        rebirth_lock: Arc::default(),
     };
-    faults::series(victims, options.faults, seed, options.length).await;
-    let mut violations = serves_again(&told).await;
-    goes_on.send_replace(false);
+    faults::run_series(system, options.faults, seed, options.length).await;
+    let mut violations = wait_for_recovery(&observations).await;
+    is_running.send_replace(false);
     for caller in callers {
         // A caller that panicked would have failed an assertion, and there is none.
         let _ = caller.await;
@@ -154,32 +154,32 @@
     }
     for proxy in &proxies {
         let mut proxy = proxy.lock().await;
-        if let Some(status) = proxy.ended_by_itself() {
+        if let Some(status) = proxy.unexpected_exit() {
             let vm = &proxy.setup.settings.sessions.vm;
             violations.push(format!("{vm} ended by itself: {status}"));
         }
     }
-    let told = told.lock();
-    violations.extend(told.violations.iter().cloned());
-    violations.extend(compare(&told, &written(&group.leaders_log())));
-    violations.extend(tokens_that_fall(&deployment.platform.named()));
+    let observations = observations.lock();
+    violations.extend(observations.violations.iter().cloned());
+    violations.extend(log_violations(&observations, &count_writes(&group.leaders_log())));
+    violations.extend(token_violations(&deployment.platform.named()));
     if !group.lost().is_empty() {
         violations.push(format!("{} commits lost by promotions", group.lost().len()));
     }
     Ok(Verdict {
-        acknowledged: told.acknowledged.len(),
-        denied: told.denied.len(),
-        reads: told.reads,
+        acknowledged: observations.acknowledged.len(),
+        denied: observations.denied.len(),
+        reads: observations.reads,
         violations,
     })
 }
 
 /// Waits until writes are acknowledged after the last fault.
-async fn serves_again(told: &Mutex<Told>) -> Vec<String> {
-    let before = told.lock().acknowledged.len();
-    let until = Instant::now() + HEALED;
-    while told.lock().acknowledged.len() < before + 20 {
-        if Instant::now() >= until {
+async fn wait_for_recovery(observations: &Mutex<Observations>) -> Vec<String> {
+    let before = observations.lock().acknowledged.len();
+    let deadline = Instant::now() + RECOVERY_LIMIT;
+    while observations.lock().acknowledged.len() < before + 20 {
+        if Instant::now() >= deadline {
             return vec!["writes are not acknowledged after the faults".to_owned()];
         }
         time::sleep(Duration::from_millis(50)).await;
@@ -188,7 +188,7 @@
 }
 
 /// Calls that named a primary with a lower token than one before, or with that of another driver.
-fn tokens_that_fall(named: &[Named]) -> Vec<String> {
+fn token_violations(named: &[Named]) -> Vec<String> {
     let pairs = named.windows(2);
     let falls = pairs.filter(|pair| {
         let shared = pair[1].token == pair[0].token && pair[1].holder != pair[0].holder;
@@ -198,7 +198,7 @@
 }
 
 /// How often each data was written.
-fn written(log: &[skylark_standin::typed::group::Record]) -> BTreeMap<String, usize> {
+fn count_writes(log: &[skylark_standin::typed::group::Record]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for (_, data) in log.iter().flat_map(|record| &record.writes) {
         *counts.entry(data.clone()).or_default() += 1;
@@ -206,12 +206,15 @@
     counts
 }
 
-fn compare(told: &Told, written: &BTreeMap<String, usize>) -> Vec<String> {
-    let lost = told.acknowledged.iter().filter(|data| !written.contains_key(*data));
+fn log_violations(
+    observations: &Observations,
+    write_counts: &BTreeMap<String, usize>,
+) -> Vec<String> {
+    let lost = observations.acknowledged.iter().filter(|data| !write_counts.contains_key(*data));
     let lost = lost.map(|data| format!("lost: {data} was acknowledged"));
-    let doubled = written.iter().filter(|(_, count)| **count > 1);
+    let doubled = write_counts.iter().filter(|(_, count)| **count > 1);
     let doubled = doubled.map(|(data, count)| format!("doubled: {data} is there {count} times"));
-    let untrue = told.denied.iter().filter(|data| written.contains_key(*data));
+    let untrue = observations.denied.iter().filter(|data| write_counts.contains_key(*data));
     let untrue = untrue.map(|data| format!("untrue refusal: {data} is there"));
     lost.chain(doubled).chain(untrue).collect()
 }
--- a/crates/soak/tests/organisations.rs
+++ b/crates/soak/tests/organisations.rs
@@ -19,9 +19,9 @@
 
 /// Reads of the caller with number zero, whose organisation's limit never changes, spread over five seconds.
 fn reads(count: u32) -> Vec<Run> {
-    let began = Instant::now();
+    let start = Instant::now();
     let read = |number: u32| {
-        let at = began + Duration::from_secs(4) * number / count;
+        let at = start + Duration::from_secs(4) * number / count;
         run(&format!("r0x{number}"), "organisation-0", at)
     };
     (0..count).map(read).collect()
@@ -30,8 +30,8 @@
 #[test]
 fn a_statement_under_another_name_is_found() {
     let now = Instant::now();
-    let right = [run("w4x1", "organisation-1", now), run("", "vm-1", now)];
-    assert_eq!(organisations::violations(&right), Vec::<String>::new());
+    let correct = [run("w4x1", "organisation-1", now), run("", "vm-1", now)];
+    assert_eq!(organisations::violations(&correct), Vec::<String>::new());
     let crossed = [run("w4x1", "organisation-2", now)];
     assert_eq!(organisations::violations(&crossed), ["crossed: w4x1 ran as organisation-2"]);
 }
@@ -46,9 +46,9 @@
 // A transaction is one operation, however many statements it has.
 #[test]
 fn statements_of_one_transaction_count_once() {
-    let began = Instant::now();
+    let start = Instant::now();
     let statements: Vec<Run> = (0..500)
-        .map(|number| run(&format!("t0x{}", number / 5), "organisation-0", began))
+        .map(|number| run(&format!("t0x{}", number / 5), "organisation-0", start))
         .collect();
     assert_eq!(organisations::violations(&statements), Vec::<String>::new());
 }
