--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,6 +1,7 @@
-//! Callers that write and read items of their own, and check what they are told.
+//! Callers that write and read items and check the answers.
 //!
-//! Each write has data that no other has, so that the log tells afterwards what became of it.
+//! Each caller writes and reads one item that no other caller uses. The data of each write is unique, so that
+//! the primary's log shows after the run whether the write was applied.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -26,22 +27,22 @@
 
 use crate::organisations::Organisations;
 
-/// How long a caller waits for an answer before it gives its connection up.
+/// The time limit of a connection attempt and of an answer. After it, the caller closes the connection.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// The pause after a refusal or a lost connection.
+/// The pause after an error or a failed connection attempt.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// What a proxy says to an unknown key.
+/// The error code of a proxy's answer to an unknown key.
 const DENIED: &[u8] = b"DENIED";
 
-/// What callers present as a key where there are no organisations.
+/// The key that callers present if the run has no organisations.
 const NO_KEY: &str = "soak";
 
-/// The largest message, in bytes.
+/// The maximum size of a message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// The errors that promise that nothing is kept.
+/// The errors that guarantee that the write was not applied.
 const NOT_APPLIED_ERRORS: [TargetError; 6] = [
     TargetError::Busy,
     TargetError::Aborted,
@@ -51,64 +52,65 @@
     TargetError::TooManyConnections,
 ];
 
-/// What callers were told.
+/// The answers that callers received, and the violations that they found in them.
 #[derive(Debug, Default)]
 pub struct Observations {
     /// The data of writes that were acknowledged.
     pub acknowledged: BTreeSet<String>,
-    /// The data of writes that were said not to have run.
+    /// The data of writes that were reported as not applied, or whose commit was not sent.
     pub denied: BTreeSet<String>,
-    /// How many reads were answered.
+    /// The number of answered reads.
     pub reads: u64,
-    /// Promises that were seen broken.
+    /// Descriptions of answered reads that violate a guarantee.
     pub violations: Vec<String>,
 }
 
 /// One caller.
 #[derive(Debug)]
 pub struct Caller {
-    /// Its number, which names its item.
+    /// The caller's number, which is part of its item's name and of its statements' ids and data.
     pub number: usize,
-    /// The proxies it may connect to.
+    /// The proxies that it connects to, chosen at random for each connection.
     pub proxies: Vec<SocketAddr>,
-    /// What all callers were told.
+    /// The observations of all callers.
     pub observations: Arc<Mutex<Observations>>,
-    /// Whose keys they use, if there are organisations.
+    /// The organisations whose keys callers use, if the run has any.
     pub organisations: Option<Arc<Organisations>>,
-    /// Whether it goes on.
+    /// Whether the caller continues. It ends when this becomes false.
     pub is_running: watch::Receiver<bool>,
 }
 
-/// What became of one statement.
+/// The outcome of one statement.
 enum Outcome {
     Done(Option<String>),
     Failed(TargetError),
-    /// No whole answer.
+    /// No complete answer was received.
     Lost,
 }
 
-/// What a caller remembers of its writes.
+/// A caller's state, which is kept across its connections.
 #[derive(Debug, Default)]
 struct CallerState {
-    /// The number of its last write.
+    /// The sequence number of the last write.
     sequence: u64,
-    /// The last write that was acknowledged.
+    /// The sequence number of the last acknowledged write.
     acknowledged: u64,
-    /// How many reads were sent.
+    /// The number of reads that were sent.
     reads: u64,
-    /// Writes whose outcome is unknown. They may take effect late, after later ones.
+    /// The sequence numbers of writes whose outcome is unknown. They may be applied late, after writes with
+    /// higher numbers.
     in_doubt: BTreeSet<u64>,
 }
 
 struct Connection {
     stream: TcpStream,
     input: BytesMut,
-    /// The data of the last write that was acknowledged on it.
+    /// The sequence number of the last write that was acknowledged on this connection; zero if none was.
     floor: u64,
 }
 
 impl Caller {
-    /// Writes and reads until it is told to end.
+    /// Opens connections, and writes and reads on them, until `is_running` becomes false.
     pub async fn run(self, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut state = CallerState::default();
@@ -170,7 +172,7 @@
         }
         let wrote = connection.run(&id, Statement::Write { arguments: &arguments }).await;
         if !matches!(wrote, Outcome::Done(_)) {
-            // Its commit was never sent, so nothing may be kept, whatever was said.
+            // The commit was never sent, so the write must not be applied, whatever the answer was.
             self.observations.lock().denied.insert(data);
             let ended = connection.run(&id, Statement::Rollback).await;
             return matches!(ended, Outcome::Done(_));
@@ -179,7 +181,7 @@
         self.record_outcome(outcome, connection, state, false).await
     }
 
-    /// Writes down what a commit was told. Returns whether the connection goes on.
+    /// Records the outcome of a commit. Returns whether the connection can still be used.
     async fn record_outcome(
         &self,
         outcome: Outcome,
@@ -229,7 +231,8 @@
         }
     }
 
-    /// A read shows the caller's own item, no older than it has to see.
+    /// Checks that a read returned the caller's item with a write that is not older than `floor`. An older
+    /// write is valid only if its outcome is unknown, because it may have been applied after newer ones.
     fn check(&self, row: &str, floor: u64, state: &CallerState) {
         let mut observations = self.observations.lock();
         observations.reads += 1;
@@ -253,7 +256,7 @@
     }
 }
 
-/// Opens a session with a key, if the proxy takes it.
+/// Opens a session with a key. Returns `None` if the connection fails or the proxy refuses the session.
 async fn open(proxy: SocketAddr, database: &str, key: &str) -> Option<Connection> {
     let mut connection = connect(proxy).await?;
     match connection.exchange(startup_message(database, key).as_bytes()).await {
@@ -271,7 +274,8 @@
     format!("STARTUP {database} {key}\n")
 }
 
-/// Whether a proxy refuses a session because it does not know the key.
+/// Returns whether a proxy refuses a session because it does not know the key. Returns false if no answer is
+/// received.
 pub async fn is_denied(proxy: SocketAddr, key: &str) -> bool {
     let refused = async {
         let mut connection = connect(proxy).await?;
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! A series of overlapping faults out of a seed.
+//! A random series of overlapping faults, determined by a seed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,35 +18,37 @@
 use crate::relay::Relay;
 use crate::relay::RelayMode;
 
-/// When members start again, in milliseconds of Unix time at least: each time another.
+/// The earliest start time of members that restart without data, in milliseconds of Unix time. A random
+/// offset makes each start time different.
 const BASE_START_TIME_MS: u64 = 1_700_000_000_000;
 
-/// How long a member that started with nothing may take to catch up before it counts as stuck.
+/// The maximum time to wait until a member that restarted without data has caught up. After it, the next such
+/// fault may start.
 const CATCH_UP_LIMIT: Duration = Duration::from_secs(60);
 
-/// How often it is looked whether it has.
+/// The interval between checks whether the member has caught up.
 const CATCH_UP_POLL: Duration = Duration::from_millis(50);
 
-/// What faults are done to.
+/// The processes, links and stand-ins that faults are applied to.
 #[derive(Clone, Debug)]
 pub struct SystemUnderTest {
-    /// The proxies.
+    /// The proxy processes.
     pub proxies: Vec<Arc<Mutex<Proxy>>>,
-    /// The way of each proxy to the platform.
+    /// The relay between each proxy and the platform.
     pub to_platform: Vec<Relay>,
-    /// The way to each target.
+    /// The relay in front of each target, by its index in the group.
     pub to_targets: Vec<Relay>,
-    /// The targets.
+    /// The group of targets.
     pub group: Arc<Group>,
-    /// The platform.
+    /// The platform's stand-in.
     pub platform: Arc<Platform>,
-    /// The organisations, if there are any.
+    /// The organisations, if the run has any.
     pub organisations: Option<Arc<Organisations>>,
-    /// Held while a member starts again with nothing.
+    /// Locked while a member restarts without data, so that at most one does.
     pub rebirth_lock: Arc<Mutex<()>>,
 }
 
-/// One kind of fault.
+/// A kind of fault.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Fault {
     Pause,
@@ -59,30 +61,32 @@
     TargetStops,
     TargetCut,
     TargetLeaves,
-    /// A replica receives nothing while the primary is to be replaced.
+    /// The primary announces its stop while a replica does not receive commits.
     LaggingHandover,
     TargetLosesAnswers,
     Platform(Mood),
     ForgetHistory,
-    /// A replica starts again under its name, and holds nothing of before.
+    /// A replica restarts under the same name, without its log.
     ReplicaLosesData,
-    /// The same, and the primary dies just before the replica is back.
+    /// A replica restarts without its log, and the primary stops just before the replica's restart.
     ReplicaLosesDataAndPrimaryStops,
-    /// An organisation's key is withdrawn, and it gets another one.
+    /// An organisation's key is replaced, so that the old key is invalid.
     KeyReplaced,
     /// An organisation's limit is lowered, or raised again.
     LimitChanged,
 }
 
-/// Which kinds of fault come. What a seed does follows from its kinds, so kinds that are added later make
-/// a set of their own.
+/// A set of fault kinds.
+///
+/// The series of a seed depends on the kinds in the set. New kinds are put in a new set, so that existing
+/// seeds keep their series.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum FaultSet {
-    /// The first kinds.
+    /// Faults of processes, connections, targets and the platform.
     Usual,
-    /// The first kinds, and targets that start again with nothing.
+    /// The usual faults, and targets that restart without data.
     WithDataLoss,
-    /// The first kinds, and changes of organisations' keys and limits.
+    /// The usual faults, and changes of organisations' keys and limits.
     WithOrganisations,
 }
 
@@ -90,7 +94,7 @@
     /// The names on the command line.
     pub const NAMES: [&'static str; 3] = ["usual", "rebirths", "organisations"];
 
-    /// The set of this name.
+    /// Returns the set with this name.
     pub fn from_name(name: &str) -> Option<FaultSet> {
         match name {
             "usual" => Some(FaultSet::Usual),
@@ -150,7 +154,7 @@
     Fault::ForgetHistory,
 ];
 
-/// Brings faults about, each for a while, until the time is over; returns once all have ended.
+/// Starts random faults for the time `length`, each with a random duration. Returns when all have ended.
 pub async fn run_series(system: SystemUnderTest, set: FaultSet, seed: u64, length: Duration) {
     let faults = set.faults();
     let mut rng = StdRng::seed_from_u64(seed);
@@ -164,7 +168,7 @@
         time::sleep(Duration::from_millis(rng.random_range(150..1_200))).await;
     }
     for fault in running {
-        // One that was broken off has ended.
+        // An error means that the task panicked or was aborted, which also ends the fault.
         let _ = fault.await;
     }
 }
@@ -239,8 +243,10 @@
     }
 }
 
-/// A replica starts again with nothing. One at a time, and not before the one before has caught up: a commit is
-/// acknowledged by two members, so it would be lost if both lost their logs.
+/// Restarts a replica without its log, and waits until it has caught up.
+///
+/// Only one replica at a time may be without data: a commit is acknowledged once two members have it, so it
+/// would be lost if both lost their logs.
 async fn restart_without_data(
     system: &SystemUnderTest,
     choice: usize,
@@ -281,7 +287,7 @@
 
 async fn restart_proxy(proxy: &Mutex<Proxy>, signal: Signal, pause: Duration) {
     let mut proxy = proxy.lock().await;
-    // One that stands still would not notice a request to stop.
+    // A process that is stopped by SIGSTOP does not handle SIGTERM until it continues.
     proxy.signal(Signal::SIGCONT);
     proxy.signal(signal);
     proxy.wait().await;
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,17 +1,17 @@
-//! A randomized soak: real proxy processes on loopback, faults from outside them, and the promises
-//! checked from what callers and targets see.
+//! A randomized fault soak test of real proxy processes on loopback.
 //!
-//! A seed decides everything but the machine's timing: which faults come, when, and for how long.
-//! Faults overlap. After them everything is healed, and the targets' log tells whether an
-//! acknowledged write is lost, one is doubled, or one is there that was said not to have run.
-//! Processes are ended by their ids, and only those that the soak started.
+//! Faults are injected from outside the processes, and the proxy's guarantees are checked from the
+//! observations of callers and targets. A seed determines everything except the machine's timing: which faults
+//! occur, when and for how long. Faults may overlap. After the last fault has ended, the primary's log shows
+//! whether an acknowledged write was lost, a write was applied twice, or a write was applied that had been
+//! reported as not applied. The soak signals processes by their ids, and only those that it started.
 //!
-//! - [`relay`]: connections that are delayed, reset, cut one way or silenced
+//! - [`relay`]: TCP relays that delay, reset, hold back or slow down connections
 //! - [`process`]: the proxies as child processes
-//! - [`faults`]: the series of faults
-//! - [`callers`]: callers that check what they are told
-//! - [`organisations`]: keys that are withdrawn, limits that change, and what must hold for them
-//! - [`run`]: one seed from start to verdict
+//! - [`faults`]: the random series of faults
+//! - [`callers`]: callers that write, read and check the answers
+//! - [`organisations`]: organisations with changing keys and limits, and the checks of both
+//! - [`run`]: the run of one seed and its verdict
 
 pub mod callers;
 pub mod faults;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the soak by hand: `skylark-soak --program target/release/skylark-platform --seeds 50`.
+//! Runs the soak from the command line: `skylark-soak --program target/release/skylark-platform --seeds 50`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -73,7 +73,7 @@
                     println!("  {violation}");
                 }
                 match verdict.violations.is_empty() {
-                    // The logs of a seed that failed are kept.
+                    // The logs of a failed seed are kept.
                     true => drop(std::fs::remove_dir_all(&options.folder)),
                     false => {
                         println!("  logs: {}", options.folder.display());
--- a/crates/soak/src/organisations.rs
+++ b/crates/soak/src/organisations.rs
@@ -1,8 +1,9 @@
-//! Organisations whose keys are withdrawn and whose limits change, and what must hold for them.
+//! Organisations whose keys are replaced and whose limits change during a run, and the checks of both.
 //!
 //! - Each statement runs under the name of the organisation whose key its caller used.
-//! - An organisation with a limit runs no more in any window than the highest limit of the run allows.
-//! - A key that was withdrawn is refused by every proxy once the deployment has healed.
+//! - An organisation with a limit runs at most as many operations in any window as the highest limit of the
+//!   run allows.
+//! - Every proxy refuses a withdrawn key after the deployment has recovered from the faults.
 
 use std::collections::BTreeSet;
 use std::collections::VecDeque;
@@ -21,28 +22,29 @@
 
 use crate::callers;
 
-/// How many organisations there are. Callers belong to them in turn.
+/// The number of organisations. Callers are assigned to them round-robin.
 const ORGANISATIONS: usize = 3;
 
-/// The limits that an organisation has in turn, in operations a second; the first one of all never changes, the last
-/// one has none.
+/// The limits that organisation 1 has alternately, in operations per second.
 const CHANGING_LIMITS: [f64; 2] = [40.0, 15.0];
+
+/// The limit of organisation 0, in operations per second. Organisation 2 has no limit.
 const FIXED_LIMIT: f64 = 20.0;
 
-/// The burst of each limit, in operations.
+/// The burst that each limit allows, in operations.
 const BURST: f64 = 10.0;
 
-/// What the limits tolerate.
+/// The tolerance of the limits: the window of the check, and the excess and slack that it allows.
 pub const TOLERANCE: QuotaTolerance =
     QuotaTolerance { window_ms: 5_000, excess_milli: 100, slack: 20 };
 
-/// How long a healed deployment has until a withdrawn key is refused everywhere.
+/// The time after the end of the faults within which every proxy has to refuse withdrawn keys.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(40);
 
-/// The pause between two tries of a withdrawn key.
+/// The pause between two attempts to use a withdrawn key.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The organisations of one run, as an operator changes them.
+/// The organisations of one run, and the changes to their keys and limits.
 #[derive(Debug)]
 pub struct Organisations {
     platform: Arc<Platform>,
@@ -52,15 +54,15 @@
 #[derive(Debug)]
 struct State {
     table: RouteTable,
-    /// How often each organisation's key was replaced.
+    /// The number of replacements of each organisation's key.
     key_replacements: [u32; ORGANISATIONS],
     withdrawn: Vec<String>,
-    /// How often the changing limit changed.
+    /// The number of changes of the changing limit.
     limit_changes: usize,
 }
 
 impl Organisations {
-    /// Puts organisations in force beside what a table says.
+    /// Configures the platform with a route table and the organisations.
     pub fn start(platform: &Arc<Platform>, table: RouteTable) -> Organisations {
         let state = State {
             table,
@@ -74,13 +76,13 @@
         organisations
     }
 
-    /// The key that a caller of this number uses now.
+    /// Returns the current key of a caller's organisation.
     pub fn key_of(&self, caller: usize) -> String {
         let organisation = caller % ORGANISATIONS;
         api_key(organisation, self.state.lock().key_replacements[organisation])
     }
 
-    /// Withdraws the key of one organisation and gives it another one.
+    /// Withdraws the key of one organisation and gives it a new one.
     pub fn replace_key(&self, choice: usize) {
         let mut state = self.state.lock();
         let organisation = choice % ORGANISATIONS;
@@ -90,7 +92,7 @@
         self.publish(&mut state);
     }
 
-    /// Lowers or raises the limit that changes.
+    /// Switches the changing limit to its other value.
     pub fn change_limit(&self) {
         let mut state = self.state.lock();
         state.limit_changes += 1;
@@ -117,7 +119,7 @@
         self.platform.configure(&state.table, Some(&bodies));
     }
 
-    /// Whether each proxy refuses each withdrawn key in the end.
+    /// Checks that each proxy refuses each withdrawn key within [`RECOVERY_LIMIT`]. Returns the violations.
     pub async fn withdrawn_keys_are_refused(&self, proxies: &[SocketAddr]) -> Vec<String> {
         let withdrawn = self.state.lock().withdrawn.clone();
         let deadline = Instant::now() + RECOVERY_LIMIT;
@@ -137,7 +139,8 @@
     }
 }
 
-/// Statements that ran under another organisation's name, and windows with more operations than limits allow.
+/// Returns the violations in the statements that targets ran: statements under another organisation's name,
+/// and windows with more operations than the limits allow.
 pub fn violations(runs: &[Run]) -> Vec<String> {
     let caller_runs: Vec<(usize, &Run)> =
         runs.iter().filter_map(|run| Some((caller_number(&run.id)?, run))).collect();
@@ -155,12 +158,12 @@
     violations
 }
 
-/// The window with the most operations, if these are more than a limit allows.
+/// Returns a violation if the window with the most operations has more than a limit allows.
 fn limit_violation<'a, R>(user: &str, runs: R, rate_per_s: f64) -> Option<String>
 where
     R: Iterator<Item = &'a Run>,
 {
-    // An operation counts where it is seen first: a transaction has several statements.
+    // An operation is counted at its first statement, because a transaction has several.
     let mut seen = BTreeSet::new();
     let mut starts: Vec<Instant> =
         runs.filter(|run| seen.insert(run.id.as_str())).map(|run| run.at).collect();
@@ -181,7 +184,8 @@
         .then(|| format!("limit: {user} ran {most} in a window, {allowed} allowed"))
 }
 
-/// The number of the caller that gave a statement its id: a letter, the number, and `x` with a count.
+/// Returns the number of the caller that chose a statement's id. An id is a letter, the caller's number, `x`
+/// and a sequence number.
 fn caller_number(id: &str) -> Option<usize> {
     id.get(1..)?.split_once('x')?.0.parse().ok()
 }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! The proxies as child processes.
+//! Proxies that run as child processes.
 
 use std::io;
 use std::path::PathBuf;
@@ -15,24 +15,24 @@
 use tokio::process::Child;
 use tokio::process::Command;
 
-/// After this time a started program runs, on a busy machine too.
+/// The time after which a started process has installed its signal handlers, also on a busy machine.
 const STARTUP_TIME: Duration = Duration::from_millis(500);
 
-/// What a proxy is started with.
+/// The program and the settings of a proxy.
 #[derive(Clone, Debug)]
 pub struct ProxySetup {
-    /// The program.
+    /// The path of the proxy's program.
     pub program: PathBuf,
-    /// The folder for its settings and logs.
+    /// The folder for the settings file and the log file, which are named after the VM.
     pub folder: PathBuf,
-    /// Its settings.
+    /// The proxy's settings.
     pub settings: PlatformSettings,
 }
 
-/// One proxy.
+/// A proxy process, which can be restarted.
 #[derive(Debug)]
 pub struct Proxy {
-    /// What it is started with.
+    /// The program and the settings that each start uses.
     pub setup: ProxySetup,
     child: Option<Child>,
     started: Instant,
@@ -46,7 +46,7 @@
         Ok(proxy)
     }
 
-    /// Starts it again after its end.
+    /// Starts the process again after it has ended. Appends to the log file.
     pub fn restart(&mut self) -> io::Result<()> {
         let vm = &self.setup.settings.sessions.vm;
         let file = self.setup.folder.join(format!("{vm}.toml"));
@@ -66,33 +66,33 @@
         Ok(())
     }
 
-    /// Sends it a signal. Nothing happens if it has ended.
+    /// Sends a signal to the process. Does nothing if the process has ended.
     pub fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().and_then(Child::id);
         if let Some(id) = id.and_then(|id| i32::try_from(id).ok()) {
-            // It may end at this moment; its number is not given out again before it is waited for.
+            // The process may have ended meanwhile. Its id is not reused before it has been waited for.
             let _ = signal::kill(Pid::from_raw(id), signal);
         }
     }
 
-    /// Asks it to reload, unless it was started a moment ago: until its program runs, nothing of it could
-    /// hold the signal back, and the system would end it.
+    /// Sends SIGHUP to reload the configuration, unless the process was just started: before it has installed
+    /// its signal handler, SIGHUP would terminate it.
     pub fn reload(&self) {
         if self.started.elapsed() >= STARTUP_TIME {
             self.signal(Signal::SIGHUP);
         }
     }
 
-    /// Waits for its end after a signal that ends it.
+    /// Waits until the process has ended. Call it after a signal that terminates the process.
     pub async fn wait(&mut self) {
         if let Some(child) = &mut self.child {
-            // A process that can't be waited for has been.
+            // An error means that the process has already been waited for.
             let _ = child.wait().await;
         }
         self.child = None;
     }
 
-    /// How it ended without having been told to; none while it runs.
+    /// Returns the exit status if the process ended without a signal from the soak, and `None` while it runs.
     pub fn unexpected_exit(&mut self) -> Option<ExitStatus> {
         self.child.as_mut().and_then(|child| child.try_wait().ok().flatten())
     }
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/relay.rs
@@ -1,4 +1,4 @@
-//! A loopback relay that treats connections badly.
+//! A TCP relay on loopback that can delay, hold back, reset or slow down connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,38 +17,39 @@
 use tokio::time;
 use tokio::time::Instant;
 
-/// How much is passed on at once, in bytes.
+/// The maximum number of bytes that are forwarded at once.
 const CHUNK_BYTES: usize = 8 << 10;
 
-/// The same on a slow link, so that its connections pass bytes by turns.
+/// The maximum number of bytes that are forwarded at once on a slow link. It is smaller, so that connections
+/// share the link fairly.
 const SLOW_CHUNK_BYTES: usize = 2 << 10;
 
-/// How much of the time that bytes passed too late is made up for.
+/// The maximum delay of a slow link's schedule, caused by late wake-ups, that is caught up by sending faster.
 const MAX_CATCH_UP: Duration = Duration::from_millis(200);
 
-/// How much the system holds on a slow link that has not passed yet, in bytes. Otherwise it takes in far
-/// more than passes, and a sender sees no slow link.
+/// The size of the receive buffers on a slow link, in bytes. With the default size the system would buffer
+/// far more than the link carries, and a sender would not notice that the link is slow.
 const SLOW_BUFFER_BYTES: usize = 16 << 10;
 
-/// How the relay treats bytes.
+/// The way in which a relay forwards bytes.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RelayMode {
-    /// They pass.
+    /// Bytes are forwarded without delay.
     Forward,
-    /// They pass later, by so many milliseconds.
+    /// Each chunk of bytes is forwarded after a delay in milliseconds.
     Delay(u64),
-    /// Nothing passes back; what is sent arrives.
+    /// Bytes to the destination are forwarded. Bytes from it are held back until the mode changes.
     OneWay,
-    /// Nothing passes.
+    /// Bytes in both directions are held back until the mode changes.
     Silent,
 }
 
-/// A link that all connections of a relay share.
+/// A link of limited bandwidth that all connections of a relay share.
 #[derive(Debug)]
 struct SlowLink {
-    /// What it carries each way.
+    /// The bandwidth of each direction.
     bytes_per_s: u64,
-    /// When the next byte may pass, there and back.
+    /// The time at which the link is free for the next byte, to the destination and from it.
     next_free: [Mutex<Instant>; 2],
 }
 
@@ -58,12 +59,12 @@
         SlowLink { bytes_per_s, next_free: [Mutex::new(now), Mutex::new(now)] }
     }
 
-    /// Waits until so many bytes have passed.
+    /// Waits for the time that the link needs to transmit `count` bytes after the bytes before them.
     async fn transmit(&self, is_response: bool, count: usize) {
         let duration = Duration::from_secs_f64(count as f64 / self.bytes_per_s as f64);
         let until = {
             let mut next_free = self.next_free[usize::from(is_response)].lock();
-            // Sleeping too long at one time is made up for at the next.
+            // A sleep that took too long shortens the following ones.
             let earliest = Instant::now().checked_sub(MAX_CATCH_UP).unwrap_or(*next_free);
             *next_free = (*next_free).max(earliest) + duration;
             *next_free
@@ -72,25 +73,25 @@
     }
 }
 
-/// One relay.
+/// A running relay. Clones share its state.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    /// Where it listens.
+    /// The address on which the relay listens.
     pub address: SocketAddr,
     mode: Arc<watch::Sender<RelayMode>>,
-    /// Grows with each reset.
+    /// The number of resets. Each change closes all open connections.
     resets: Arc<watch::Sender<u64>>,
-    /// None if bytes pass as fast as they come.
+    /// The shared link, or `None` if the bandwidth is not limited.
     slow_link: Option<Arc<SlowLink>>,
 }
 
 impl Relay {
-    /// Starts a relay to an address.
+    /// Starts a relay to an address, in the mode [`RelayMode::Forward`].
     pub async fn start(to: SocketAddr) -> io::Result<Relay> {
         Relay::start_with_link(to, None).await
     }
 
-    /// Starts a relay that is a link of so many bytes a second each way.
+    /// Starts a relay with a limited bandwidth in each direction.
     pub async fn start_slow(to: SocketAddr, bytes_per_s: u64) -> io::Result<Relay> {
         Relay::start_with_link(to, Some(SlowLink::new(bytes_per_s))).await
     }
@@ -98,7 +99,7 @@
     async fn start_with_link(to: SocketAddr, slow_link: Option<SlowLink>) -> io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         if slow_link.is_some() {
-            // Connections that are accepted have the same.
+            // Accepted connections inherit the size.
             SockRef::from(&listener).set_recv_buffer_size(SLOW_BUFFER_BYTES)?;
         }
         let relay = Relay {
@@ -116,7 +117,7 @@
         Ok(relay)
     }
 
-    /// Changes how bytes are treated, on open connections too.
+    /// Changes the mode, also for open connections.
     pub fn set_mode(&self, mode: RelayMode) {
         self.mode.send_replace(mode);
     }
@@ -139,7 +140,7 @@
         let to_target_result = self.forward(from_caller, to_target, false);
         let to_caller_result = self.forward(from_target, to_caller, true);
         tokio::select! {
-            // One side closed, or broke: so does the other when both are dropped.
+            // One side was closed or failed. Dropping both streams closes the other side too.
             _ = to_target_result => (),
             _ = to_caller_result => (),
             _ = resets.changed() => (),
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One seed from start to verdict.
+//! The run of one seed, from the start of the processes to the verdict.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -34,44 +34,44 @@
 use crate::process::ProxySetup;
 use crate::relay::Relay;
 
-/// How long a healed deployment has until it serves again. The users allow 12 s; a busy machine needs
-/// longer and must not change the verdict.
+/// The time after the end of the faults within which writes have to be acknowledged again. The requirement is
+/// 12 s; the longer limit keeps a busy machine from changing the verdict.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(40);
 
-/// The service of the soak.
+/// The name of the service that callers use.
 const SERVICE: &str = "soak";
 
-/// How a soak is set up.
+/// The options of a run.
 #[derive(Clone, Debug)]
 pub struct SoakOptions {
-    /// The proxy's program.
+    /// The path of the proxy's program.
     pub program: PathBuf,
-    /// A folder for settings and logs.
+    /// The folder for the proxies' settings and logs. It is created if it does not exist.
     pub folder: PathBuf,
-    /// How many proxies.
+    /// The number of proxies.
     pub proxies: usize,
-    /// How many callers.
+    /// The number of callers.
     pub callers: usize,
-    /// How long faults come.
+    /// The time during which faults are started.
     pub length: Duration,
-    /// Which kinds of fault come.
+    /// The kinds of faults.
     pub faults: FaultSet,
 }
 
-/// What a soak found.
+/// The result of a run.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Verdict {
-    /// Acknowledged writes.
+    /// The number of acknowledged writes.
     pub acknowledged: usize,
-    /// Writes that were said not to have run.
+    /// The number of writes that were reported as not applied, or whose commit was not sent.
     pub denied: usize,
-    /// Answered reads.
+    /// The number of answered reads.
     pub reads: u64,
-    /// Promises that were broken.
+    /// Descriptions of all violated guarantees; empty if the run passed.
     pub violations: Vec<String>,
 }
 
-/// Runs one seed.
+/// Runs one seed and returns its verdict. Returns an error if the processes or relays can't be started.
 pub async fn run(options: &SoakOptions, seed: u64) -> io::Result<Verdict> {
     std::fs::create_dir_all(&options.folder)?;
     let to_targets = Arc::new(Mutex::new(Vec::new()));
@@ -145,7 +145,7 @@
     let mut violations = wait_for_recovery(&observations).await;
     is_running.send_replace(false);
     for caller in callers {
-        // A caller that panicked would have failed an assertion, and there is none.
+        // An error means that the caller panicked. Callers report violations without panicking.
         let _ = caller.await;
     }
     if let Some(organisations) = &organisations {
@@ -174,7 +174,8 @@
     })
 }
 
-/// Waits until writes are acknowledged after the last fault.
+/// Waits until 20 more writes are acknowledged after the last fault. Returns a violation if that takes longer
+/// than [`RECOVERY_LIMIT`].
 async fn wait_for_recovery(observations: &Mutex<Observations>) -> Vec<String> {
     let before = observations.lock().acknowledged.len();
     let deadline = Instant::now() + RECOVERY_LIMIT;
@@ -187,7 +188,8 @@
     Vec::new()
 }
 
-/// Calls that named a primary with a lower token than one before, or with that of another driver.
+/// Returns the calls that named a primary with a lower token than the call before, or with the same token as
+/// another driver.
 fn token_violations(named: &[Named]) -> Vec<String> {
     let pairs = named.windows(2);
     let falls = pairs.filter(|pair| {
@@ -197,7 +199,7 @@
     falls.map(|pair| format!("token: {:?} after {:?}", pair[1], pair[0])).collect()
 }
 
-/// How often each data was written.
+/// Returns how often each write's data is in a log.
 fn count_writes(log: &[skylark_standin::typed::group::Record]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for (_, data) in log.iter().flat_map(|record| &record.writes) {
@@ -206,6 +208,8 @@
     counts
 }
 
+/// Compares the callers' observations with the primary's log. Returns lost writes, duplicated writes, and applied
+/// writes that were reported as not applied.
 fn log_violations(
     observations: &Observations,
     write_counts: &BTreeMap<String, usize>,
@@ -258,7 +262,7 @@
     }
 }
 
-/// A folder for one seed below the system's folder for passing files.
+/// Returns a folder for the files of one seed, below the system's temporary folder.
 pub fn folder_of(seed: u64) -> PathBuf {
     let name = format!("skylark-soak-{}-{seed}", std::process::id());
     Path::new(&std::env::temp_dir()).join(name)
--- a/crates/soak/tests/organisations.rs
+++ b/crates/soak/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! The soak's checks of organisations find what breaks a promise, and nothing else.
+//! Tests that the soak's checks of organisations report violations, and only violations.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,7 +17,8 @@
     }
 }
 
-/// Reads of the caller with number zero, whose organisation's limit never changes, spread over five seconds.
+/// Returns reads of caller 0, whose organisation's limit is fixed, spread over four seconds and so within one
+/// window.
 fn reads(count: u32) -> Vec<Run> {
     let start = Instant::now();
     let read = |number: u32| {
@@ -36,14 +37,15 @@
     assert_eq!(organisations::violations(&crossed), ["crossed: w4x1 ran as organisation-2"]);
 }
 
-// 20 a second for 5 s and a burst of 10, a tenth and 20 on top: 141.
+// The limit allows 20 operations per second for 5 s plus a burst of 10, which is 110. With the tolerance of
+// 10 % and a slack of 20, a window may have 141.
 #[test]
 fn a_window_beyond_the_limit_is_found() {
     assert_eq!(organisations::violations(&reads(141)), Vec::<String>::new());
     assert_eq!(organisations::violations(&reads(142)).len(), 1);
 }
 
-// A transaction is one operation, however many statements it has.
+// A transaction counts as one operation, regardless of its number of statements.
 #[test]
 fn statements_of_one_transaction_count_once() {
     let start = Instant::now();
