--- a/crates/ctl/src/confirm.rs
+++ b/crates/ctl/src/confirm.rs
@@ -60,7 +60,7 @@
         let unchanged = confirmation.progress() == Progress::Untouched;
         if Instant::now() >= deadline || (unchanged && unanswered_calls >= MAX_UNANSWERED_CALLS) {
             let stop = if unanswered_calls > 0 {
-                StopReason::Unanswered(last_error)
+                StopReason::Lost(last_error)
             } else {
                 StopReason::TimedOut
             };
@@ -114,7 +114,7 @@
 /// The reason for stopping a confirmation before the state machine has ended.
 enum StopReason {
     /// The platform does not answer.
-    Unanswered(String),
+    Lost(String),
     /// The platform refused a call.
     Refused(String),
     /// The time limit was reached while a step waited for others.
@@ -124,7 +124,7 @@
 fn stop_failure(id: &str, confirmation: &Confirmation, stop: StopReason) -> Failure {
     let id = id.to_owned();
     let reason = match &stop {
-        StopReason::Unanswered(reason) => format!("the platform does not answer: {reason}"),
+        StopReason::Lost(reason) => format!("the platform does not answer: {reason}"),
         StopReason::Refused(reason) => reason.clone(),
         StopReason::TimedOut => "the time is up".to_owned(),
     };
@@ -132,7 +132,7 @@
         (Progress::Unanswered, _) => Failure::OutcomeUnknown { id, cause: reason },
         (Progress::Unfinished, stop) => unfinished(id, confirmation.record(), stop, reason),
         (Progress::Untouched, StopReason::Refused(reason)) => Failure::PlatformRefused { reason },
-        (Progress::Untouched, StopReason::Unanswered(reason)) => Failure::PlatformDown { reason },
+        (Progress::Untouched, StopReason::Lost(reason)) => Failure::PlatformDown { reason },
         (Progress::Untouched, StopReason::TimedOut) => Failure::PlatformDown { reason },
     }
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -22,8 +22,8 @@
 /// offset makes each start time different.
 const BASE_START_TIME_MS: u64 = 1_700_000_000_000;
 
-/// The maximum time to wait until a member that restarted without data has caught up. After it, the next such
-/// fault may start.
+/// The time within which a member that restarted without data has to catch up. After it, the member counts as
+/// stuck, and the next such fault may start.
 const CATCH_UP_LIMIT: Duration = Duration::from_secs(60);
 
 /// The interval between checks whether the member has caught up.
@@ -280,8 +280,9 @@
 
 fn has_caught_up(group: &Group, replica: usize) -> bool {
     group.leader().is_some_and(|leader| {
-        let (there, here) = (group.member(leader).log.len(), group.member(replica).log.len());
-        leader != replica && here >= there
+        let leader_len = group.member(leader).log.len();
+        let replica_len = group.member(replica).log.len();
+        leader != replica && replica_len >= leader_len
     })
 }
 
--- a/crates/soak/src/organisations.rs
+++ b/crates/soak/src/organisations.rs
@@ -119,7 +119,7 @@
         self.platform.configure(&state.table, Some(&bodies));
     }
 
-    /// Checks that each proxy refuses each withdrawn key within [`RECOVERY_LIMIT`]. Returns the violations.
+    /// Checks that each proxy refuses each withdrawn key within `RECOVERY_LIMIT`. Returns the violations.
     pub async fn withdrawn_keys_are_refused(&self, proxies: &[SocketAddr]) -> Vec<String> {
         let withdrawn = self.state.lock().withdrawn.clone();
         let deadline = Instant::now() + RECOVERY_LIMIT;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -208,8 +208,8 @@
     counts
 }
 
-/// Compares the callers' observations with the primary's log. Returns lost writes, duplicated writes, and applied
-/// writes that were reported as not applied.
+/// Compares the callers' observations with the primary's log. Returns lost writes, duplicated writes, and
+/// applied writes that were reported as not applied.
 fn log_violations(
     observations: &Observations,
     write_counts: &BTreeMap<String, usize>,
