--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -280,8 +280,8 @@
 
 fn has_caught_up(group: &Group, replica: usize) -> bool {
     group.leader().is_some_and(|leader| {
-        let leader_len = group.member(leader).log.len();
-        let replica_len = group.member(replica).log.len();
+        let (leader_len, replica_len) =
+            (group.member(leader).log.len(), group.member(replica).log.len());
         leader != replica && replica_len >= leader_len
     })
 }
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/relay.rs
@@ -137,12 +137,12 @@
         }
         let (from_caller, to_caller) = stream.into_split();
         let (from_target, to_target) = target_stream.into_split();
-        let to_target_result = self.forward(from_caller, to_target, false);
-        let to_caller_result = self.forward(from_target, to_caller, true);
+        let forward_requests = self.forward(from_caller, to_target, false);
+        let forward_responses = self.forward(from_target, to_caller, true);
         tokio::select! {
             // One side was closed or failed. Dropping both streams closes the other side too.
-            _ = to_target_result => (),
-            _ = to_caller_result => (),
+            _ = forward_requests => (),
+            _ = forward_responses => (),
             _ = resets.changed() => (),
         }
     }
