--- a/crates/spec/src/lead/cases.rs
+++ b/crates/spec/src/lead/cases.rs
@@ -7,7 +7,7 @@
 use crate::explore;
 
 macro_rules! cases {
-    ($($without:expr, $questions:literal questions, $restarts:literal restarts;)*) => {
+    ($($without:expr, $requests:literal requests, $restarts:literal restarts;)*) => {
         /// Every case.
         pub const CASES: &[Case] = &[$(Case {
             model: "lead",
@@ -15,19 +15,19 @@
                 Some(safeguard) => Some(Safeguard::name(safeguard)),
                 None => None,
             },
-            bounds: concat!("3 members and a fourth, ", $questions, " questions, ", $restarts, " restarts"),
+            bounds: concat!("3 members and a fourth, ", $requests, " questions, ", $restarts, " restarts"),
             run: || {
-                explore::explore(&LeadModel::new($questions, $restarts, $without), case::STATE_LIMIT)
+                explore::explore(&LeadModel::new($requests, $restarts, $without), case::STATE_LIMIT)
             },
         },)*];
     };
 }
 
 cases! {
-    None, 3 questions, 1 restarts;
-    Some(Safeguard::FreshWord), 2 questions, 0 restarts;
-    Some(Safeguard::AskedTime), 2 questions, 0 restarts;
-    Some(Safeguard::KeptLog), 2 questions, 1 restarts;
-    Some(Safeguard::CompleteList), 2 questions, 0 restarts;
-    Some(Safeguard::Departed), 2 questions, 0 restarts;
+    None, 3 requests, 1 restarts;
+    Some(Safeguard::FreshReport), 2 requests, 0 restarts;
+    Some(Safeguard::RequestTime), 2 requests, 0 restarts;
+    Some(Safeguard::KeptLog), 2 requests, 1 restarts;
+    Some(Safeguard::CompleteList), 2 requests, 0 restarts;
+    Some(Safeguard::Departed), 2 requests, 0 restarts;
 }
--- a/crates/spec/src/lead/mod.rs
+++ b/crates/spec/src/lead/mod.rs
@@ -16,9 +16,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Safeguard {
     /// A word counts only if it was asked for after the read came. Off: any word counts.
-    FreshWord,
+    FreshReport,
     /// A word dates from its question. Off: from when it comes.
-    AskedTime,
+    RequestTime,
     /// A member that holds less than was acknowledged long ago does not count. Off: it does.
     KeptLog,
     /// A member that is not listed yet takes the words of all others. Off: it is not thought of.
@@ -31,8 +31,8 @@
     /// The switch's name on the command line.
     pub const fn name(self) -> &'static str {
         match self {
-            Safeguard::FreshWord => "fresh-word",
-            Safeguard::AskedTime => "asked-time",
+            Safeguard::FreshReport => "fresh-word",
+            Safeguard::RequestTime => "asked-time",
             Safeguard::KeptLog => "kept-log",
             Safeguard::CompleteList => "complete-list",
             Safeguard::Departed => "departed",
--- a/crates/spec/src/lead/model.rs
+++ b/crates/spec/src/lead/model.rs
@@ -23,8 +23,8 @@
 const NEW_TERM: u64 = 2;
 
 /// The times of the model: a question before the read came, the read, and one after it.
-const BEFORE_US: u64 = 1;
-const MOMENT_US: u64 = 2;
+const BEFORE_READ_US: u64 = 1;
+const READ_US: u64 = 2;
 
 /// What every member that kept its log has received.
 const FLOOR: LogPosition =
@@ -40,22 +40,22 @@
     holds_floor: bool,
     knows_new_term: bool,
     holds_new_commit: bool,
-    question: Question,
-    heard: Option<Heard>,
+    request: ReportRequest,
+    report: Option<Report>,
 }
 
 /// A question to a member.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
-enum Question {
+enum ReportRequest {
     #[default]
     None,
     /// Answered, and the answer is under way.
-    Answered(Heard),
+    Answered(Report),
 }
 
 /// A member's word.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-struct Heard {
+struct Report {
     after_read: bool,
     knows_new_term: bool,
     holds_floor: bool,
@@ -68,7 +68,7 @@
     acknowledged: bool,
     /// Whether the read came, and whether the commit had been acknowledged by then.
     read: Option<bool>,
-    questions: u8,
+    requests: u8,
     restarts: u8,
 }
 
@@ -82,7 +82,7 @@
     /// The successor acknowledges its commit.
     Acknowledge,
     /// A member starts again with nothing, and the list does not tell it yet.
-    StartAgain(usize),
+    RestartEmpty(usize),
     /// The fourth member starts.
     FourthStarts,
     /// The fourth member is listed.
@@ -90,9 +90,9 @@
     /// A member leaves.
     Leave(usize),
     /// A member is asked, and answers.
-    Ask(usize),
+    RequestReport(usize),
     /// Its answer comes.
-    Hear(usize),
+    DeliverReport(usize),
     /// The read comes.
     Read,
 }
@@ -103,12 +103,14 @@
             Step::Promote => f.write_str("the successor is promoted"),
             Step::Receive(member) => write!(f, "{} receives the commit", OTHERS[*member]),
             Step::Acknowledge => f.write_str("the commit is acknowledged"),
-            Step::StartAgain(member) => write!(f, "{} starts again with nothing", OTHERS[*member]),
+            Step::RestartEmpty(member) => {
+                write!(f, "{} starts again with nothing", OTHERS[*member])
+            }
             Step::FourthStarts => f.write_str("the fourth member starts"),
             Step::FourthIsListed => f.write_str("the fourth member is listed"),
             Step::Leave(member) => write!(f, "{} leaves", OTHERS[*member]),
-            Step::Ask(member) => write!(f, "{} is asked and answers", OTHERS[*member]),
-            Step::Hear(member) => write!(f, "the answer of {} comes", OTHERS[*member]),
+            Step::RequestReport(member) => write!(f, "{} is asked and answers", OTHERS[*member]),
+            Step::DeliverReport(member) => write!(f, "the answer of {} comes", OTHERS[*member]),
             Step::Read => f.write_str("the read comes"),
         }
     }
@@ -117,15 +119,15 @@
 /// The model.
 #[derive(Clone, Copy, Debug)]
 pub struct LeadModel {
-    questions: u8,
+    requests: u8,
     restarts: u8,
     without: Option<Safeguard>,
 }
 
 impl LeadModel {
     /// A model within these bounds.
-    pub fn new(questions: u8, restarts: u8, without: Option<Safeguard>) -> LeadModel {
-        LeadModel { questions, restarts, without }
+    pub fn new(requests: u8, restarts: u8, without: Option<Safeguard>) -> LeadModel {
+        LeadModel { requests, restarts, without }
     }
 
     fn has(&self, safeguard: Safeguard) -> bool {
@@ -134,23 +136,24 @@
 
     /// Whether the core lets the read be served.
     fn serves(&self, state: &State) -> bool {
-        let mut words = LeadWords::default();
+        let mut reports = LeadWords::default();
         let received = |holds_floor: bool| if holds_floor { FLOOR } else { LogPosition::default() };
-        let own = LeadReport { asked_us: BEFORE_US, leads: true, term: OLD_TERM, received: FLOOR };
-        words.record(&Arc::from(TARGET), own);
+        let own =
+            LeadReport { asked_us: BEFORE_READ_US, leads: true, term: OLD_TERM, received: FLOOR };
+        reports.record(&Arc::from(TARGET), own);
         for (name, member) in OTHERS.iter().zip(&state.members) {
-            let Some(heard) = member.heard else { continue };
-            let counts = heard.after_read || !self.has(Safeguard::FreshWord);
-            let word = LeadReport {
-                asked_us: if counts { MOMENT_US } else { BEFORE_US },
+            let Some(report) = member.report else { continue };
+            let counts = report.after_read || !self.has(Safeguard::FreshReport);
+            let lead_report = LeadReport {
+                asked_us: if counts { READ_US } else { BEFORE_READ_US },
                 leads: false,
-                term: if heard.knows_new_term { NEW_TERM } else { OLD_TERM },
-                received: received(heard.holds_floor),
+                term: if report.knows_new_term { NEW_TERM } else { OLD_TERM },
+                received: received(report.holds_floor),
             };
-            words.record(&Arc::from(*name), word);
+            reports.record(&Arc::from(*name), lead_report);
         }
         // The target is asked again once a later term was heard, and still says that it leads its own.
-        words.record(&Arc::from(TARGET), LeadReport { asked_us: MOMENT_US, ..own });
+        reports.record(&Arc::from(TARGET), LeadReport { asked_us: READ_US, ..own });
         let listed = OTHERS.iter().zip(&state.members).filter(|(_, member)| member.listed);
         let others: Vec<&str> = listed.map(|(name, _)| *name).collect();
         let departed = state.members.iter().filter(|member| member.left).count();
@@ -163,55 +166,55 @@
             is_complete: is_complete || !self.has(Safeguard::CompleteList),
             floor: received(self.has(Safeguard::KeptLog)),
         };
-        words.verdict(&Arc::from(TARGET), MOMENT_US, &group) == LeadVerdict::Proved
+        reports.verdict(&Arc::from(TARGET), READ_US, &group) == LeadVerdict::Proved
     }
 
-    fn steps_of(&self, state: &State, member: usize, next: &mut Vec<(Step, State)>) {
+    fn member_steps(&self, state: &State, member: usize, next: &mut Vec<(Step, State)>) {
         let mut push = |step: Step, change: fn(&mut Member)| {
             let mut after = state.clone();
             change(&mut after.members[member]);
             next.push((step, after));
         };
-        let present = &state.members[member];
+        let current = &state.members[member];
         let commits = state.members[SUCCESSOR].holds_new_commit && state.members[SUCCESSOR].runs;
-        if member != SUCCESSOR && present.runs && commits && !present.holds_new_commit {
+        if member != SUCCESSOR && current.runs && commits && !current.holds_new_commit {
             push(Step::Receive(member), |member| {
                 member.holds_floor = true;
                 member.knows_new_term = true;
                 member.holds_new_commit = true;
             });
         }
-        if member != SUCCESSOR && present.listed {
+        if member != SUCCESSOR && current.listed {
             push(Step::Leave(member), |member| {
                 *member = Member { left: true, ..Member::default() };
             });
         }
-        if present.question != Question::None {
+        if current.request != ReportRequest::None {
             let mut after = state.clone();
-            let Question::Answered(mut heard) = present.question else { return };
-            heard.after_read |= !self.has(Safeguard::AskedTime) && state.read.is_some();
-            after.members[member].question = Question::None;
-            after.members[member].heard = Some(heard);
-            next.push((Step::Hear(member), after));
+            let ReportRequest::Answered(mut report) = current.request else { return };
+            report.after_read |= !self.has(Safeguard::RequestTime) && state.read.is_some();
+            after.members[member].request = ReportRequest::None;
+            after.members[member].report = Some(report);
+            next.push((Step::DeliverReport(member), after));
         }
-        if present.runs && present.listed && state.questions < self.questions {
+        if current.runs && current.listed && state.requests < self.requests {
             let mut after = state.clone();
-            after.questions += 1;
-            after.members[member].question = Question::Answered(Heard {
+            after.requests += 1;
+            after.members[member].request = ReportRequest::Answered(Report {
                 after_read: state.read.is_some(),
-                knows_new_term: present.knows_new_term,
-                holds_floor: present.holds_floor,
+                knows_new_term: current.knows_new_term,
+                holds_floor: current.holds_floor,
             });
-            next.push((Step::Ask(member), after));
+            next.push((Step::RequestReport(member), after));
         }
-        if member != SUCCESSOR && present.runs && state.restarts < self.restarts {
+        if member != SUCCESSOR && current.runs && state.restarts < self.restarts {
             let mut after = state.clone();
             after.restarts += 1;
-            let again = &mut after.members[member];
-            again.holds_floor = false;
-            again.knows_new_term = false;
-            again.holds_new_commit = false;
-            next.push((Step::StartAgain(member), after));
+            let restarted = &mut after.members[member];
+            restarted.holds_floor = false;
+            restarted.knows_new_term = false;
+            restarted.holds_new_commit = false;
+            next.push((Step::RestartEmpty(member), after));
         }
     }
 }
@@ -227,7 +230,7 @@
 
     fn steps(&self, state: &State, next: &mut Vec<(Step, State)>) {
         for member in 0..OTHERS.len() {
-            self.steps_of(state, member, next);
+            self.member_steps(state, member, next);
         }
         let successor = &state.members[SUCCESSOR];
         if !successor.knows_new_term {
