--- a/crates/spec/src/quota/cases.rs
+++ b/crates/spec/src/quota/cases.rs
@@ -26,5 +26,5 @@
     Some(Safeguard::Divide);
     Some(Safeguard::StartPart);
     Some(Safeguard::TakeOverPause);
-    Some(Safeguard::NoStock);
+    Some(Safeguard::NoSavedGrants);
 }
--- a/crates/spec/src/quota/mod.rs
+++ b/crates/spec/src/quota/mod.rs
@@ -20,7 +20,7 @@
     /// if it had been one since it started.
     TakeOverPause,
     /// An operation is granted when it is there to run. Off: grants are kept for later operations.
-    NoStock,
+    NoSavedGrants,
 }
 
 impl Safeguard {
@@ -30,7 +30,7 @@
             Safeguard::Divide => "divide",
             Safeguard::StartPart => "start-part",
             Safeguard::TakeOverPause => "take-over-pause",
-            Safeguard::NoStock => "no-stock",
+            Safeguard::NoSavedGrants => "no-stock",
         }
     }
 }
--- a/crates/spec/src/quota/model.rs
+++ b/crates/spec/src/quota/model.rs
@@ -15,7 +15,7 @@
 
 /// How many seconds are explored, and how many where grants are kept: buckets fill slowly.
 const END_S: u64 = 9;
-const END_WITH_STOCK_S: u64 = 13;
+const END_WITH_SAVED_GRANTS_S: u64 = 13;
 
 /// The VMs: two allocators, and one that a new list puts in the place of the first.
 const VMS: usize = 3;
@@ -28,18 +28,18 @@
 const TOLERANCE: QuotaTolerance = QuotaTolerance { window_ms: 2_000, excess_milli: 0, slack: 12 };
 
 /// The seconds at which operations of one window run, both ends included.
-const WINDOW: usize = 3;
+const WINDOW_SECONDS: usize = 3;
 
 /// How many operations may run in one window.
-const MOST_IN_WINDOW: u32 = 2 * 2 + 12 + 12;
+const MAX_OPERATIONS_IN_WINDOW: u32 = 2 * 2 + 12 + 12;
 
 /// How many faults there are, of which a restart is one and a new list two.
 const FAULTS: u8 = 4;
 const NEW_LIST_FAULTS: u8 = 2;
 
 /// How long VMs may differ about the list, and how long one that becomes an allocator waits.
-const LIST_SPREADS_S: u64 = 1;
-const TAKE_OVER_S: u64 = 2;
+const LIST_PROPAGATION_S: u64 = 1;
+const TAKEOVER_WAIT_S: u64 = 2;
 
 /// A state.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
@@ -49,40 +49,40 @@
     /// Who knows the new list.
     knows_new_list: [bool; VMS],
     /// When the first VM learned of it.
-    list_since_s: Option<u64>,
+    new_list_since_s: Option<u64>,
     faults: u8,
     /// How many operations ran in each second of the window, the present one first.
-    ran: [u32; WINDOW],
+    operations: [u32; WINDOW_SECONDS],
     /// Grants that are kept for later.
-    stock: u32,
+    saved_grants: u32,
 }
 
 /// What happens between two states.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
     /// Callers run all that an allocator grants.
-    Ask(usize),
+    RunGranted(usize),
     /// Callers take all that an allocator grants, for later.
-    Keep(usize),
+    SaveGrants(usize),
     /// Callers run what was granted before.
-    RunKept,
+    RunSaved,
     /// An allocator's process starts again.
     Restart(usize),
     /// A VM learns the new list.
     Learn(usize),
     /// A second passes.
-    Second,
+    Tick,
 }
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Step::Ask(vm) => write!(f, "callers run all that vm{vm} grants"),
-            Step::Keep(vm) => write!(f, "callers keep all that vm{vm} grants"),
-            Step::RunKept => f.write_str("callers run what they kept"),
+            Step::RunGranted(vm) => write!(f, "callers run all that vm{vm} grants"),
+            Step::SaveGrants(vm) => write!(f, "callers keep all that vm{vm} grants"),
+            Step::RunSaved => f.write_str("callers run what they kept"),
             Step::Restart(vm) => write!(f, "vm{vm} starts again"),
             Step::Learn(vm) => write!(f, "vm{vm} learns the new list"),
-            Step::Second => f.write_str("a second passes"),
+            Step::Tick => f.write_str("a second passes"),
         }
     }
 }
@@ -103,11 +103,11 @@
 
     /// Grants that are kept make far more states, and need no faults to show what they do.
     fn faults(&self) -> u8 {
-        if self.has(Safeguard::NoStock) { FAULTS } else { 0 }
+        if self.has(Safeguard::NoSavedGrants) { FAULTS } else { 0 }
     }
 
     fn end_s(&self) -> u64 {
-        if self.has(Safeguard::NoStock) { END_S } else { END_WITH_STOCK_S }
+        if self.has(Safeguard::NoSavedGrants) { END_S } else { END_WITH_SAVED_GRANTS_S }
     }
 
     fn part(&self) -> LimitPart {
@@ -124,15 +124,15 @@
         let mut bucket = bucket.clone();
         let granted = bucket.take(u32::MAX, state.now_s * SECOND_US).granted;
         if granted > 0 {
-            let mut ran = state.clone();
-            ran.buckets[vm] = Some(bucket.clone());
-            ran.ran[0] += granted;
-            next.push((Step::Ask(vm), ran));
-            if !self.has(Safeguard::NoStock) {
-                let mut kept = state.clone();
-                kept.buckets[vm] = Some(bucket);
-                kept.stock += granted;
-                next.push((Step::Keep(vm), kept));
+            let mut run = state.clone();
+            run.buckets[vm] = Some(bucket.clone());
+            run.operations[0] += granted;
+            next.push((Step::RunGranted(vm), run));
+            if !self.has(Safeguard::NoSavedGrants) {
+                let mut saved = state.clone();
+                saved.buckets[vm] = Some(bucket);
+                saved.saved_grants += granted;
+                next.push((Step::SaveGrants(vm), saved));
             }
         }
         if state.faults < self.faults() {
@@ -146,15 +146,15 @@
     fn learn(&self, state: &State, vm: usize) -> State {
         let mut after = state.clone();
         after.knows_new_list[vm] = true;
-        if after.list_since_s.is_none() {
-            after.list_since_s = Some(state.now_s);
+        if after.new_list_since_s.is_none() {
+            after.new_list_since_s = Some(state.now_s);
             after.faults += NEW_LIST_FAULTS;
         }
         match vm {
             REPLACED => after.buckets[vm] = None,
             REPLACING => {
                 let since_s = match self.has(Safeguard::TakeOverPause) {
-                    true => state.now_s + TAKE_OVER_S,
+                    true => state.now_s + TAKEOVER_WAIT_S,
                     false => 0,
                 };
                 after.buckets[vm] = Some(TokenBucket::starting(self.part(), since_s * SECOND_US));
@@ -175,47 +175,48 @@
             now_s: 0,
             buckets: [bucket(), bucket(), None],
             knows_new_list: [false; VMS],
-            list_since_s: None,
+            new_list_since_s: None,
             faults: 0,
-            ran: [0; WINDOW],
-            stock: 0,
+            operations: [0; WINDOW_SECONDS],
+            saved_grants: 0,
         }
     }
 
     fn steps(&self, state: &State, next: &mut Next) {
         for vm in 0..VMS {
             self.bucket_steps(state, vm, next);
-            let is_new = state.list_since_s.is_none();
-            let may_learn = !is_new || state.faults + NEW_LIST_FAULTS <= self.faults();
+            let is_unpublished = state.new_list_since_s.is_none();
+            let may_learn = !is_unpublished || state.faults + NEW_LIST_FAULTS <= self.faults();
             let learns = [REPLACED, REPLACING].contains(&vm) && !state.knows_new_list[vm];
             if may_learn && learns {
                 next.push((Step::Learn(vm), self.learn(state, vm)));
             }
         }
-        if state.stock > 0 {
+        if state.saved_grants > 0 {
             let mut after = state.clone();
-            after.ran[0] += std::mem::take(&mut after.stock);
-            next.push((Step::RunKept, after));
+            after.operations[0] += std::mem::take(&mut after.saved_grants);
+            next.push((Step::RunSaved, after));
         }
-        let all_learn = state.list_since_s.is_none_or(|since_s| {
+        let may_advance = state.new_list_since_s.is_none_or(|since_s| {
             let all_know = state.knows_new_list[REPLACED] && state.knows_new_list[REPLACING];
-            all_know || state.now_s < since_s + LIST_SPREADS_S
+            all_know || state.now_s < since_s + LIST_PROPAGATION_S
         });
-        if state.now_s < self.end_s() && all_learn {
+        if state.now_s < self.end_s() && may_advance {
             let mut after = state.clone();
             after.now_s += 1;
-            after.ran.rotate_right(1);
-            after.ran[0] = 0;
-            next.push((Step::Second, after));
+            after.operations.rotate_right(1);
+            after.operations[0] = 0;
+            next.push((Step::Tick, after));
         }
     }
 
     fn violation(&self, state: &State) -> Option<&'static str> {
-        let in_window: u32 = state.ran.iter().sum();
-        (in_window > MOST_IN_WINDOW).then_some("a window has more operations than the limit allows")
+        let in_window: u32 = state.operations.iter().sum();
+        (in_window > MAX_OPERATIONS_IN_WINDOW)
+            .then_some("a window has more operations than the limit allows")
     }
 
     fn describe(&self, state: &State) -> String {
-        format!("at {} s, ran {:?}, kept {}", state.now_s, state.ran, state.stock)
+        format!("at {} s, ran {:?}, kept {}", state.now_s, state.operations, state.saved_grants)
     }
 }
