--- a/crates/spec/src/spreading/cases.rs
+++ b/crates/spec/src/spreading/cases.rs
@@ -27,6 +27,6 @@
 cases! {
     None, 4 revisions;
     Some(Safeguard::HighestWins), 2 revisions;
-    Some(Safeguard::ChangesLeadOn), 3 revisions;
+    Some(Safeguard::ContiguousChanges), 3 revisions;
     Some(Safeguard::SeveralPeers), 2 revisions;
 }
--- a/crates/spec/src/spreading/mod.rs
+++ b/crates/spec/src/spreading/mod.rs
@@ -24,7 +24,7 @@
     HighestWins,
     /// Changes are taken only by a process that holds the revision from which they start, or a later
     /// one. Off: they are taken by any.
-    ChangesLeadOn,
+    ContiguousChanges,
     /// A process that starts waits for several peers. Off: it takes the first answer.
     SeveralPeers,
 }
@@ -34,7 +34,7 @@
     pub const fn name(self) -> &'static str {
         match self {
             Safeguard::HighestWins => "highest-wins",
-            Safeguard::ChangesLeadOn => "changes-lead-on",
+            Safeguard::ContiguousChanges => "changes-lead-on",
             Safeguard::SeveralPeers => "several-peers",
         }
     }
--- a/crates/spec/src/spreading/model.rs
+++ b/crates/spec/src/spreading/model.rs
@@ -35,7 +35,7 @@
 
 /// How a process that starts asks its peers.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-struct Start {
+struct Startup {
     choice: StartChoice,
     asked: [bool; PROCESSES],
     /// The highest revision that a peer answered.
@@ -51,9 +51,9 @@
     processes: [Process; PROCESSES],
     spreading: [Spreading; PROCESSES],
     /// A process that starts, one at a time.
-    starting: Option<(u8, Start)>,
+    starting: Option<(u8, Startup)>,
     /// Whether a process started with less than a peer had answered.
-    started_low: bool,
+    started_below_peers: bool,
 }
 
 impl State {
@@ -82,7 +82,7 @@
     /// The changes from one revision to another arrive at a process.
     Changes(usize, u8, u8),
     /// A process sees a peer's revision.
-    See(usize, usize),
+    ObservePeer(usize, usize),
     /// A process's pull fails.
     PullFails(usize),
     /// A process restarts while the platform is down, and asks its peers.
@@ -105,7 +105,7 @@
             Step::Changes(process, base, revision) => {
                 write!(f, "process{process} gets the changes from {base} to {revision}")
             }
-            Step::See(process, peer) => {
+            Step::ObservePeer(process, peer) => {
                 write!(f, "process{process} sees the revision of process{peer}")
             }
             Step::PullFails(process) => write!(f, "the pull of process{process} fails"),
@@ -134,7 +134,13 @@
     }
 
     /// Whether a process puts a revision in force.
-    fn takes(&self, state: &mut State, process: usize, revision: u8, source: Source) -> bool {
+    fn accepts_offer(
+        &self,
+        state: &mut State,
+        process: usize,
+        revision: u8,
+        source: Source,
+    ) -> bool {
         let spreading = &mut state.spreading[process];
         if !self.has(Safeguard::HighestWins) {
             *spreading = Spreading::new();
@@ -149,7 +155,7 @@
 
     fn snapshot(&self, state: &State, process: usize, revision: u8, source: Source) -> State {
         let mut after = *state;
-        if self.takes(&mut after, process, revision, source) {
+        if self.accepts_offer(&mut after, process, revision, source) {
             after.processes[process].objects = state.objects_at(revision);
         }
         after
@@ -158,12 +164,12 @@
     /// Changes from `base` to `revision`: the objects changed in between, as of `revision`.
     fn changes(&self, state: &State, process: usize, base: u8, revision: u8) -> Option<State> {
         let in_force = &state.spreading[process];
-        let leads_on = in_force.is_ready() && u64::from(base) <= in_force.revision();
-        if !leads_on && self.has(Safeguard::ChangesLeadOn) {
+        let is_contiguous = in_force.is_ready() && u64::from(base) <= in_force.revision();
+        if !is_contiguous && self.has(Safeguard::ContiguousChanges) {
             return None;
         }
         let mut after = *state;
-        if self.takes(&mut after, process, revision, Source::Watcher) {
+        if self.accepts_offer(&mut after, process, revision, Source::Watcher) {
             let latest = state.objects_at(revision);
             for (object, held) in after.processes[process].objects.iter_mut().enumerate() {
                 if latest[object] > base {
@@ -174,7 +180,7 @@
         Some(after)
     }
 
-    fn arrivals(&self, state: &State, process: usize, next: &mut Next) {
+    fn delivery_steps(&self, state: &State, process: usize, next: &mut Next) {
         for revision in 1..=state.revision {
             for source in [Source::Platform, Source::Peer] {
                 let after = self.snapshot(state, process, revision, source);
@@ -188,13 +194,13 @@
         }
     }
 
-    fn peers(&self, state: &State, process: usize, next: &mut Next) {
+    fn peer_steps(&self, state: &State, process: usize, next: &mut Next) {
         for peer in (0..PROCESSES).filter(|peer| *peer != process) {
             for now_us in TIMES_US {
                 let mut after = *state;
                 let seen = state.spreading[peer].revision();
                 after.spreading[process].peer_seen(seen, now_us);
-                next.push((Step::See(process, peer), after));
+                next.push((Step::ObservePeer(process, peer), after));
             }
         }
         let mut after = *state;
@@ -202,7 +208,7 @@
         next.push((Step::PullFails(process), after));
     }
 
-    fn restart(&self, state: &State, process: usize, next: &mut Next) {
+    fn restart_step(&self, state: &State, process: usize, next: &mut Next) {
         if state.starting.is_some() {
             return;
         }
@@ -212,36 +218,36 @@
         let choice = StartChoice::new(PROCESSES - 1, START_DEADLINE_US);
         let mut asked = [false; PROCESSES];
         asked[process] = true;
-        after.starting = Some((process as u8, Start { choice, asked, highest: 0 }));
+        after.starting = Some((process as u8, Startup { choice, asked, highest: 0 }));
         next.push((Step::Restart(process), after));
     }
 
-    fn starting(&self, state: &State, process: usize, start: &Start, next: &mut Next) {
-        for peer in (0..PROCESSES).filter(|peer| !start.asked[*peer]) {
-            let mut answered = *start;
+    fn startup_steps(&self, state: &State, process: usize, startup: &Startup, next: &mut Next) {
+        for peer in (0..PROCESSES).filter(|peer| !startup.asked[*peer]) {
+            let mut answered = *startup;
             let revision = state.spreading[peer].revision();
             answered.asked[peer] = true;
             answered.choice.answered(peer, revision);
             answered.highest = answered.highest.max(revision as u8);
             let after = State { starting: Some((process as u8, answered)), ..*state };
             next.push((Step::Answer(peer), after));
-            let mut failed = *start;
+            let mut failed = *startup;
             failed.asked[peer] = true;
             failed.choice.failed();
             let after = State { starting: Some((process as u8, failed)), ..*state };
             next.push((Step::NoAnswer(peer), after));
         }
-        let hasty = !self.has(Safeguard::SeveralPeers) && start.highest > 0;
+        let takes_first_answer = !self.has(Safeguard::SeveralPeers) && startup.highest > 0;
         for now_us in [0, START_DEADLINE_US] {
-            let time_us = if hasty { START_DEADLINE_US } else { now_us };
-            if let StartVerdict::Take(peer) = start.choice.verdict(time_us) {
+            let time_us = if takes_first_answer { START_DEADLINE_US } else { now_us };
+            if let StartVerdict::Take(peer) = startup.choice.verdict(time_us) {
                 // The peer sends what it has by now.
                 let revision = state.spreading[peer].revision() as u8;
                 let mut after = self.snapshot(state, process, revision, Source::Peer);
                 after.starting = None;
-                let all_asked = start.asked.iter().all(|asked| *asked);
+                let all_asked = startup.asked.iter().all(|asked| *asked);
                 let waited = now_us >= START_DEADLINE_US || all_asked;
-                after.started_low = revision < start.highest || !waited;
+                after.started_below_peers = revision < startup.highest || !waited;
                 next.push((Step::Decide(now_us), after));
             }
         }
@@ -261,7 +267,7 @@
             processes: [Process { objects: [0; OBJECTS], highest: 1 }; PROCESSES],
             spreading: [spreading; PROCESSES],
             starting: None,
-            started_low: false,
+            started_below_peers: false,
         };
         let objects = state.objects_at(1);
         state.processes.iter_mut().for_each(|process| process.objects = objects);
@@ -281,17 +287,17 @@
             if state.is_starting(process) {
                 continue;
             }
-            self.arrivals(state, process, next);
-            self.peers(state, process, next);
-            self.restart(state, process, next);
+            self.delivery_steps(state, process, next);
+            self.peer_steps(state, process, next);
+            self.restart_step(state, process, next);
         }
-        if let Some((process, start)) = &state.starting {
-            self.starting(state, usize::from(*process), start, next);
+        if let Some((process, startup)) = &state.starting {
+            self.startup_steps(state, usize::from(*process), startup, next);
         }
     }
 
     fn violation(&self, state: &State) -> Option<&'static str> {
-        if state.started_low {
+        if state.started_below_peers {
             return Some("a process started with less than its peers could tell it");
         }
         for (process, spreading) in state.processes.iter().zip(&state.spreading) {
