--- a/crates/spec/src/answers/model.rs
+++ b/crates/spec/src/answers/model.rs
@@ -64,7 +64,7 @@
     /// Whether a cancel request is on its way to the target.
     cancel: bool,
     /// Whether one was ever sent.
-    cancelled_once: bool,
+    cancel_sent: bool,
 }
 
 /// A state.
@@ -90,7 +90,7 @@
     /// The proxy reads and drops an abandoned answer.
     Drop(usize),
     /// A caller gives up, and the proxy sends a cancel request or not.
-    GiveUp(usize, bool),
+    Abandon(usize, bool),
     /// A drained connection is used again or closed.
     Drained(usize),
 }
@@ -106,16 +106,16 @@
             Step::CancelArrives(at) => write!(f, "the cancel request for connection{at} arrives"),
             Step::Read(at) => write!(f, "the answer on connection{at} is passed on"),
             Step::Drop(at) => write!(f, "the answer on connection{at} is dropped"),
-            Step::GiveUp(caller, true) => write!(f, "caller{caller} gives up; a cancel is sent"),
-            Step::GiveUp(caller, false) => write!(f, "caller{caller} gives up"),
+            Step::Abandon(caller, true) => write!(f, "caller{caller} gives up; a cancel is sent"),
+            Step::Abandon(caller, false) => write!(f, "caller{caller} gives up"),
             Step::Drained(at) => write!(f, "connection{at} is drained"),
         }
     }
 }
 
 fn push_back<T>(queue: &mut [Option<T>; MAX_CALLERS], item: T) {
-    let free = queue.iter_mut().find(|slot| slot.is_none()).expect("one slot a caller");
-    *free = Some(item);
+    let free_slot = queue.iter_mut().find(|slot| slot.is_none()).expect("one slot a caller");
+    *free_slot = Some(item);
 }
 
 fn pop_front<T>(queue: &mut [Option<T>; MAX_CALLERS]) -> Option<T> {
@@ -141,8 +141,8 @@
     }
 
     /// What becomes of a connection that has nothing outstanding.
-    fn free(&self, connection: &mut Connection) {
-        let closes = connection.cancelled_once && self.has(Safeguard::CloseAfterCancel);
+    fn release(&self, connection: &mut Connection) {
+        let closes = connection.cancel_sent && self.has(Safeguard::CloseAfterCancel);
         connection.used = if closes { Use::Closed } else { Use::Idle };
     }
 
@@ -175,9 +175,9 @@
                     }
                     match self.has(Safeguard::Drain) {
                         true => connection.used = Use::Draining,
-                        false => self.free(connection),
+                        false => self.release(connection),
                     }
-                    next.push((Step::GiveUp(caller, cancel), after));
+                    next.push((Step::Abandon(caller, cancel), after));
                 }
             }
             Caller::Cancelling | Caller::Gone | Caller::Answered { .. } => {}
@@ -188,13 +188,13 @@
         let connection = &state.connections[at];
         if connection.statements[0].is_some() {
             let mut after = *state;
-            finish(&mut after.connections[at], false);
+            finish_statement(&mut after.connections[at], false);
             next.push((Step::Run(at), after));
         }
         if connection.cancel {
             let mut after = *state;
             after.connections[at].cancel = false;
-            finish(&mut after.connections[at], true);
+            finish_statement(&mut after.connections[at], true);
             next.push((Step::CancelArrives(at), after));
         }
         let idle = connection.statements[0].is_none() && connection.answers[0].is_none();
@@ -206,7 +206,7 @@
                 let asked = *waiter == Caller::Cancelling;
                 let Answer { owner, cancelled } = answer;
                 *waiter = Caller::Answered { owner, cancelled, asked };
-                self.free(&mut after.connections[at]);
+                self.release(&mut after.connections[at]);
                 next.push((Step::Read(at), after));
             }
             (Use::Draining, Some(_)) => {
@@ -216,7 +216,7 @@
             }
             (Use::Draining, None) if idle => {
                 let mut after = *state;
-                self.free(&mut after.connections[at]);
+                self.release(&mut after.connections[at]);
                 next.push((Step::Drained(at), after));
             }
             _ => {}
@@ -226,11 +226,11 @@
 
 fn send_cancel(connection: &mut Connection) {
     connection.cancel = true;
-    connection.cancelled_once = true;
+    connection.cancel_sent = true;
 }
 
 /// Ends the statement that runs, if any.
-fn finish(connection: &mut Connection, cancelled: bool) {
+fn finish_statement(connection: &mut Connection, cancelled: bool) {
     if let Some(owner) = pop_front(&mut connection.statements) {
         push_back(&mut connection.answers, Answer { owner, cancelled });
     }
