--- a/crates/spec/src/repetition/model.rs
+++ b/crates/spec/src/repetition/model.rs
@@ -12,11 +12,11 @@
 use super::Safeguard;
 use super::state::MAX_TRIES;
 use super::state::Message;
-use super::state::Place;
+use super::state::Reply;
 use super::state::Sender;
+use super::state::SenderId;
 use super::state::State;
 use super::state::Step;
-use super::state::Told;
 use crate::explore::Model;
 
 /// The model.
@@ -36,10 +36,10 @@
 /// The refusals that a target gives before it runs anything.
 const REFUSALS: [[u8; 5]; 3] = [*b"25006", *b"57P01", *b"53300"];
 
-fn sender_mut(state: &mut State, place: Place) -> &mut Sender {
-    match place {
-        Place::Entry => &mut state.entry,
-        Place::Home(number) => &mut state.homes[number],
+fn sender_mut(state: &mut State, sender_id: SenderId) -> &mut Sender {
+    match sender_id {
+        SenderId::Entry => &mut state.entry,
+        SenderId::Home(number) => &mut state.homes[number],
     }
 }
 
@@ -49,114 +49,121 @@
     }
 
     /// The steps of one sender and of what it sent.
-    fn sender_steps(&self, state: &State, place: Place, sender: &Sender, next: &mut Next) {
+    fn sender_steps(&self, state: &State, sender_id: SenderId, sender: &Sender, next: &mut Next) {
         for (number, message) in sender.messages.iter().enumerate() {
             if *message == Message::Pending {
-                self.arrivals(state, place, number, next);
+                self.delivery_steps(state, sender_id, number, next);
             }
         }
-        if sender.told.is_some() {
+        if sender.reply.is_some() {
             return;
         }
         match sender.messages[sender.attempt()] {
-            Message::Absent => self.before_sending(state, place, next),
-            message => self.after_sending(state, place, message, next),
+            Message::Absent => self.before_sending(state, sender_id, next),
+            message => self.after_sending(state, sender_id, message, next),
         }
     }
 
     /// A message arrives, also long after its sender gave up.
-    fn arrivals(&self, state: &State, place: Place, number: usize, next: &mut Next) {
+    fn delivery_steps(&self, state: &State, sender_id: SenderId, number: usize, next: &mut Next) {
         let mut taken = *state;
-        sender_mut(&mut taken, place).messages[number] = Message::Taken;
-        next.push((Step::Take(place, number), taken));
-        if matches!(place, Place::Home(_)) {
+        sender_mut(&mut taken, sender_id).messages[number] = Message::Taken;
+        next.push((Step::Take(sender_id, number), taken));
+        if matches!(sender_id, SenderId::Home(_)) {
             let mut refused = *state;
-            sender_mut(&mut refused, place).messages[number] = Message::Refused;
-            next.push((Step::Refuse(place, number), refused));
+            sender_mut(&mut refused, sender_id).messages[number] = Message::Refused;
+            next.push((Step::Refuse(sender_id, number), refused));
         }
     }
 
-    fn before_sending(&self, state: &State, place: Place, next: &mut Next) {
+    fn before_sending(&self, state: &State, sender_id: SenderId, next: &mut Next) {
         let mut sent = *state;
-        let sender = sender_mut(&mut sent, place);
+        let sender = sender_mut(&mut sent, sender_id);
         sender.messages[sender.attempt()] = Message::Pending;
-        next.push((Step::Send(place), sent));
+        next.push((Step::Send(sender_id), sent));
         for stage in [Stage::Connecting, Stage::NothingSent, Stage::PartlySent] {
             // The commit goes to the connection of its transaction.
             if stage != Stage::Connecting || !state.commit {
-                self.fail(state, place, stage, Failure::Broken, next);
+                self.fail(state, sender_id, stage, Failure::Broken, next);
             }
         }
     }
 
-    fn after_sending(&self, state: &State, place: Place, message: Message, next: &mut Next) {
+    fn after_sending(&self, state: &State, sender_id: SenderId, message: Message, next: &mut Next) {
         for failure in [Failure::Broken, Failure::TimedOut] {
-            self.fail(state, place, Stage::Sent, failure, next);
+            self.fail(state, sender_id, Stage::Sent, failure, next);
         }
-        let told = match (place, message) {
-            (Place::Entry, _) => state.homes[state.entry.attempt()].told,
-            (Place::Home(_), Message::Taken) => Some(Told::Success),
-            (Place::Home(_), Message::Refused) => {
+        let received = match (sender_id, message) {
+            (SenderId::Entry, _) => state.homes[state.entry.attempt()].reply,
+            (SenderId::Home(_), Message::Taken) => Some(Reply::Success),
+            (SenderId::Home(_), Message::Refused) => {
                 for sqlstate in REFUSALS {
                     let failure = Failure::Said { sqlstate, claimed: None };
-                    self.fail(state, place, Stage::Sent, failure, next);
+                    self.fail(state, sender_id, Stage::Sent, failure, next);
                 }
                 None
             }
-            (Place::Home(_), _) => None,
+            (SenderId::Home(_), _) => None,
         };
-        match told {
+        match received {
             None => {}
-            Some(Told::Success) => {
-                self.fail(state, place, Stage::AnswerStarted, Failure::Broken, next);
+            Some(Reply::Success) => {
+                self.fail(state, sender_id, Stage::AnswerStarted, Failure::Broken, next);
                 let mut after = *state;
-                sender_mut(&mut after, place).told = Some(Told::Success);
-                next.push((Step::Succeed(place), after));
+                sender_mut(&mut after, sender_id).reply = Some(Reply::Success);
+                next.push((Step::Succeed(sender_id), after));
             }
-            Some(Told::Error { sqlstate, claimed }) => {
+            Some(Reply::Error { sqlstate, claimed }) => {
                 let failure = Failure::Said { sqlstate, claimed };
-                self.fail(state, place, Stage::Sent, failure, next);
+                self.fail(state, sender_id, Stage::Sent, failure, next);
             }
         }
-        if matches!(place, Place::Home(_)) && state.commit && message == Message::Taken {
+        if matches!(sender_id, SenderId::Home(_)) && state.commit && message == Message::Taken {
             // A target that is shut down may end the connection after the commit took effect.
             let failure = Failure::Said { sqlstate: *b"57P01", claimed: None };
-            self.fail(state, place, Stage::Sent, failure, next);
+            self.fail(state, sender_id, Stage::Sent, failure, next);
         }
     }
 
     /// The sender sees a failure and takes its verdict.
-    fn fail(&self, state: &State, place: Place, stage: Stage, failure: Failure, next: &mut Next) {
+    fn fail(
+        &self,
+        state: &State,
+        sender_id: SenderId,
+        stage: Stage,
+        failure: Failure,
+        next: &mut Next,
+    ) {
         let mut after = *state;
-        let sender = sender_mut(&mut after, place);
-        let attempt = self.attempt(sender.failed, state.commit, stage, failure);
+        let sender = sender_mut(&mut after, sender_id);
+        let attempt = self.attempt(sender.failed_tries, state.commit, stage, failure);
         let budget = RetryBudget::new(100, MAX_TRIES as u32);
         let verdict = retry::decide(&attempt, &budget, TIME_LEFT_US);
         let last = sender.attempt() + 1 == self.tries;
-        sender.told = match (verdict, failure) {
+        sender.reply = match (verdict, failure) {
             (RetryVerdict::Again, _) if !last => None,
-            (RetryVerdict::Again, _) => Some(self.given_up(&attempt)),
+            (RetryVerdict::Again, _) => Some(self.exhausted_reply(&attempt)),
             (RetryVerdict::Answer(kind), _) => {
                 let answer = kind.answer();
-                Some(told(answer.sqlstate, Some(answer.outcome)))
+                Some(error_reply(answer.sqlstate, Some(answer.outcome)))
             }
             (RetryVerdict::PassThrough, Failure::Said { sqlstate, claimed }) => {
-                Some(Told::Error { sqlstate, claimed })
+                Some(Reply::Error { sqlstate, claimed })
             }
-            (RetryVerdict::PassThrough, _) => Some(told("08007", Some(Outcome::Unknown))),
+            (RetryVerdict::PassThrough, _) => Some(error_reply("08007", Some(Outcome::Unknown))),
         };
-        if sender.told.is_none() {
-            sender.failed += 1;
+        if sender.reply.is_none() {
+            sender.failed_tries += 1;
         }
-        next.push((Step::Fail(place, stage, failure), after));
+        next.push((Step::Fail(sender_id, stage, failure), after));
     }
 
     /// The bound of the model ends the tries: the answer claims what the decision proved.
-    fn given_up(&self, attempt: &Attempt) -> Told {
-        told("08001", Some(retry::outcome_of(attempt)))
+    fn exhausted_reply(&self, attempt: &Attempt) -> Reply {
+        error_reply("08001", Some(retry::outcome_of(attempt)))
     }
 
-    fn attempt(&self, failed: u8, commit: bool, stage: Stage, failure: Failure) -> Attempt {
+    fn attempt(&self, failed_tries: u8, commit: bool, stage: Stage, failure: Failure) -> Attempt {
         let effect = match (self.has(Safeguard::LostAnswer), commit) {
             (false, _) => Effect::Read,
             (true, true) => Effect::Commit,
@@ -173,13 +180,13 @@
             failure => failure,
         };
         let in_transaction = commit && self.has(Safeguard::LostAnswer);
-        Attempt { effect, stage, in_transaction, failure, retries: u32::from(failed) }
+        Attempt { effect, stage, in_transaction, failure, retries: u32::from(failed_tries) }
     }
 }
 
-fn told(sqlstate: &str, claimed: Option<Outcome>) -> Told {
+fn error_reply(sqlstate: &str, claimed: Option<Outcome>) -> Reply {
     let code = sqlstate.as_bytes().try_into().expect("an SQLSTATE has five characters");
-    Told::Error { sqlstate: code, claimed }
+    Reply::Error { sqlstate: code, claimed }
 }
 
 impl Model for RepetitionModel {
@@ -192,12 +199,12 @@
 
     fn steps(&self, state: &State, next: &mut Next) {
         if *state == self.initial() {
-            next.push((Step::Ask { commit: true }, State { commit: true, ..*state }));
+            next.push((Step::Request { commit: true }, State { commit: true, ..*state }));
         }
-        self.sender_steps(state, Place::Entry, &state.entry, next);
+        self.sender_steps(state, SenderId::Entry, &state.entry, next);
         for (number, home) in state.homes.iter().enumerate() {
             if state.entry.messages[number] == Message::Taken {
-                self.sender_steps(state, Place::Home(number), home, next);
+                self.sender_steps(state, SenderId::Home(number), home, next);
             }
         }
     }
@@ -206,11 +213,11 @@
         if state.runs() > 1 {
             return Some("the request ran twice");
         }
-        match state.entry.told {
-            Some(Told::Error { claimed: Some(Outcome::NotRun), .. }) if state.runs() > 0 => {
+        match state.entry.reply {
+            Some(Reply::Error { claimed: Some(Outcome::NotRun), .. }) if state.runs() > 0 => {
                 Some("the caller was told \"not run\" of a request that ran")
             }
-            Some(Told::Success) if state.runs() == 0 => {
+            Some(Reply::Success) if state.runs() == 0 => {
                 Some("the caller was told of a success of a request that did not run")
             }
             _ => None,
--- a/crates/spec/src/repetition/state.rs
+++ b/crates/spec/src/repetition/state.rs
@@ -25,7 +25,7 @@
 
 /// What a sender told the one who asked it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-pub enum Told {
+pub enum Reply {
     /// The request succeeded.
     Success,
     /// An error with this code and, from a proxy, this claim on the outcome.
@@ -41,17 +41,17 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct Sender {
     /// How many tries ended.
-    pub failed: u8,
+    pub failed_tries: u8,
     /// The messages of all tries.
     pub messages: [Message; MAX_TRIES],
     /// How it ended.
-    pub told: Option<Told>,
+    pub reply: Option<Reply>,
 }
 
 impl Sender {
     /// The number of the present try.
     pub fn attempt(&self) -> usize {
-        usize::from(self.failed)
+        usize::from(self.failed_tries)
     }
 }
 
@@ -76,18 +76,18 @@
 
 /// Where a sender stands.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Place {
+pub enum SenderId {
     /// The caller's proxy.
     Entry,
     /// The home that works on the entry's message of this number.
     Home(usize),
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for SenderId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Place::Entry => f.write_str("the caller's proxy"),
-            Place::Home(number) => write!(f, "home{number}"),
+            SenderId::Entry => f.write_str("the caller's proxy"),
+            SenderId::Home(number) => write!(f, "home{number}"),
         }
     }
 }
@@ -96,38 +96,42 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
     /// The caller asks.
-    Ask {
+    Request {
         /// For the commit of a transaction.
         commit: bool,
     },
     /// The whole message is written.
-    Send(Place),
+    Send(SenderId),
     /// The next hop acts on a message.
-    Take(Place, usize),
+    Take(SenderId, usize),
     /// A target refuses a message before it runs.
-    Refuse(Place, usize),
+    Refuse(SenderId, usize),
     /// A sender sees a failure of its present try.
-    Fail(Place, Stage, Failure),
+    Fail(SenderId, Stage, Failure),
     /// A sender gets the success of its present try.
-    Succeed(Place),
+    Succeed(SenderId),
 }
 
 impl fmt::Display for Step {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Step::Ask { commit: true } => f.write_str("the caller asks for a commit"),
-            Step::Ask { commit: false } => f.write_str("the caller asks for a write"),
-            Step::Send(place) => write!(f, "{place} sends the request"),
-            Step::Take(place, number) => write!(f, "message {number} of {place} is acted on"),
-            Step::Refuse(place, number) => write!(f, "message {number} of {place} is refused"),
-            Step::Fail(place, stage, Failure::Said { sqlstate, claimed }) => {
+            Step::Request { commit: true } => f.write_str("the caller asks for a commit"),
+            Step::Request { commit: false } => f.write_str("the caller asks for a write"),
+            Step::Send(sender_id) => write!(f, "{sender_id} sends the request"),
+            Step::Take(sender_id, number) => {
+                write!(f, "message {number} of {sender_id} is acted on")
+            }
+            Step::Refuse(sender_id, number) => {
+                write!(f, "message {number} of {sender_id} is refused")
+            }
+            Step::Fail(sender_id, stage, Failure::Said { sqlstate, claimed }) => {
                 let sqlstate = String::from_utf8_lossy(sqlstate);
-                write!(f, "{place} is told {sqlstate}, claimed {claimed:?}, at {stage:?}")
+                write!(f, "{sender_id} is told {sqlstate}, claimed {claimed:?}, at {stage:?}")
             }
-            Step::Fail(place, stage, failure) => {
-                write!(f, "{place} sees its try fail: {failure:?} at {stage:?}")
+            Step::Fail(sender_id, stage, failure) => {
+                write!(f, "{sender_id} sees its try fail: {failure:?} at {stage:?}")
             }
-            Step::Succeed(place) => write!(f, "{place} gets the success"),
+            Step::Succeed(sender_id) => write!(f, "{sender_id} gets the success"),
         }
     }
 }
@@ -139,11 +143,11 @@
             "ran {} times; entry {:?} told {:?}",
             self.runs(),
             self.entry.messages,
-            self.entry.told
+            self.entry.reply
         )?;
         for (number, home) in self.homes.iter().enumerate() {
             if *home != Sender::default() {
-                write!(f, "; home{number} {:?} told {:?}", home.messages, home.told)?;
+                write!(f, "; home{number} {:?} told {:?}", home.messages, home.reply)?;
             }
         }
         Ok(())
