--- a/crates/spec/src/driver/machine.rs
+++ b/crates/spec/src/driver/machine.rs
@@ -17,7 +17,7 @@
 
 /// A call that a driver asks for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Asked {
+pub struct RequestedCall {
     /// The member.
     pub member: usize,
     /// The call.
@@ -30,7 +30,7 @@
     /// The number of the driver's state after it.
     pub driver: u32,
     /// The calls to members.
-    pub asked: Vec<Asked>,
+    pub calls: Vec<RequestedCall>,
     /// The last call to the platform.
     pub platform: Option<PlatformCall>,
 }
@@ -50,7 +50,7 @@
         let set = MemberSet::new(1, names).expect("a small set");
         let profiles = vec![MemberProfile::default(); members];
         let settings = FailoverSettings::default();
-        self.number(FailoverDriver::new(settings, name, set, &profiles, 0, SEED))
+        self.intern(FailoverDriver::new(settings, name, set, &profiles, 0, SEED))
     }
 
     /// Lets the core take in an event.
@@ -63,10 +63,12 @@
         let mut actions = Vec::new();
         after.on_event(now_us, &key.2, &mut actions);
         assert_eq!(after.verify(), Vec::new(), "the driver keeps its invariants");
-        let mut step = DriverStep { driver: self.number(after), asked: Vec::new(), platform: None };
+        let mut step = DriverStep { driver: self.intern(after), calls: Vec::new(), platform: None };
         for action in actions {
             match action {
-                Action::CallMember { member, call } => step.asked.push(Asked { member, call }),
+                Action::CallMember { member, call } => {
+                    step.calls.push(RequestedCall { member, call })
+                }
                 Action::UpdateLead { call, .. } | Action::ReadLead { call } => {
                     step.platform = Some(call);
                 }
@@ -77,7 +79,7 @@
         step
     }
 
-    fn number(&self, driver: FailoverDriver) -> u32 {
+    fn intern(&self, driver: FailoverDriver) -> u32 {
         let mut states = self.states.borrow_mut();
         *self.numbers.borrow_mut().entry(driver).or_insert_with_key(|driver| {
             states.push(driver.clone());
--- a/crates/spec/src/driver/model.rs
+++ b/crates/spec/src/driver/model.rs
@@ -135,24 +135,24 @@
 
     /// Passes an event to a driver and notes what it sends. None where it asks for a term beyond the
     /// bounds.
-    fn tell(&self, state: &State, run: usize, event: Event) -> Option<State> {
+    fn deliver_event(&self, state: &State, run: usize, event: Event) -> Option<State> {
         let mut after = *state;
-        let told = &mut after.runs[run];
-        let step = self.drivers.step(told.driver - 1, NOW_US, event);
-        told.driver = step.driver + 1;
+        let receiver = &mut after.runs[run];
+        let step = self.drivers.step(receiver.driver - 1, NOW_US, event);
+        receiver.driver = step.driver + 1;
         if let Some(PlatformCall(call)) = step.platform {
-            told.platform = call as u8;
+            receiver.platform = call as u8;
         }
-        for asked in step.asked {
-            match asked.call {
+        for requested in step.calls {
+            match requested.call {
                 MemberCall::Raise { term: Term(term) } if term > u64::from(self.bounds.terms) => {
                     return None;
                 }
-                MemberCall::Raise { term: Term(term) } => told.raises |= 1 << term,
+                MemberCall::Raise { term: Term(term) } => receiver.raises |= 1 << term,
                 MemberCall::Promote { term: Term(term) } => {
-                    told.promotions[asked.member] |= 1 << term;
+                    receiver.promotions[requested.member] |= 1 << term;
                 }
-                MemberCall::ReadStatus => told.reads |= 1 << asked.member,
+                MemberCall::ReadStatus => receiver.reads |= 1 << requested.member,
                 // The group follows by itself at any time.
                 MemberCall::Follow { .. } => {}
             }
@@ -167,40 +167,44 @@
         after.runs[run] = Run { driver, ..Run::default() };
         for member in 0..MEMBERS {
             let event = Event::Report { member, status: self.status(state, member) };
-            after = self.tell(&after, run, event).expect("a report starts no change");
+            after = self.deliver_event(&after, run, event).expect("a report starts no change");
         }
         after
     }
 
     fn run_steps(&self, state: &State, run: usize, next: &mut Next) {
-        let present = &state.runs[run];
+        let current = &state.runs[run];
         for member in 0..MEMBERS {
-            self.arrivals(state, run, member, next);
+            self.delivery_steps(state, run, member, next);
         }
-        for member in (0..MEMBERS).filter(|member| present.reads >> member & 1 == 1) {
+        for member in (0..MEMBERS).filter(|member| current.reads >> member & 1 == 1) {
             let status = self.status(state, member);
             let event = Event::MemberAnswer { member, call: MemberCall::ReadStatus, status };
             let mut read = *state;
             read.runs[run].reads &= !(1 << member);
-            next.extend(self.tell(&read, run, event).map(|s| (Step::Read(run, member), s)));
+            next.extend(
+                self.deliver_event(&read, run, event).map(|s| (Step::Read(run, member), s)),
+            );
         }
         let leading = state.group.members.iter().filter(|member| member.role() == Role::Primary);
         if let Some(term) = leading.map(|member| member.raised).max() {
             let event = Event::Suspected { term: Term(u64::from(term)) };
-            next.extend(self.tell(state, run, event).map(|s| (Step::Suspect(run), s)));
+            next.extend(self.deliver_event(state, run, event).map(|s| (Step::Suspect(run), s)));
         }
-        if present.platform > 0 {
-            let call = PlatformCall(u64::from(present.platform));
+        if current.platform > 0 {
+            let call = PlatformCall(u64::from(current.platform));
             let event = Event::Platform { call, answer: PlatformAnswer::NoAnswer };
             let mut closed = *state;
             closed.runs[run].platform = 0;
-            next.extend(self.tell(&closed, run, event).map(|s| (Step::PlatformDown(run), s)));
+            next.extend(
+                self.deliver_event(&closed, run, event).map(|s| (Step::PlatformDown(run), s)),
+            );
         }
-        next.extend(self.tell(state, run, Event::Timer).map(|s| (Step::Timer(run), s)));
+        next.extend(self.deliver_event(state, run, Event::Timer).map(|s| (Step::Timer(run), s)));
     }
 
     /// What a run sent arrives at a member, also after the run ended.
-    fn arrivals(&self, state: &State, run: usize, member: usize, next: &mut Next) {
+    fn delivery_steps(&self, state: &State, run: usize, member: usize, next: &mut Next) {
         let sent = &state.runs[run];
         for term in 2..=self.bounds.terms {
             if sent.raises >> term & 1 == 1 {
@@ -229,7 +233,7 @@
         next: &mut Next,
     ) {
         let event = Event::MemberAnswer { member, call, status: self.status(state, member) };
-        next.extend(self.tell(state, run, event).map(|state| (step, state)));
+        next.extend(self.deliver_event(state, run, event).map(|state| (step, state)));
     }
 
     fn raise(&self, state: &State, run: usize, member: usize, term: u8) -> State {
@@ -274,8 +278,8 @@
     fn steps(&self, state: &State, next: &mut Next) {
         let mut steps = Vec::new();
         self.group.steps(&state.group, &mut steps);
-        let of_group = |(step, group)| (Step::Group(step), State { group, ..*state });
-        next.extend(steps.into_iter().map(of_group));
+        let wrap_group_step = |(step, group)| (Step::Group(step), State { group, ..*state });
+        next.extend(steps.into_iter().map(wrap_group_step));
         for run in 0..self.bounds.runs {
             self.run_steps(state, run, next);
         }
