--- a/crates/spec/src/lead/cases.rs
+++ b/crates/spec/src/lead/cases.rs
@@ -1,4 +1,4 @@
-//! The bounds within which the model of a proved lead is explored.
+//! The bounds within which the lead model is explored.
 
 use super::LeadModel;
 use super::Safeguard;
@@ -8,7 +8,7 @@
 
 macro_rules! cases {
     ($($without:expr, $requests:literal requests, $restarts:literal restarts;)*) => {
-        /// Every case.
+        /// The explored cases: all safeguards on, then each one off.
         pub const CASES: &[Case] = &[$(Case {
             model: "lead",
             without: match $without {
--- a/crates/spec/src/lead/mod.rs
+++ b/crates/spec/src/lead/mod.rs
@@ -1,11 +1,12 @@
-//! A read at a primary that may have been replaced, and the words that let it be served.
+//! A read at a primary that may have been replaced, and the members' reports that prove that it still leads.
 //!
-//! The old primary goes on in its term. A successor leads a later one and acknowledges a commit once a
-//! replica holds it. Members start again with nothing, leave, and a fourth one comes. The read's process
-//! asks members at any time, answers are under way for any time, and the core's
-//! [`LeadWords`](skylark_core::request::lead_proof::LeadWords) decide.
+//! The old primary continues in its term. A successor is promoted in a later term and acknowledges a commit
+//! once a replica holds it. Members restart with an empty log, members leave, and a fourth member joins. The
+//! proxy that serves the read requests reports from members at any time, and a report may take any time to
+//! arrive. The core's [`LeadWords`](skylark_core::request::lead_proof::LeadWords) decides whether the
+//! reports prove that the old primary still leads.
 //!
-//! Explored: no read is served that misses a commit which was acknowledged before the read came.
+//! Invariant: no served read misses a commit that was acknowledged before the read arrived.
 
 pub mod cases;
 pub mod model;
@@ -15,20 +16,22 @@
 /// The parts of the proof that can be switched off.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Safeguard {
-    /// A word counts only if it was asked for after the read came. Off: any word counts.
+    /// A report counts only if it was requested after the read arrived. Off: any report counts.
     FreshReport,
-    /// A word dates from its question. Off: from when it comes.
+    /// A report is dated by the time of its request. Off: by the time of its arrival.
     RequestTime,
-    /// A member that holds less than was acknowledged long ago does not count. Off: it does.
+    /// The report of a member whose log is shorter than what was acknowledged long ago does not count.
+    /// Off: it counts.
     KeptLog,
-    /// A member that is not listed yet takes the words of all others. Off: it is not thought of.
+    /// While a running member may be missing from the list, the reports of all listed members are required.
+    /// Off: the list is assumed to be complete.
     CompleteList,
-    /// A member that left takes another word. Off: it is forgotten.
+    /// Each member that left raises the number of required reports by one. Off: departed members are ignored.
     Departed,
 }
 
 impl Safeguard {
-    /// The switch's name on the command line.
+    /// Returns the safeguard's name on the command line.
     pub const fn name(self) -> &'static str {
         match self {
             Safeguard::FreshReport => "fresh-word",
--- a/crates/spec/src/lead/model.rs
+++ b/crates/spec/src/lead/model.rs
@@ -1,4 +1,4 @@
-//! The model.
+//! The states, transitions and invariant of the lead model.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,30 +12,32 @@
 use super::Safeguard;
 use crate::explore::Model;
 
-/// The target of the read, and the others by their places. The last one comes late.
+/// The id of the read's target, and the ids of the other members by their index. The fourth member starts
+/// during the exploration.
 const TARGET: &str = "old";
 const OTHERS: [&str; 3] = ["successor", "replica", "fourth"];
 const SUCCESSOR: usize = 0;
 const FOURTH: usize = 2;
 
-/// The term of the target and that of its successor.
+/// The terms in which the target and its successor lead.
 const OLD_TERM: u64 = 1;
 const NEW_TERM: u64 = 2;
 
-/// The times of the model: a question before the read came, the read, and one after it.
+/// The times recorded for reports: of a request before the read arrived, and of a request after it. The
+/// latter is also the arrival time of the read.
 const BEFORE_READ_US: u64 = 1;
 const READ_US: u64 = 2;
 
-/// What every member that kept its log has received.
+/// The position that every member with an intact log has received.
 const FLOOR: LogPosition =
     LogPosition { term: skylark_core::log_position::Term(OLD_TERM), index: 1 };
 
-/// A member but the target.
+/// A member other than the target.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct Member {
     runs: bool,
     listed: bool,
-    /// Whether it left after it was listed.
+    /// Whether the member was listed and then left.
     left: bool,
     holds_floor: bool,
     knows_new_term: bool,
@@ -44,16 +46,16 @@
     report: Option<Report>,
 }
 
-/// A question to a member.
+/// The request for a report that was last sent to a member.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 enum ReportRequest {
     #[default]
     None,
-    /// Answered, and the answer is under way.
+    /// The member has answered, and this report has not arrived yet.
     Answered(Report),
 }
 
-/// A member's word.
+/// What a member reported about itself.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct Report {
     after_read: bool,
@@ -61,18 +63,18 @@
     holds_floor: bool,
 }
 
-/// A state.
+/// A state of the group and of the read.
 #[derive(Clone, PartialEq, Eq, Hash, Debug, Default)]
 pub struct State {
     members: [Member; 3],
     acknowledged: bool,
-    /// Whether the read came, and whether the commit had been acknowledged by then.
+    /// Whether the commit had been acknowledged when the read arrived; `None` before its arrival.
     read: Option<bool>,
     requests: u8,
     restarts: u8,
 }
 
-/// What happens.
+/// A transition between two states. Members are given by their index.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
     /// The successor is promoted.
@@ -81,7 +83,7 @@
     Receive(usize),
     /// The successor acknowledges its commit.
     Acknowledge,
-    /// A member starts again with nothing, and the list does not tell it yet.
+    /// A member restarts with an empty log, and the list of members does not show this yet.
     RestartEmpty(usize),
     /// The fourth member starts.
     FourthStarts,
@@ -89,11 +91,11 @@
     FourthIsListed,
     /// A member leaves.
     Leave(usize),
-    /// A member is asked, and answers.
+    /// A member receives the request for a report and answers.
     RequestReport(usize),
-    /// Its answer comes.
+    /// The member's report arrives at the proxy.
     DeliverReport(usize),
-    /// The read comes.
+    /// The read arrives at the proxy.
     Read,
 }
 
@@ -116,7 +118,7 @@
     }
 }
 
-/// The model.
+/// The lead model within its bounds.
 #[derive(Clone, Copy, Debug)]
 pub struct LeadModel {
     requests: u8,
@@ -125,7 +127,8 @@
 }
 
 impl LeadModel {
-    /// A model within these bounds.
+    /// Creates the model with at most this many requests for reports and restarts, and with one safeguard
+    /// switched off or none.
     pub fn new(requests: u8, restarts: u8, without: Option<Safeguard>) -> LeadModel {
         LeadModel { requests, restarts, without }
     }
@@ -134,7 +137,7 @@
         self.without != Some(safeguard)
     }
 
-    /// Whether the core lets the read be served.
+    /// Returns whether the core considers it proved that the target leads, so that the read is served.
     fn serves(&self, state: &State) -> bool {
         let mut reports = LeadWords::default();
         let received = |holds_floor: bool| if holds_floor { FLOOR } else { LogPosition::default() };
@@ -152,7 +155,7 @@
             };
             reports.record(&Arc::from(*name), lead_report);
         }
-        // The target is asked again once a later term was heard, and still says that it leads its own.
+        // The target is asked again once a later term was reported, and still reports that it leads its own.
         reports.record(&Arc::from(TARGET), LeadReport { asked_us: READ_US, ..own });
         let listed = OTHERS.iter().zip(&state.members).filter(|(_, member)| member.listed);
         let others: Vec<&str> = listed.map(|(name, _)| *name).collect();
