--- a/crates/spec/src/quota/mod.rs
+++ b/crates/spec/src/quota/mod.rs
@@ -1,8 +1,9 @@
-//! One limit divided among allocators that exchange nothing.
+//! A rate limit that is divided among allocators without communication between them.
 //!
-//! Callers ask without pause, processes start again, and a new list of VMs puts one allocator in the place of
-//! another, which VMs learn at different times. Explored: no window has more operations than the limit and its
-//! tolerance allow. The buckets are those of `skylark-core`.
+//! Callers request operations continuously, and processes restart. A new list of VMs replaces one allocator
+//! by another, and VMs receive the list at different times. The token buckets are those of `skylark-core`.
+//!
+//! Invariant: no window contains more operations than the limit and its tolerance allow.
 
 pub mod cases;
 pub mod model;
@@ -12,19 +13,19 @@
 /// The parts of the protocol that can be switched off.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Safeguard {
-    /// Each allocator grants its part only. Off: each grants the whole limit.
+    /// Each allocator grants only its part of the limit. Off: each grants the whole limit.
     Divide,
-    /// The bucket of a process that starts holds a part of the tolerance. Off: it is full.
+    /// The bucket of a process that starts contains a part of the tolerance. Off: it is full.
     StartPart,
-    /// A VM that a new list makes an allocator grants nothing until all have the list. Off: it grants at once, as
-    /// if it had been one since it started.
+    /// A VM that becomes an allocator by a new list grants nothing until all VMs have the list.
+    /// Off: it grants immediately, as if it had been an allocator since its start.
     TakeOverPause,
-    /// An operation is granted when it is there to run. Off: grants are kept for later operations.
+    /// An operation is granted only when it is ready to run. Off: grants can be saved for later use.
     NoSavedGrants,
 }
 
 impl Safeguard {
-    /// The switch's name on the command line.
+    /// Returns the safeguard's name on the command line.
     pub const fn name(self) -> &'static str {
         match self {
             Safeguard::Divide => "divide",
--- a/crates/spec/src/quota/model.rs
+++ b/crates/spec/src/quota/model.rs
@@ -1,4 +1,4 @@
-//! The states, transitions and invariants of the quota model.
+//! The states, transitions and invariant of the quota model.
 
 use std::fmt;
 
@@ -10,65 +10,69 @@
 use super::Safeguard;
 use crate::explore::Model;
 
-/// One step of time.
+/// The unit of time of the model, in microseconds.
 const SECOND_US: u64 = 1_000_000;
 
-/// How many seconds are explored, and how many where grants are kept: buckets fill slowly.
+/// The explored time in seconds, without and with saved grants. Saved grants need the longer time to exceed
+/// the limit, because buckets fill slowly.
 const END_S: u64 = 9;
 const END_WITH_SAVED_GRANTS_S: u64 = 13;
 
-/// The VMs: two allocators, and one that a new list puts in the place of the first.
+/// The VMs by index: two allocators, and the VM that replaces the first allocator in the new list.
 const VMS: usize = 3;
 const REPLACED: usize = 0;
 const REPLACING: usize = 2;
 const ALLOCATORS: usize = 2;
 
-/// The limit, and by how much one window may exceed it.
+/// The limit, and the excess that is permitted in one window.
 const LIMIT: RateLimit = RateLimit { rate_milli_per_s: 2_000, burst_milli: 12_000 };
 const TOLERANCE: QuotaTolerance = QuotaTolerance { window_ms: 2_000, excess_milli: 0, slack: 12 };
 
-/// The seconds at which operations of one window run, both ends included.
+/// The number of time steps in one window, both ends included.
 const WINDOW_SECONDS: usize = 3;
 
-/// How many operations may run in one window.
+/// The maximum number of operations in one window: the rate times the window's length, plus the burst, plus
+/// the slack of the tolerance.
 const MAX_OPERATIONS_IN_WINDOW: u32 = 2 * 2 + 12 + 12;
 
-/// How many faults there are, of which a restart is one and a new list two.
+/// The maximum number of faults, and how many of them a new list counts for. A restart counts for one.
 const FAULTS: u8 = 4;
 const NEW_LIST_FAULTS: u8 = 2;
 
-/// How long VMs may differ about the list, and how long one that becomes an allocator waits.
+/// The longest time in which VMs may have different lists, and the time for which a VM that becomes an
+/// allocator waits before it grants, in seconds.
 const LIST_PROPAGATION_S: u64 = 1;
 const TAKEOVER_WAIT_S: u64 = 2;
 
-/// A state.
+/// A state of the allocators and of the operations in the latest window.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub struct State {
     now_s: u64,
+    /// The bucket of each VM; `None` for a VM that is not an allocator.
     buckets: [Option<TokenBucket>; VMS],
-    /// Who knows the new list.
+    /// Whether each VM has received the new list.
     knows_new_list: [bool; VMS],
-    /// When the first VM learned of it.
+    /// The time at which the first VM received the new list.
     new_list_since_s: Option<u64>,
     faults: u8,
-    /// How many operations ran in each second of the window, the present one first.
+    /// The number of operations in each second of the window, the current second first.
     operations: [u32; WINDOW_SECONDS],
-    /// Grants that are kept for later.
+    /// The number of grants that callers hold for later operations.
     saved_grants: u32,
 }
 
-/// What happens between two states.
+/// A transition between two states. VMs are given by their index.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
-    /// Callers run all that an allocator grants.
+    /// Callers run as many operations as an allocator grants.
     RunGranted(usize),
-    /// Callers take all that an allocator grants, for later.
+    /// Callers save as many grants as an allocator gives.
     SaveGrants(usize),
-    /// Callers run what was granted before.
+    /// Callers run one operation for each saved grant.
     RunSaved,
-    /// An allocator's process starts again.
+    /// An allocator's process restarts.
     Restart(usize),
-    /// A VM learns the new list.
+    /// A VM receives the new list.
     Learn(usize),
     /// A second passes.
     Tick,
@@ -87,10 +91,10 @@
     }
 }
 
-/// The model.
+/// The quota model.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaModel {
-    /// The safeguard that is switched off.
+    /// The safeguard that is switched off, if any.
     pub without: Option<Safeguard>,
 }
 
@@ -101,7 +105,8 @@
         self.without != Some(safeguard)
     }
 
-    /// Grants that are kept make far more states, and need no faults to show what they do.
+    /// Returns the maximum number of faults. It is zero if grants can be saved: saved grants multiply the
+    /// number of states, and they exceed the limit without any fault.
     fn faults(&self) -> u8 {
         if self.has(Safeguard::NoSavedGrants) { FAULTS } else { 0 }
     }
