--- a/crates/spec/src/spreading/cases.rs
+++ b/crates/spec/src/spreading/cases.rs
@@ -8,7 +8,7 @@
 
 macro_rules! cases {
     ($($without:expr, $revisions:literal revisions;)*) => {
-        /// Every case.
+        /// The explored cases: all safeguards on, then each one off.
         pub const CASES: &[Case] = &[$(Case {
             model: "spreading",
             without: match $without {
--- a/crates/spec/src/spreading/mod.rs
+++ b/crates/spec/src/spreading/mod.rs
@@ -1,16 +1,17 @@
-//! Accepted settings on their way to every process.
+//! Propagation of accepted settings to every process.
 //!
-//! The platform's store changes one of two objects at a time. Whole snapshots, and changes from one
-//! revision to a later one, arrive at any process from the platform, from watchers and from peers, as
-//! they were at any earlier time: late, again, out of order. Processes see each other's revisions and
-//! pull; a pull may fail or never end. Processes restart, and start from their peers' answers when
-//! the platform is down. What is taken is decided by the core's
-//! [`Spreading`](skylark_core::version::spreading::Spreading) and
-//! [`StartChoice`](skylark_core::version::spreading::StartChoice).
+//! The platform's store changes one of two objects at a time. Full snapshots, and deltas between two
+//! revisions, arrive at processes from the platform, from watchers and from peers. They may be outdated,
+//! duplicated or out of order. Processes receive each other's revisions and pull newer ones; a pull may fail
+//! or never complete. Processes restart while the platform is down, and then start with a peer's snapshot.
+//! The core's [`Spreading`](skylark_core::version::spreading::Spreading) decides which snapshots and deltas
+//! are put in force, and [`StartChoice`](skylark_core::version::spreading::StartChoice) selects the peer.
 //!
-//! Explored: a process never goes back during its life, and holds exactly the objects of the
-//! revision that it claims; one that starts takes the highest answer; one that is behind a peer that
-//! it sees pulls.
+//! Invariants:
+//! - between two restarts, a process never reverts to an older revision;
+//! - a process holds exactly the objects of the revision that it has in force;
+//! - a process that starts takes the highest revision among the answers of its peers;
+//! - a process that receives a higher revision of a peer pulls.
 
 pub mod cases;
 pub mod model;
@@ -20,17 +21,16 @@
 /// The parts of the protocol that can be switched off.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Safeguard {
-    /// The highest revision wins. Off: what arrives last is put in force.
+    /// The highest revision wins. Off: the revision that arrives last is put in force.
     HighestWins,
-    /// Changes are taken only by a process that holds the revision from which they start, or a later
-    /// one. Off: they are taken by any.
+    /// A delta is applied only by a process that holds its base revision or a later one. Off: by any process.
     ContiguousChanges,
-    /// A process that starts waits for several peers. Off: it takes the first answer.
+    /// A process that starts waits for the answers of several peers. Off: it takes the first answer.
     SeveralPeers,
 }
 
 impl Safeguard {
-    /// The switch's name on the command line.
+    /// Returns the safeguard's name on the command line.
     pub const fn name(self) -> &'static str {
         match self {
             Safeguard::HighestWins => "highest-wins",
--- a/crates/spec/src/spreading/model.rs
+++ b/crates/spec/src/spreading/model.rs
@@ -13,51 +13,54 @@
 use super::Safeguard;
 use crate::explore::Model;
 
-/// The processes.
+/// The number of processes.
 const PROCESSES: usize = 3;
-/// The objects of the configuration.
+/// The number of objects in the configuration.
 const OBJECTS: usize = 2;
-/// The most revisions. The first one is in force everywhere at the beginning.
+/// The maximum number of revisions. The first one is in force at every process in the initial state.
 pub const MAX_REVISIONS: usize = 4;
-/// When the peers' answers to a process that starts are no longer waited for.
+/// The time at which a process that starts stops waiting for answers of its peers.
 const START_DEADLINE_US: u64 = 1;
-/// The two times at which messages between peers are seen: before and after a pull has run out.
+/// The two times at which messages of peers arrive: before and after the time limit of a pull.
 const TIMES_US: [u64; 2] = [0, 2 * spreading::PULL_TIMEOUT_US];
 
-/// A process.
+/// The configuration of a process.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 struct Process {
-    /// The objects that it holds, by the revision that last changed each.
+    /// The objects in force, each given by the revision that last changed it.
     objects: [u8; OBJECTS],
-    /// The highest revision that it has had in force in this life.
+    /// The highest revision in force since the process started.
     highest: u8,
 }
 
-/// How a process that starts asks its peers.
+/// The progress of a process that starts and asks its peers.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 struct Startup {
     choice: StartChoice,
+    /// Whether each process has answered or failed to answer; true for the process itself.
     asked: [bool; PROCESSES],
-    /// The highest revision that a peer answered.
+    /// The highest revision among the answers.
     highest: u8,
 }
 
-/// A state.
+/// A state of the store and of all processes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct State {
+    /// The latest revision of the store.
     revision: u8,
-    /// The object that each revision changed.
+    /// The index of the object that each revision changed.
     changed: [u8; MAX_REVISIONS],
     processes: [Process; PROCESSES],
     spreading: [Spreading; PROCESSES],
-    /// A process that starts, one at a time.
+    /// The index and progress of the process that is starting. Only one process starts at a time.
     starting: Option<(u8, Startup)>,
-    /// Whether a process started with less than a peer had answered.
+    /// Whether a process started with a lower revision than a peer had answered, or without waiting for the
+    /// other answers or the deadline.
     started_below_peers: bool,
 }
 
 impl State {
-    /// The objects of a revision, by the revision that last changed each.
+    /// Returns the objects of `revision`, each given by the revision that last changed it.
     fn objects_at(&self, revision: u8) -> [u8; OBJECTS] {
         let mut objects = [0; OBJECTS];
         for past in 1..=revision {
@@ -66,32 +69,33 @@
         objects
     }
 
-    /// Whether a process has no version and asks its peers for one.
+    /// Returns whether a process has no revision in force and asks its peers for one.
     fn is_starting(&self, process: usize) -> bool {
         self.starting.is_some_and(|(starting, _)| usize::from(starting) == process)
     }
 }
 
-/// What happens between two states.
+/// A transition between two states. Processes and objects are given by their index.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
-    /// A change of an object is accepted.
+    /// The store accepts a change of an object.
     Accept(usize),
     /// A snapshot of a revision arrives at a process.
     Snapshot(usize, u8, Source),
-    /// The changes from one revision to another arrive at a process.
+    /// The delta from one revision to another arrives at a process.
     Changes(usize, u8, u8),
-    /// A process sees a peer's revision.
+    /// A process receives the revision of a peer.
     ObservePeer(usize, usize),
-    /// A process's pull fails.
+    /// The pull of a process fails.
     PullFails(usize),
     /// A process restarts while the platform is down, and asks its peers.
     Restart(usize),
-    /// A peer answers a process that starts.
+    /// A peer answers the process that starts.
     Answer(usize),
-    /// A peer can't be asked.
+    /// The process that starts can't reach a peer.
     NoAnswer(usize),
-    /// A process that starts decides, before or after its deadline.
+    /// The process that starts chooses a peer and takes its snapshot. The value is the time in microseconds,
+    /// before the deadline or at it.
     Decide(u64),
 }
 
@@ -117,12 +121,12 @@
     }
 }
 
-/// The model.
+/// The spreading model.
 #[derive(Clone, Copy, Debug)]
 pub struct SpreadingModel {
-    /// The highest revision.
+    /// The highest revision that the store reaches, at most [`MAX_REVISIONS`].
     pub revisions: u8,
-    /// The safeguard that is switched off.
+    /// The safeguard that is switched off, if any.
     pub without: Option<Safeguard>,
 }
 
@@ -133,7 +137,7 @@
         self.without != Some(safeguard)
     }
 
-    /// Whether a process puts a revision in force.
+    /// Offers a revision to a process. Returns whether the process puts it in force.
     fn accepts_offer(
         &self,
         state: &mut State,
@@ -161,7 +165,9 @@
         after
     }
 
-    /// Changes from `base` to `revision`: the objects changed in between, as of `revision`.
+    /// Returns the state after the delta from `base` to `revision` arrived at a process. The delta contains
+    /// the objects that changed after `base`, as of `revision`. Returns `None` if the delta is not contiguous
+    /// with the revision in force and is therefore not considered.
     fn changes(&self, state: &State, process: usize, base: u8, revision: u8) -> Option<State> {
         let in_force = &state.spreading[process];
         let is_contiguous = in_force.is_ready() && u64::from(base) <= in_force.revision();
@@ -241,7 +247,7 @@
         for now_us in [0, START_DEADLINE_US] {
             let time_us = if takes_first_answer { START_DEADLINE_US } else { now_us };
             if let StartVerdict::Take(peer) = startup.choice.verdict(time_us) {
-                // The peer sends what it has by now.
+                // The peer sends the snapshot of its current revision, which may be newer than its answer.
                 let revision = state.spreading[peer].revision() as u8;
                 let mut after = self.snapshot(state, process, revision, Source::Peer);
                 after.starting = None;
