--- a/crates/spec/src/answers/mod.rs
+++ b/crates/spec/src/answers/mod.rs
@@ -1,13 +1,14 @@
-//! Whole and own answers: what happens to a connection whose caller gave up or cancelled.
+//! Reuse of a connection to a target after its caller abandoned or cancelled a statement.
 //!
-//! A target answers the statements of a connection in order and does not say to which statement an
-//! answer belongs. Callers give up before the answer comes, and cancel requests travel on a
-//! connection of their own: one may arrive before, while or after the statement runs that it was
-//! meant for. Explored: a caller gets the answer of its own statement, and nobody's statement is
-//! cancelled but by its own caller.
+//! A target answers the statements of a connection in order, and an answer does not identify its
+//! statement. Callers may abandon a statement before its answer arrives. A cancel request uses a separate
+//! connection, so it may arrive before, during or after the execution of its statement.
 //!
-//! This model states the rule for reusing connections; it calls no function of `skylark-core`,
-//! which holds no connections.
+//! Invariants: a caller receives only the answer to its own statement, and a statement is cancelled only by
+//! its own caller.
+//!
+//! This model specifies the rule for reusing connections. It calls no function of `skylark-core`, which
+//! manages no connections.
 
 pub mod cases;
 pub mod model;
@@ -17,16 +18,16 @@
 /// The parts of the protocol that can be switched off.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Safeguard {
-    /// A connection whose answer was abandoned is drained before it serves another caller. Off: it
-    /// is used again at once.
+    /// A connection whose statement was abandoned is drained before it serves another caller. Off: it is
+    /// reused immediately.
     Drain,
-    /// A connection for which a cancel request went out is closed. Off: it is used again when its
-    /// answers have been read.
+    /// A connection for which a cancel request was sent is closed. Off: it is reused after its answers were
+    /// read.
     CloseAfterCancel,
 }
 
 impl Safeguard {
-    /// The switch's name on the command line.
+    /// Returns the safeguard's name on the command line.
     pub const fn name(self) -> &'static str {
         match self {
             Safeguard::Drain => "drain",
--- a/crates/spec/src/answers/model.rs
+++ b/crates/spec/src/answers/model.rs
@@ -5,51 +5,51 @@
 use super::Safeguard;
 use crate::explore::Model;
 
-/// The most callers; each sends one statement.
+/// The maximum number of callers. Each caller sends one statement.
 pub const MAX_CALLERS: usize = 4;
 const CONNECTIONS: usize = 2;
 
-/// Where a caller stands.
+/// The state of a caller.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub enum Caller {
-    /// It has sent nothing.
+    /// The caller has not sent its statement.
     #[default]
     New,
-    /// It waits for its answer.
+    /// The caller waits for the answer.
     Waiting,
-    /// It waits for its answer and has asked to cancel.
+    /// The caller waits for the answer and has requested cancellation.
     Cancelling,
-    /// It gave up.
+    /// The caller abandoned its statement.
     Gone,
-    /// It got the answer of this caller's statement.
+    /// The caller received an answer.
     Answered {
-        /// Whose statement the answer belongs to.
+        /// The caller whose statement the answer belongs to.
         owner: u8,
         /// Whether the answer says that the statement was cancelled.
         cancelled: bool,
-        /// Whether it had asked to cancel.
+        /// Whether the caller that received the answer had requested cancellation.
         asked: bool,
     },
 }
 
-/// An answer on its way.
+/// An answer that the proxy has not read.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct Answer {
     owner: u8,
     cancelled: bool,
 }
 
-/// What the proxy does with a connection.
+/// The use that the proxy makes of a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub enum Use {
-    /// It waits for a caller.
+    /// The connection is available to any caller.
     #[default]
     Idle,
-    /// It serves this caller.
+    /// The connection serves this caller.
     Held(u8),
-    /// Its caller gave up; its answers are read and dropped.
+    /// The caller abandoned its statement. Answers are read and discarded.
     Draining,
-    /// It was closed.
+    /// The connection was closed.
     Closed,
 }
 
@@ -57,41 +57,41 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct Connection {
     used: Use,
-    /// Statements that the target has not run, by caller, in order.
+    /// The statements that the target has not run, in order, each given by its caller.
     statements: [Option<u8>; MAX_CALLERS],
-    /// Answers that the proxy has not read, in order.
+    /// The answers that the proxy has not read, in order.
     answers: [Option<Answer>; MAX_CALLERS],
-    /// Whether a cancel request is on its way to the target.
+    /// Whether a cancel request was sent and has not arrived at the target.
     cancel: bool,
-    /// Whether one was ever sent.
+    /// Whether a cancel request was ever sent for this connection.
     cancel_sent: bool,
 }
 
-/// A state.
+/// A state of all callers and connections.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct State {
     callers: [Caller; MAX_CALLERS],
     connections: [Connection; CONNECTIONS],
 }
 
-/// What happens between two states.
+/// A transition between two states. Callers and connections are given by their index.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
-    /// A caller's statement is sent on an idle connection.
+    /// The statement of a caller is sent on an idle connection.
     Send(usize, usize),
     /// The target runs the next statement of a connection.
     Run(usize),
-    /// A caller asks to cancel; the request leaves on a connection of its own.
+    /// A caller requests cancellation, and the cancel request is sent on a separate connection.
     Cancel(usize),
-    /// The cancel request for a connection arrives.
+    /// The cancel request for a connection arrives at the target.
     CancelArrives(usize),
-    /// The proxy reads the next answer of a connection and passes it on.
+    /// The proxy reads the next answer of a connection and relays it to the caller.
     Read(usize),
-    /// The proxy reads and drops an abandoned answer.
+    /// The proxy reads and discards the answer to an abandoned statement.
     Drop(usize),
-    /// A caller gives up, and the proxy sends a cancel request or not.
+    /// A caller abandons its statement. The flag is true if the proxy sends a cancel request.
     Abandon(usize, bool),
-    /// A drained connection is used again or closed.
+    /// A drained connection becomes idle or is closed.
     Drained(usize),
 }
 
@@ -114,7 +114,7 @@
 }
 
 fn push_back<T>(queue: &mut [Option<T>; MAX_CALLERS], item: T) {
-    let free_slot = queue.iter_mut().find(|slot| slot.is_none()).expect("one slot a caller");
+    let free_slot = queue.iter_mut().find(|slot| slot.is_none()).expect("one slot per caller");
     *free_slot = Some(item);
 }
 
@@ -124,12 +124,12 @@
     first
 }
 
-/// The model.
+/// The answers model.
 #[derive(Clone, Copy, Debug)]
 pub struct AnswersModel {
-    /// The number of callers.
+    /// The number of callers, at most [`MAX_CALLERS`].
     pub callers: usize,
-    /// The safeguard that is switched off.
+    /// The safeguard that is switched off, if any.
     pub without: Option<Safeguard>,
 }
 
@@ -140,7 +140,7 @@
         self.without != Some(safeguard)
     }
 
-    /// What becomes of a connection that has nothing outstanding.
+    /// Makes a connection idle, or closes it if [`Safeguard::CloseAfterCancel`] requires that.
     fn release(&self, connection: &mut Connection) {
         let closes = connection.cancel_sent && self.has(Safeguard::CloseAfterCancel);
         connection.used = if closes { Use::Closed } else { Use::Idle };
@@ -161,7 +161,11 @@
             }
             Caller::Waiting => {
                 let held = |c: &Connection| c.used == Use::Held(caller as u8);
-                let at = state.connections.iter().position(held).expect("a waiting caller holds");
+                let at = state
+                    .connections
+                    .iter()
+                    .position(held)
+                    .expect("a waiting caller holds a connection");
                 let mut cancelling = *state;
                 cancelling.callers[caller] = Caller::Cancelling;
                 send_cancel(&mut cancelling.connections[at]);
@@ -229,7 +233,7 @@
     connection.cancel_sent = true;
 }
 
-/// Ends the statement that runs, if any.
+/// Ends the next statement of a connection, if any, and appends its answer.
 fn finish_statement(connection: &mut Connection, cancelled: bool) {
     if let Some(owner) = pop_front(&mut connection.statements) {
         push_back(&mut connection.answers, Answer { owner, cancelled });
