--- a/crates/spec/src/repetition/cases.rs
+++ b/crates/spec/src/repetition/cases.rs
@@ -8,7 +8,7 @@
 
 macro_rules! cases {
     ($($without:expr, $tries:literal tries;)*) => {
-        /// Every case.
+        /// The explored cases: all safeguards on, then each one off.
         pub const CASES: &[Case] = &[$(Case {
             model: "repetition",
             without: match $without {
--- a/crates/spec/src/repetition/model.rs
+++ b/crates/spec/src/repetition/model.rs
@@ -19,21 +19,22 @@
 use super::state::Step;
 use crate::explore::Model;
 
-/// The model.
+/// The repetition model.
 #[derive(Clone, Copy, Debug)]
 pub struct RepetitionModel {
-    /// How often each sender may send the request.
+    /// The maximum number of tries of each sender, at most [`MAX_TRIES`].
     pub tries: usize,
-    /// The safeguard that is switched off.
+    /// The safeguard that is switched off, if any.
     pub without: Option<Safeguard>,
 }
 
 type Next = Vec<(Step, State)>;
 
-/// What a deadline that has not passed leaves; its exact length decides nothing.
+/// The time until the request's deadline, which never passes in this model. No decision depends on its exact
+/// length.
 const TIME_LEFT_US: u64 = 1_000_000;
 
-/// The refusals that a target gives before it runs anything.
+/// The SQLSTATEs with which a target refuses a request before it runs anything.
 const REFUSALS: [[u8; 5]; 3] = [*b"25006", *b"57P01", *b"53300"];
 
 fn sender_mut(state: &mut State, sender_id: SenderId) -> &mut Sender {
@@ -48,7 +49,7 @@
         self.without != Some(safeguard)
     }
 
-    /// The steps of one sender and of what it sent.
+    /// Appends the steps of one sender and of its messages.
     fn sender_steps(&self, state: &State, sender_id: SenderId, sender: &Sender, next: &mut Next) {
         for (number, message) in sender.messages.iter().enumerate() {
             if *message == Message::Pending {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// A message arrives, also long after its sender gave up.
+    /// Appends the steps in which a message takes effect, which may be long after its sender stopped waiting.
     fn delivery_steps(&self, state: &State, sender_id: SenderId, number: usize, next: &mut Next) {
         let mut taken = *state;
         sender_mut(&mut taken, sender_id).messages[number] = Message::Taken;
@@ -82,7 +83,7 @@
         sender.messages[sender.attempt()] = Message::Pending;
         next.push((Step::Send(sender_id), sent));
         for stage in [Stage::Connecting, Stage::NothingSent, Stage::PartlySent] {
-            // The commit goes to the connection of its transaction.
+            // A commit is sent on the connection of its transaction, so no connection is established for it.
             if stage != Stage::Connecting || !state.commit {
                 self.fail(state, sender_id, stage, Failure::Broken, next);
             }
@@ -119,13 +120,13 @@
             }
         }
         if matches!(sender_id, SenderId::Home(_)) && state.commit && message == Message::Taken {
-            // A target that is shut down may end the connection after the commit took effect.
+            // A target that shuts down may terminate the connection after the commit took effect.
             let failure = Failure::Said { sqlstate: *b"57P01", claimed: None };
             self.fail(state, sender_id, Stage::Sent, failure, next);
         }
     }
 
-    /// The sender sees a failure and takes its verdict.
+    /// Appends the step in which the sender detects a failure and follows the verdict of the core.
     fn fail(
         &self,
         state: &State,
@@ -158,7 +159,8 @@
         next.push((Step::Fail(sender_id, stage, failure), after));
     }
 
-    /// The bound of the model ends the tries: the answer claims what the decision proved.
+    /// Returns the reply of a sender that would retry but has no tries left within the bounds. The reply
+    /// claims the outcome that the failure proves.
     fn exhausted_reply(&self, attempt: &Attempt) -> Reply {
         error_reply("08001", Some(retry::outcome_of(attempt)))
     }
--- a/crates/spec/src/repetition/state.rs
+++ b/crates/spec/src/repetition/state.rs
@@ -6,80 +6,80 @@
 use skylark_core::request::retry::Failure;
 use skylark_core::request::retry::Stage;
 
-/// How often each sender may send the request.
+/// The maximum number of tries of each sender.
 pub const MAX_TRIES: usize = 3;
 
-/// A message on its way to the next hop, or there.
+/// The state of a message from a sender to the next hop.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub enum Message {
-    /// Not sent, or lost before it arrived in whole.
+    /// Not sent, or not sent completely.
     #[default]
     Absent,
-    /// Sent and not acted on yet. It may still be, whatever the sender has seen.
+    /// Sent, and not processed yet. The next hop may still process it after the sender detected a failure.
     Pending,
-    /// Acted on: at a target it ran, at a home the home works on it.
+    /// Processed by the next hop: a target ran it, or a home accepted it and sends it on.
     Taken,
-    /// Refused by a target before anything ran.
+    /// Refused by a target, which ran nothing.
     Refused,
 }
 
-/// What a sender told the one who asked it.
+/// The reply of a sender to the previous hop: to the caller or to the caller's proxy.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Reply {
     /// The request succeeded.
     Success,
-    /// An error with this code and, from a proxy, this claim on the outcome.
+    /// The request failed, or its outcome is unknown.
     Error {
         /// The SQLSTATE.
         sqlstate: [u8; 5],
-        /// Whether the request ran, as far as a proxy says so.
+        /// The outcome that a proxy claims; `None` if the error of a target was relayed.
         claimed: Option<Outcome>,
     },
 }
 
-/// One sender: the caller's proxy towards homes, or a home towards targets.
+/// A sender: the caller's proxy, which sends to homes, or a home, which sends to targets.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct Sender {
-    /// How many tries ended.
+    /// The number of failed tries after which the sender retried.
     pub failed_tries: u8,
-    /// The messages of all tries.
+    /// The message of each try.
     pub messages: [Message; MAX_TRIES],
-    /// How it ended.
+    /// The reply to the previous hop; `None` until the sender has finished.
     pub reply: Option<Reply>,
 }
 
 impl Sender {
-    /// The number of the present try.
+    /// Returns the index of the current try, counted from 0.
     pub fn attempt(&self) -> usize {
         usize::from(self.failed_tries)
     }
 }
 
-/// A state: the caller's proxy, and the home that works on each of its messages.
+/// A state of the caller's proxy and of the homes that process its messages.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct State {
-    /// Whether the request is the commit of a transaction; a write of its own otherwise.
+    /// Whether the request is the commit of a transaction. Otherwise it is a single write.
     pub commit: bool,
     /// The caller's proxy.
     pub entry: Sender,
-    /// The homes, by the number of the entry's message.
+    /// The homes, by the index of the message that they process.
     pub homes: [Sender; MAX_TRIES],
 }
 
 impl State {
-    /// How often the request ran.
+    /// Returns how often the request ran at targets.
     pub fn runs(&self) -> usize {
         let taken = |message: &&Message| **message == Message::Taken;
         self.homes.iter().flat_map(|home| home.messages.iter()).filter(taken).count()
     }
 }
 
-/// Where a sender stands.
+/// The identity of a sender.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SenderId {
     /// The caller's proxy.
     Entry,
-    /// The home that works on the entry's message of this number.
+    /// The home that processes the message with this index from the caller's proxy.
     Home(usize),
 }
 
@@ -92,23 +92,23 @@
     }
 }
 
-/// What happens between two states.
+/// A transition between two states. Messages are given by their sender and index.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
-    /// The caller asks.
+    /// The caller sends its request.
     Request {
-        /// For the commit of a transaction.
+        /// Whether the request is the commit of a transaction.
         commit: bool,
     },
-    /// The whole message is written.
+    /// The sender writes the complete message of its current try.
     Send(SenderId),
-    /// The next hop acts on a message.
+    /// The next hop processes a message.
     Take(SenderId, usize),
-    /// A target refuses a message before it runs.
+    /// A target refuses a message and runs nothing.
     Refuse(SenderId, usize),
-    /// A sender sees a failure of its present try.
+    /// The current try of a sender fails at this stage.
     Fail(SenderId, Stage, Failure),
-    /// A sender gets the success of its present try.
+    /// A sender receives a success as the answer to its current try.
     Succeed(SenderId),
 }
 
