--- a/crates/spec/src/driver/cases.rs
+++ b/crates/spec/src/driver/cases.rs
@@ -9,7 +9,7 @@
 
 macro_rules! cases {
     ($($without:expr, $runs:literal runs, $terms:literal terms, $writes:literal writes;)*) => {
-        /// Every case.
+        /// The explored cases: all safeguards on, then each one off.
         pub const CASES: &[Case] = &[$(Case {
             model: "driver",
             without: match $without {
--- a/crates/spec/src/driver/model.rs
+++ b/crates/spec/src/driver/model.rs
@@ -19,49 +19,49 @@
 use crate::explore::Model;
 
 const MEMBERS: usize = 3;
-/// The most runs of drivers, over all processes.
+/// The maximum number of runs of drivers, over all processes.
 const MAX_RUNS: usize = 3;
-/// The time of everything that happens.
+/// The time of all events, in microseconds.
 const NOW_US: u64 = 1;
 
-/// One run of a driver, from the start of its process.
+/// A run of a driver, which begins at the start of its process.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 struct Run {
-    /// The number of the driver's state, from 1; zero for a run beyond the bounds.
+    /// One plus the number of the driver's state; zero for a run beyond the bounds.
     driver: u32,
-    /// The terms for which it sent raises, one bit each.
+    /// The terms for which the driver sent raise requests, one bit each.
     raises: u8,
-    /// The promotions that it sent: a bit for each term, by member.
+    /// The terms in which the driver requested each member's promotion, one bit each.
     promotions: [u8; MEMBERS],
-    /// The members whose status it waits for, one bit each.
+    /// The members whose status the driver waits for, one bit each.
     reads: u8,
-    /// Its open call to the platform; zero for none.
+    /// The number of the driver's pending call to the platform; zero for none.
     platform: u8,
 }
 
-/// A state.
+/// A state of the group and of all runs.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct State {
     group: GroupState<MEMBERS>,
     runs: [Run; MAX_RUNS],
 }
 
-/// What happens between two states.
+/// A transition between two states. Runs and members are given by their index, in this order.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
     /// A step of the group.
     Group(GroupStep),
-    /// The detector suspects the primary.
+    /// The failure detector of a driver suspects the primary.
     Suspect(usize),
     /// A driver reads a member's status.
     Read(usize, usize),
-    /// A raise arrives at a member; the driver gets the answer or not.
+    /// A request to raise the term arrives at a member. The flag is true if the driver receives the answer.
     Raise(usize, usize, u8, bool),
-    /// A promotion arrives at a member; the driver gets the answer or not.
+    /// A promotion in a term arrives at a member. The flag is true if the driver receives the answer.
     Promote(usize, usize, u8, bool),
-    /// The platform does not answer a driver.
+    /// A call of a driver to the platform fails without an answer.
     PlatformDown(usize),
-    /// A driver's timer fires.
+    /// The timer of a driver fires.
     Timer(usize),
 }
 
@@ -84,18 +84,18 @@
     }
 }
 
-/// How far the model is explored.
+/// The bounds of the model.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct DriverBounds {
-    /// Runs of drivers, side by side.
+    /// The number of concurrent runs of drivers, at most 3.
     pub runs: usize,
-    /// The highest term.
+    /// The highest term that a driver may request. Transitions to a higher term are not explored.
     pub terms: u8,
-    /// Writes.
+    /// The maximum number of writes.
     pub writes: usize,
 }
 
-/// The model.
+/// The driver model within its bounds.
 #[derive(Clone, Debug)]
 pub struct DriverModel {
     bounds: DriverBounds,
@@ -107,7 +107,7 @@
 type Next = Vec<(Step, State)>;
 
 impl DriverModel {
-    /// The model within `bounds`, with one safeguard switched off or none.
+    /// Creates the model within `bounds`, with one safeguard switched off or none.
     pub fn new(bounds: DriverBounds, without: Option<Safeguard>) -> DriverModel {
         let DriverBounds { terms, writes, .. } = bounds;
         let group = Bounds { attempts: 0, terms, writes, sets: &[0b111], lost_answers: false };
@@ -119,11 +119,12 @@
         }
     }
 
-    /// The number in whose name a run asks for votes, from 1.
+    /// Returns the identity under which a run requests votes, counted from 1.
     fn identity(&self, run: usize) -> u8 {
         if self.without == Some(Safeguard::NewName) { 1 } else { run as u8 + 1 }
     }
 
+    /// Returns the driver name of an identity; empty for zero, which stands for no vote.
     fn name(identity: u8) -> String {
         if identity == 0 { String::new() } else { format!("driver{identity}") }
     }
@@ -133,8 +134,8 @@
         MemberStatus { raised_by, ..state.group.report(member) }
     }
 
-    /// Passes an event to a driver and notes what it sends. None where it asks for a term beyond the
-    /// bounds.
+    /// Delivers an event to a driver and records the calls that it requests. Returns `None` if the driver
+    /// requests a term beyond the bounds.
     fn deliver_event(&self, state: &State, run: usize, event: Event) -> Option<State> {
         let mut after = *state;
         let receiver = &mut after.runs[run];
@@ -153,21 +154,21 @@
                     receiver.promotions[requested.member] |= 1 << term;
                 }
                 MemberCall::ReadStatus => receiver.reads |= 1 << requested.member,
-                // The group follows by itself at any time.
+                // In the group model, members may follow the primary at any time without a request.
                 MemberCall::Follow { .. } => {}
             }
         }
         Some(after)
     }
 
-    /// A run that has heard of every member what it reported in the beginning.
+    /// Starts a run whose driver has received the current status of every member.
     fn start(&self, state: &State, run: usize) -> State {
         let mut after = *state;
         let driver = self.drivers.start(&Self::name(self.identity(run)), MEMBERS) + 1;
         after.runs[run] = Run { driver, ..Run::default() };
         for member in 0..MEMBERS {
             let event = Event::Report { member, status: self.status(state, member) };
-            after = self.deliver_event(&after, run, event).expect("a report starts no change");
+            after = self.deliver_event(&after, run, event).expect("a report starts no failover");
         }
         after
     }
@@ -203,7 +204,7 @@
         next.extend(self.deliver_event(state, run, Event::Timer).map(|s| (Step::Timer(run), s)));
     }
 
-    /// What a run sent arrives at a member, also after the run ended.
+    /// Appends the steps in which messages of a run arrive at a member, possibly after the run has ended.
     fn delivery_steps(&self, state: &State, run: usize, member: usize, next: &mut Next) {
         let sent = &state.runs[run];
         for term in 2..=self.bounds.terms {
@@ -268,7 +269,7 @@
     fn initial(&self) -> State {
         let group = self.group.initial();
         let mut state = State { group, runs: [Run::default(); MAX_RUNS] };
-        // Whether a run starts now or later makes no difference to what it may do.
+        // Every run starts in the initial state. A run that starts later can do nothing that this run can't.
         for run in 0..self.bounds.runs {
             state = self.start(&state, run);
         }
