--- a/crates/spec/src/spreading/cases.rs
+++ b/crates/spec/src/spreading/cases.rs
@@ -8,7 +8,7 @@
 
 macro_rules! cases {
     ($($without:expr, $revisions:literal revisions;)*) => {
-        /// Every case.
+        /// The explored cases: all safeguards on, then each one off.
         pub const CASES: &[Case] = &[$(Case {
             model: "spreading",
             without: match $without {
@@ -27,6 +27,6 @@
 cases! {
     None, 4 revisions;
     Some(Safeguard::HighestWins), 2 revisions;
-    Some(Safeguard::ChangesLeadOn), 3 revisions;
+    Some(Safeguard::ContiguousChanges), 3 revisions;
     Some(Safeguard::SeveralPeers), 2 revisions;
 }
--- a/crates/spec/src/spreading/model.rs
+++ b/crates/spec/src/spreading/model.rs
@@ -13,51 +13,54 @@
 use super::Safeguard;
 use crate::explore::Model;
 
-/// The processes.
+/// The number of processes.
 const PROCESSES: usize = 3;
-/// The objects of the configuration.
+/// The number of objects in the configuration.
 const OBJECTS: usize = 2;
-/// The most revisions. The first one is in force everywhere at the beginning.
+/// The maximum number of revisions. The first one is in force at every process in the initial state.
 pub const MAX_REVISIONS: usize = 4;
-/// When the peers' answers to a process that starts are no longer waited for.
+/// The time at which a process that starts stops waiting for answers of its peers.
 const START_DEADLINE_US: u64 = 1;
-/// The two times at which messages between peers are seen: before and after a pull has run out.
+/// The two times at which messages of peers arrive: before and after the time limit of a pull.
 const TIMES_US: [u64; 2] = [0, 2 * spreading::PULL_TIMEOUT_US];
 
-/// A process.
+/// The configuration of a process.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 struct Process {
-    /// The objects that it holds, by the revision that last changed each.
+    /// The objects in force, each given by the revision that last changed it.
     objects: [u8; OBJECTS],
-    /// The highest revision that it has had in force in this life.
+    /// The highest revision in force since the process started.
     highest: u8,
 }
 
-/// How a process that starts asks its peers.
+/// The progress of a process that starts and asks its peers.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-struct Start {
+struct Startup {
     choice: StartChoice,
+    /// Whether each process has answered or failed to answer; true for the process itself.
     asked: [bool; PROCESSES],
-    /// The highest revision that a peer answered.
+    /// The highest revision among the answers.
     highest: u8,
 }
 
-/// A state.
+/// A state of the store and of all processes.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct State {
+    /// The latest revision of the store.
     revision: u8,
-    /// The object that each revision changed.
+    /// The index of the object that each revision changed.
     changed: [u8; MAX_REVISIONS],
     processes: [Process; PROCESSES],
     spreading: [Spreading; PROCESSES],
-    /// A process that starts, one at a time.
-    starting: Option<(u8, Start)>,
-    /// Whether a process started with less than a peer had answered.
-    started_low: bool,
+    /// The index and progress of the process that is starting. Only one process starts at a time.
+    starting: Option<(u8, Startup)>,
+    /// Whether a process started with a lower revision than a peer had answered, or without waiting for the
+    /// other answers or the deadline.
+    started_below_peers: bool,
 }
 
 impl State {
-    /// The objects of a revision, by the revision that last changed each.
+    /// Returns the objects of `revision`, each given by the revision that last changed it.
     fn objects_at(&self, revision: u8) -> [u8; OBJECTS] {
         let mut objects = [0; OBJECTS];
         for past in 1..=revision {
@@ -66,32 +69,33 @@
         objects
     }
 
-    /// Whether a process has no version and asks its peers for one.
+    /// Returns whether a process has no revision in force and asks its peers for one.
     fn is_starting(&self, process: usize) -> bool {
         self.starting.is_some_and(|(starting, _)| usize::from(starting) == process)
     }
 }
 
-/// What happens between two states.
+/// A transition between two states. Processes and objects are given by their index.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
-    /// A change of an object is accepted.
+    /// The store accepts a change of an object.
     Accept(usize),
     /// A snapshot of a revision arrives at a process.
     Snapshot(usize, u8, Source),
-    /// The changes from one revision to another arrive at a process.
+    /// The delta from one revision to another arrives at a process.
     Changes(usize, u8, u8),
-    /// A process sees a peer's revision.
-    See(usize, usize),
-    /// A process's pull fails.
+    /// A process receives the revision of a peer.
+    ObservePeer(usize, usize),
+    /// The pull of a process fails.
     PullFails(usize),
     /// A process restarts while the platform is down, and asks its peers.
     Restart(usize),
-    /// A peer answers a process that starts.
+    /// A peer answers the process that starts.
     Answer(usize),
-    /// A peer can't be asked.
+    /// The process that starts can't reach a peer.
     NoAnswer(usize),
-    /// A process that starts decides, before or after its deadline.
+    /// The process that starts chooses a peer and takes its snapshot. The value is the time in microseconds,
+    /// before the deadline or at it.
     Decide(u64),
 }
 
@@ -105,7 +109,7 @@
             Step::Changes(process, base, revision) => {
                 write!(f, "process{process} gets the changes from {base} to {revision}")
             }
-            Step::See(process, peer) => {
+            Step::ObservePeer(process, peer) => {
                 write!(f, "process{process} sees the revision of process{peer}")
             }
             Step::PullFails(process) => write!(f, "the pull of process{process} fails"),
@@ -117,12 +121,12 @@
     }
 }
 
-/// The model.
+/// The spreading model.
 #[derive(Clone, Copy, Debug)]
 pub struct SpreadingModel {
-    /// The highest revision.
+    /// The highest revision that the store reaches, at most [`MAX_REVISIONS`].
     pub revisions: u8,
-    /// The safeguard that is switched off.
+    /// The safeguard that is switched off, if any.
     pub without: Option<Safeguard>,
 }
 
@@ -133,8 +137,14 @@
         self.without != Some(safeguard)
     }
 
-    /// Whether a process puts a revision in force.
-    fn takes(&self, state: &mut State, process: usize, revision: u8, source: Source) -> bool {
+    /// Offers a revision to a process. Returns whether the process puts it in force.
+    fn accepts_offer(
+        &self,
+        state: &mut State,
+        process: usize,
+        revision: u8,
+        source: Source,
+    ) -> bool {
         let spreading = &mut state.spreading[process];
         if !self.has(Safeguard::HighestWins) {
             *spreading = Spreading::new();
@@ -149,21 +159,23 @@
 
     fn snapshot(&self, state: &State, process: usize, revision: u8, source: Source) -> State {
         let mut after = *state;
-        if self.takes(&mut after, process, revision, source) {
+        if self.accepts_offer(&mut after, process, revision, source) {
             after.processes[process].objects = state.objects_at(revision);
         }
         after
     }
 
-    /// Changes from `base` to `revision`: the objects changed in between, as of `revision`.
+    /// Returns the state after the delta from `base` to `revision` arrived at a process. The delta contains
+    /// the objects that changed after `base`, as of `revision`. Returns `None` if the delta is not contiguous
+    /// with the revision in force and is therefore not considered.
     fn changes(&self, state: &State, process: usize, base: u8, revision: u8) -> Option<State> {
         let in_force = &state.spreading[process];
-        let leads_on = in_force.is_ready() && u64::from(base) <= in_force.revision();
-        if !leads_on && self.has(Safeguard::ChangesLeadOn) {
+        let is_contiguous = in_force.is_ready() && u64::from(base) <= in_force.revision();
+        if !is_contiguous && self.has(Safeguard::ContiguousChanges) {
             return None;
         }
         let mut after = *state;
-        if self.takes(&mut after, process, revision, Source::Watcher) {
+        if self.accepts_offer(&mut after, process, revision, Source::Watcher) {
             let latest = state.objects_at(revision);
             for (object, held) in after.processes[process].objects.iter_mut().enumerate() {
                 if latest[object] > base {
@@ -174,7 +186,7 @@
         Some(after)
     }
 
-    fn arrivals(&self, state: &State, process: usize, next: &mut Next) {
+    fn delivery_steps(&self, state: &State, process: usize, next: &mut Next) {
         for revision in 1..=state.revision {
             for source in [Source::Platform, Source::Peer] {
                 let after = self.snapshot(state, process, revision, source);
@@ -188,13 +200,13 @@
         }
     }
 
-    fn peers(&self, state: &State, process: usize, next: &mut Next) {
+    fn peer_steps(&self, state: &State, process: usize, next: &mut Next) {
         for peer in (0..PROCESSES).filter(|peer| *peer != process) {
             for now_us in TIMES_US {
                 let mut after = *state;
                 let seen = state.spreading[peer].revision();
                 after.spreading[process].peer_seen(seen, now_us);
-                next.push((Step::See(process, peer), after));
+                next.push((Step::ObservePeer(process, peer), after));
             }
         }
         let mut after = *state;
@@ -202,7 +214,7 @@
         next.push((Step::PullFails(process), after));
     }
 
-    fn restart(&self, state: &State, process: usize, next: &mut Next) {
+    fn restart_step(&self, state: &State, process: usize, next: &mut Next) {
         if state.starting.is_some() {
             return;
         }
@@ -212,36 +224,36 @@
         let choice = StartChoice::new(PROCESSES - 1, START_DEADLINE_US);
         let mut asked = [false; PROCESSES];
         asked[process] = true;
-        after.starting = Some((process as u8, Start { choice, asked, highest: 0 }));
+        after.starting = Some((process as u8, Startup { choice, asked, highest: 0 }));
         next.push((Step::Restart(process), after));
     }
 
-    fn starting(&self, state: &State, process: usize, start: &Start, next: &mut Next) {
-        for peer in (0..PROCESSES).filter(|peer| !start.asked[*peer]) {
-            let mut answered = *start;
+    fn startup_steps(&self, state: &State, process: usize, startup: &Startup, next: &mut Next) {
+        for peer in (0..PROCESSES).filter(|peer| !startup.asked[*peer]) {
+            let mut answered = *startup;
             let revision = state.spreading[peer].revision();
             answered.asked[peer] = true;
             answered.choice.answered(peer, revision);
             answered.highest = answered.highest.max(revision as u8);
             let after = State { starting: Some((process as u8, answered)), ..*state };
             next.push((Step::Answer(peer), after));
-            let mut failed = *start;
+            let mut failed = *startup;
             failed.asked[peer] = true;
             failed.choice.failed();
             let after = State { starting: Some((process as u8, failed)), ..*state };
             next.push((Step::NoAnswer(peer), after));
         }
-        let hasty = !self.has(Safeguard::SeveralPeers) && start.highest > 0;
+        let takes_first_answer = !self.has(Safeguard::SeveralPeers) && startup.highest > 0;
         for now_us in [0, START_DEADLINE_US] {
-            let time_us = if hasty { START_DEADLINE_US } else { now_us };
-            if let StartVerdict::Take(peer) = start.choice.verdict(time_us) {
-                // The peer sends what it has by now.
+            let time_us = if takes_first_answer { START_DEADLINE_US } else { now_us };
+            if let StartVerdict::Take(peer) = startup.choice.verdict(time_us) {
+                // The peer sends the snapshot of its current revision, which may be newer than its answer.
                 let revision = state.spreading[peer].revision() as u8;
                 let mut after = self.snapshot(state, process, revision, Source::Peer);
                 after.starting = None;
-                let all_asked = start.asked.iter().all(|asked| *asked);
+                let all_asked = startup.asked.iter().all(|asked| *asked);
                 let waited = now_us >= START_DEADLINE_US || all_asked;
-                after.started_low = revision < start.highest || !waited;
+                after.started_below_peers = revision < startup.highest || !waited;
                 next.push((Step::Decide(now_us), after));
             }
         }
@@ -261,7 +273,7 @@
             processes: [Process { objects: [0; OBJECTS], highest: 1 }; PROCESSES],
             spreading: [spreading; PROCESSES],
             starting: None,
-            started_low: false,
+            started_below_peers: false,
         };
         let objects = state.objects_at(1);
         state.processes.iter_mut().for_each(|process| process.objects = objects);
@@ -281,17 +293,17 @@
             if state.is_starting(process) {
                 continue;
             }
-            self.arrivals(state, process, next);
-            self.peers(state, process, next);
-            self.restart(state, process, next);
+            self.delivery_steps(state, process, next);
+            self.peer_steps(state, process, next);
+            self.restart_step(state, process, next);
         }
-        if let Some((process, start)) = &state.starting {
-            self.starting(state, usize::from(*process), start, next);
+        if let Some((process, startup)) = &state.starting {
+            self.startup_steps(state, usize::from(*process), startup, next);
         }
     }
 
     fn violation(&self, state: &State) -> Option<&'static str> {
-        if state.started_low {
+        if state.started_below_peers {
             return Some("a process started with less than its peers could tell it");
         }
         for (process, spreading) in state.processes.iter().zip(&state.spreading) {
