--- a/crates/spec/src/plans/cases.rs
+++ b/crates/spec/src/plans/cases.rs
@@ -7,7 +7,7 @@
 use crate::explore;
 
 macro_rules! cases {
-    ($($without:expr, again $again:literal;)*) => {
+    ($($without:expr, allow_restart $allow_restart:literal;)*) => {
         /// Every case.
         pub const CASES: &[Case] = &[$(Case {
             model: "plans",
@@ -15,19 +15,19 @@
                 Some(safeguard) => Some(Safeguard::name(safeguard)),
                 None => None,
             },
-            bounds: concat!("2 operators, 2 late updates, confirmations started again: ", $again),
+            bounds: concat!("2 operators, 2 late updates, confirmations started again: ", $allow_restart),
             run: || {
-                explore::explore(&PlansModel::new($again, $without), case::STATE_LIMIT)
+                explore::explore(&PlansModel::new($allow_restart, $without), case::STATE_LIMIT)
             },
         },)*];
     };
 }
 
 cases! {
-    None, again false;
-    None, again true;
-    Some(Safeguard::BaseVersion), again false;
-    Some(Safeguard::ReadBack), again false;
-    Some(Safeguard::PlanId), again false;
-    Some(Safeguard::Note), again false;
+    None, allow_restart false;
+    None, allow_restart true;
+    Some(Safeguard::BaseVersion), allow_restart false;
+    Some(Safeguard::ReadBack), allow_restart false;
+    Some(Safeguard::PlanId), allow_restart false;
+    Some(Safeguard::Note), allow_restart false;
 }
--- a/crates/spec/src/plans/mod.rs
+++ b/crates/spec/src/plans/mod.rs
@@ -12,9 +12,9 @@
 //! later: applied, superseded before any step, or untouched.
 
 pub mod cases;
-pub mod machines;
 pub mod model;
 pub mod state;
+pub mod transition_cache;
 
 pub use model::PlansModel;
 
--- a/crates/spec/src/plans/model.rs
+++ b/crates/spec/src/plans/model.rs
@@ -16,18 +16,18 @@
 use skylark_core::version::plan::step;
 
 use super::Safeguard;
-use super::machines::Action;
-use super::machines::Effect;
-use super::machines::Machines;
-use super::machines::Reply;
-use super::state::Fate;
+use super::state::CallOutcome;
 use super::state::MAX_LATE;
 use super::state::OPERATORS;
 use super::state::Operator;
 use super::state::PlanState;
+use super::state::ReportedOutcome;
 use super::state::State;
 use super::state::Step;
-use super::state::Told;
+use super::transition_cache::Action;
+use super::transition_cache::Effect;
+use super::transition_cache::Reply;
+use super::transition_cache::TransitionCache;
 use crate::explore::Model;
 
 const SERVICE: &str = "s";
@@ -35,9 +35,9 @@
 /// The model.
 #[derive(Clone, Debug)]
 pub struct PlansModel {
-    machines: Machines,
+    transition_cache: TransitionCache,
     /// Whether operators may start a confirmation again.
-    again: bool,
+    allow_restart: bool,
     without: Option<Safeguard>,
 }
 
@@ -45,8 +45,8 @@
 
 impl PlansModel {
     /// The model, with one safeguard switched off or none.
-    pub fn new(again: bool, without: Option<Safeguard>) -> PlansModel {
-        PlansModel { machines: Machines::default(), again, without }
+    pub fn new(allow_restart: bool, without: Option<Safeguard>) -> PlansModel {
+        PlansModel { transition_cache: TransitionCache::default(), allow_restart, without }
     }
 
     fn has(&self, safeguard: Safeguard) -> bool {
@@ -58,7 +58,7 @@
         let objects = state.service.into_iter().chain(records);
         Snapshot {
             revision: u64::from(state.revision),
-            objects: objects.map(|number| self.machines.object(number)).collect(),
+            objects: objects.map(|number| self.transition_cache.object(number)).collect(),
             vms: Vec::new(),
         }
     }
@@ -77,152 +77,168 @@
             PlanRecord::proposed(plan.clone()).to_body(),
         );
         let base = base_version(&plan);
-        let record = Some(self.machines.object_number(record));
+        let record = Some(self.transition_cache.object_number(record));
         after.plans[number] = PlanState { record, base, effects: 0 };
-        after.operators[number] = Operator::Confirming(self.machines.confirm(&plan.id));
+        after.operators[number] =
+            Operator::Confirming(self.transition_cache.new_confirmation(&plan.id));
         next.push((Step::Plan(number), after));
     }
 
     fn plan_id(&self, state: &State, number: usize) -> Option<String> {
-        state.plans[number].record.map(|record| self.machines.object(record).name)
+        state.plans[number].record.map(|record| self.transition_cache.object(record).name)
     }
 
-    fn confirming(&self, state: &State, number: usize, confirmation: u16, next: &mut Next) {
-        let progress = match self.machines.progress(confirmation) {
-            Some(Progress::Untouched) => Told::Untouched,
-            _ => Told::Other,
+    fn confirmation_steps(&self, state: &State, number: usize, confirmation: u16, next: &mut Next) {
+        let progress = match self.transition_cache.progress(confirmation) {
+            Some(Progress::Untouched) => ReportedOutcome::Untouched,
+            _ => ReportedOutcome::Other,
         };
-        self.tell(state, number, Step::Stop(number), progress, next);
-        if self.again
+        self.finish(state, number, Step::Stop(number), progress, next);
+        if self.allow_restart
             && let Some(id) = self.plan_id(state, number)
         {
-            let fresh = Operator::Confirming(self.machines.confirm(&id));
+            let fresh = Operator::Confirming(self.transition_cache.new_confirmation(&id));
             if state.operators[number] != fresh {
-                next.push((Step::Again(number), with_operator(state, number, fresh)));
+                next.push((Step::RestartConfirmation(number), with_operator(state, number, fresh)));
             }
         }
-        let (asked, action) = self.machines.next_action(confirmation);
+        let (polled, action) = self.transition_cache.next_action(confirmation);
         match action {
             Action::Pause => {
-                let after = with_operator(state, number, Operator::Confirming(asked));
+                let after = with_operator(state, number, Operator::Confirming(polled));
                 next.push((Step::Pause(number), after));
             }
             Action::End(end) => {
-                let told = told(&end);
-                self.tell(state, number, Step::End(number, end), told, next);
+                let outcome = reported_outcome(&end);
+                self.finish(state, number, Step::End(number, end), outcome, next);
             }
             Action::Call(call) => {
-                for fate in [Fate::Answered, Fate::Lost, Fate::AnswerLost, Fate::Late] {
-                    self.call(state, number, asked, call, fate, next);
+                for outcome in [
+                    CallOutcome::Answered,
+                    CallOutcome::Lost,
+                    CallOutcome::AnswerLost,
+                    CallOutcome::Late,
+                ] {
+                    self.call(state, number, polled, call, outcome, next);
                 }
             }
         }
     }
 
-    fn tell(&self, state: &State, number: usize, step: Step, told: Told, next: &mut Next) {
-        next.push((step, with_operator(state, number, Operator::Told(told))));
+    fn finish(
+        &self,
+        state: &State,
+        number: usize,
+        step: Step,
+        outcome: ReportedOutcome,
+        next: &mut Next,
+    ) {
+        next.push((step, with_operator(state, number, Operator::Finished(outcome))));
     }
 
     fn call(
         &self,
         state: &State,
         number: usize,
-        asked: u16,
+        polled: u16,
         call: u16,
-        fate: Fate,
+        outcome: CallOutcome,
         next: &mut Next,
     ) {
-        let traits = self.machines.traits(call);
+        let traits = self.transition_cache.traits(call);
         let mut after = *state;
-        let reply = match fate {
-            Fate::Answered => self.take_effect(&mut after, number, call),
-            Fate::AnswerLost if !traits.reads => {
+        let reply = match outcome {
+            CallOutcome::Answered => self.take_effect(&mut after, number, call),
+            CallOutcome::AnswerLost if !traits.is_read => {
                 self.take_effect(&mut after, number, call);
                 Reply::Lost
             }
-            Fate::Late if !traits.reads => {
+            CallOutcome::Late if !traits.is_read => {
                 let Some(free) = after.late.iter_mut().find(|late| late.is_none()) else { return };
                 *free = Some((number as u8, call));
                 after.late.sort_unstable();
                 Reply::Lost
             }
-            Fate::Lost => Reply::Lost,
-            Fate::AnswerLost | Fate::Late => return,
+            CallOutcome::Lost => Reply::Lost,
+            CallOutcome::AnswerLost | CallOutcome::Late => return,
         };
-        let changes = !traits.reads && !traits.of_record;
+        let changes = !traits.is_read && !traits.on_plan_record;
         let repeats = reply == Reply::Lost && changes && !self.has(Safeguard::ReadBack);
         after.operators[number] = match repeats {
-            true => Operator::Repeating { confirmation: asked, call },
-            false => Operator::Confirming(self.machines.answer(asked, reply)),
+            true => Operator::Repeating { confirmation: polled, call },
+            false => Operator::Confirming(self.transition_cache.answer(polled, reply)),
         };
-        next.push((Step::Call(number, call, fate), after));
+        next.push((Step::Call(number, call, outcome), after));
     }
 
     /// The platform acts on a call of an operator.
     fn take_effect(&self, state: &mut State, number: usize, call: u16) -> Reply {
-        let traits = self.machines.traits(call);
-        let place = self.place(state, call);
-        let object = match place {
+        let traits = self.transition_cache.traits(call);
+        let record_owner = self.record_owner(state, call);
+        let object = match record_owner {
             Some(plan) => state.plans[plan].record,
             None => state.service,
         };
-        let notes = place.is_some_and(|plan| plan != number) && !traits.reads;
+        let notes = record_owner.is_some_and(|plan| plan != number) && !traits.is_read;
         if notes && !self.has(Safeguard::Note) {
             return Reply::Took(state.revision);
         }
-        let changes = !traits.reads && !traits.of_record;
+        let changes = !traits.is_read && !traits.on_plan_record;
         let any_version = changes && !self.has(Safeguard::BaseVersion);
         let stored = match changes && !self.has(Safeguard::PlanId) {
-            true => self.machines.call_number(without_plan_id(self.machines.call(call))),
+            true => {
+                self.transition_cache.call_number(without_plan_id(self.transition_cache.call(call)))
+            }
             false => call,
         };
-        let present = self.machines.version(object);
+        let present = self.transition_cache.version(object);
         let Effect { reply, object, changed } =
-            self.machines.act(stored, object, state.revision, any_version);
+            self.transition_cache.apply_call(stored, object, state.revision, any_version);
         if !changed {
             return reply;
         }
         state.revision += 1;
-        match place {
+        match record_owner {
             Some(plan) => state.plans[plan].record = object,
             None => {
                 state.service = object;
                 state.plans[number].effects += 1;
-                state.on_other_version |= present != u64::from(state.plans[number].base);
+                state.applied_to_wrong_version |= present != u64::from(state.plans[number].base);
             }
         }
         reply
     }
 
     /// The number of the plan whose record a call is about; none for the service.
-    fn place(&self, state: &State, call: u16) -> Option<usize> {
+    fn record_owner(&self, state: &State, call: u16) -> Option<usize> {
         let is_record = |plan: &PlanState| {
-            plan.record.is_some_and(|record| self.machines.is_about(call, record))
+            plan.record.is_some_and(|record| self.transition_cache.is_about(call, record))
         };
         state.plans.iter().position(is_record)
     }
 
     /// Sends an update again on the version that the object has now, until it is answered.
     fn repeat(&self, state: &State, number: usize, confirmation: u16, call: u16, next: &mut Next) {
-        let call = self.machines.call(call);
-        let expected_version = self.machines.version(state.service);
+        let call = self.transition_cache.call(call);
+        let expected_version = self.transition_cache.version(state.service);
         let verb = match call.verb {
             Verb::Put { body, .. } => Verb::Put { expected_version, body },
             Verb::Delete { .. } => Verb::Delete { expected_version },
             Verb::Get => Verb::Get,
         };
-        let call = self.machines.call_number(Call { verb, ..call });
+        let call = self.transition_cache.call_number(Call { verb, ..call });
         let mut after = *state;
         let reply = self.take_effect(&mut after, number, call);
-        after.operators[number] = Operator::Confirming(self.machines.answer(confirmation, reply));
-        next.push((Step::Call(number, call, Fate::Answered), after));
+        after.operators[number] =
+            Operator::Confirming(self.transition_cache.answer(confirmation, reply));
+        next.push((Step::Call(number, call, CallOutcome::Answered), after));
     }
 
-    fn arrivals(&self, state: &State, next: &mut Next) {
-        for place in 0..MAX_LATE {
-            let Some((number, call)) = state.late[place] else { continue };
+    fn arrival_steps(&self, state: &State, next: &mut Next) {
+        for slot in 0..MAX_LATE {
+            let Some((number, call)) = state.late[slot] else { continue };
             let mut after = *state;
-            after.late[place] = None;
+            after.late[slot] = None;
             after.late.sort_unstable();
             self.take_effect(&mut after, usize::from(number), call);
             next.push((Step::Arrive(usize::from(number), call), after));
@@ -252,11 +268,11 @@
     call
 }
 
-fn told(end: &End) -> Told {
+fn reported_outcome(end: &End) -> ReportedOutcome {
     match end {
-        End::Applied { .. } => Told::Applied,
-        End::Superseded { steps_done: 0, .. } => Told::Superseded,
-        _ => Told::Other,
+        End::Applied { .. } => ReportedOutcome::Applied,
+        End::Superseded { steps_done: 0, .. } => ReportedOutcome::Superseded,
+        _ => ReportedOutcome::Other,
     }
 }
 
@@ -288,11 +304,11 @@
         let service = stored(ObjectKind::Service, SERVICE, 1, body);
         State {
             revision: 1,
-            service: Some(self.machines.object_number(service)),
+            service: Some(self.transition_cache.object_number(service)),
             plans: [PlanState::default(); OPERATORS],
             operators: [Operator::Idle; OPERATORS],
             late: [None; MAX_LATE],
-            on_other_version: false,
+            applied_to_wrong_version: false,
         }
     }
 
@@ -301,31 +317,31 @@
             match state.operators[number] {
                 Operator::Idle => self.plan(state, number, next),
                 Operator::Confirming(confirmation) => {
-                    self.confirming(state, number, confirmation, next);
+                    self.confirmation_steps(state, number, confirmation, next);
                 }
                 Operator::Repeating { confirmation, call } => {
                     self.repeat(state, number, confirmation, call, next);
                 }
-                Operator::Told(_) => {}
+                Operator::Finished(_) => {}
             }
         }
-        self.arrivals(state, next);
+        self.arrival_steps(state, next);
     }
 
     fn violation(&self, state: &State) -> Option<&'static str> {
-        if state.on_other_version {
+        if state.applied_to_wrong_version {
             return Some("a plan took effect on a version that it was not made for");
         }
         for (plan, operator) in state.plans.iter().zip(&state.operators) {
             match (operator, plan.effects) {
                 (_, 2..) => return Some("a plan took effect twice"),
-                (Operator::Told(Told::Applied), 0) => {
+                (Operator::Finished(ReportedOutcome::Applied), 0) => {
                     return Some("a plan is told to be applied that did not take effect");
                 }
-                (Operator::Told(Told::Superseded), 1) => {
+                (Operator::Finished(ReportedOutcome::Superseded), 1) => {
                     return Some("a plan is told to be superseded that took effect");
                 }
-                (Operator::Told(Told::Untouched), 1) => {
+                (Operator::Finished(ReportedOutcome::Untouched), 1) => {
                     return Some("an operator is told that nothing was touched, but it was");
                 }
                 _ => {}
@@ -337,14 +353,14 @@
     fn describe_step(&self, step: &Step) -> String {
         match step {
             Step::Call(_, call, _) | Step::Arrive(_, call) => {
-                format!("{step}: {}", describe_call(&self.machines.call(*call)))
+                format!("{step}: {}", describe_call(&self.transition_cache.call(*call)))
             }
             step => step.to_string(),
         }
     }
 
     fn describe(&self, state: &State) -> String {
-        let service = state.service.map(|number| self.machines.object(number));
+        let service = state.service.map(|number| self.transition_cache.object(number));
         let shown = service.map_or("no service".to_owned(), |object| {
             let by = step::last_plan(&object);
             let weight = &object.body["classes"][1]["weight"];
@@ -352,11 +368,11 @@
         });
         let effects: Vec<u8> = state.plans.iter().map(|plan| plan.effects).collect();
         let late = state.late.iter().flatten().count();
-        let told = state.operators.map(|operator| match operator {
-            Operator::Told(told) => format!("{told:?}"),
+        let outcomes = state.operators.map(|operator| match operator {
+            Operator::Finished(outcome) => format!("{outcome:?}"),
             Operator::Idle => "idle".to_owned(),
             Operator::Confirming(_) | Operator::Repeating { .. } => "busy".to_owned(),
         });
-        format!("{shown}; effects {effects:?}; late updates {late}; operators {told:?}")
+        format!("{shown}; effects {effects:?}; late updates {late}; operators {outcomes:?}")
     }
 }
--- a/crates/spec/src/plans/state.rs
+++ b/crates/spec/src/plans/state.rs
@@ -23,12 +23,12 @@
         call: u16,
     },
     /// It was told how the confirmation ended.
-    Told(Told),
+    Finished(ReportedOutcome),
 }
 
 /// What an operator was told.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-pub enum Told {
+pub enum ReportedOutcome {
     /// The plan has taken effect.
     Applied,
     /// Another change came before any step.
@@ -64,12 +64,12 @@
     /// Updates that may still take effect, by the operator's number and the call's.
     pub late: [Option<(u8, u16)>; MAX_LATE],
     /// Whether a plan took effect on another version than its base.
-    pub on_other_version: bool,
+    pub applied_to_wrong_version: bool,
 }
 
 /// What becomes of a call.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Fate {
+pub enum CallOutcome {
     /// It takes effect and is answered.
     Answered,
     /// It is lost.
@@ -86,7 +86,7 @@
     /// An operator makes its plan and stores it.
     Plan(usize),
     /// An operator's call, and what becomes of it.
-    Call(usize, u16, Fate),
+    Call(usize, u16, CallOutcome),
     /// An operator waits and asks again.
     Pause(usize),
     /// An operator is told the end.
@@ -94,7 +94,7 @@
     /// An operator stops.
     Stop(usize),
     /// An operator runs the confirmation again from its beginning.
-    Again(usize),
+    RestartConfirmation(usize),
     /// A late update arrives.
     Arrive(usize, u16),
 }
@@ -103,11 +103,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Step::Plan(number) => write!(f, "operator{number} plans"),
-            Step::Call(number, call, fate) => write!(f, "operator{number}: call{call}: {fate:?}"),
+            Step::Call(number, call, outcome) => {
+                write!(f, "operator{number}: call{call}: {outcome:?}")
+            }
             Step::Pause(number) => write!(f, "operator{number} waits"),
             Step::End(number, end) => write!(f, "operator{number} is told {end:?}"),
             Step::Stop(number) => write!(f, "operator{number} stops"),
-            Step::Again(number) => write!(f, "operator{number} starts the confirmation again"),
+            Step::RestartConfirmation(number) => {
+                write!(f, "operator{number} starts the confirmation again")
+            }
             Step::Arrive(number, call) => write!(f, "operator{number}'s late call{call} arrives"),
         }
     }
--- a/crates/spec/src/plans/machines.rs
+++ b/crates/spec/src/plans/transition_cache.rs
@@ -56,9 +56,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct CallTraits {
     /// Whether it only reads.
-    pub reads: bool,
+    pub is_read: bool,
     /// Whether it is about a plan's record.
-    pub of_record: bool,
+    pub on_plan_record: bool,
 }
 
 /// A call, the object's number, the store's revision, and whether any version will do.
@@ -66,7 +66,7 @@
 
 /// The numbered values, and the transitions that were taken before.
 #[derive(Clone, Debug, Default)]
-pub struct Machines {
+pub struct TransitionCache {
     confirmations: RefCell<Interner<Confirmation>>,
     objects: RefCell<Interner<StoredObject>>,
     calls: RefCell<Interner<Call>>,
@@ -75,9 +75,9 @@
     effects: RefCell<FastMap<EffectKey, Effect>>,
 }
 
-impl Machines {
+impl TransitionCache {
     /// The number of a new confirmation of a plan.
-    pub fn confirm(&self, plan: &str) -> u16 {
+    pub fn new_confirmation(&self, plan: &str) -> u16 {
         self.confirmations.borrow_mut().number(Confirmation::new(plan))
     }
 
@@ -151,7 +151,10 @@
     pub fn traits(&self, number: u16) -> CallTraits {
         let calls = self.calls.borrow();
         let call = calls.value(number);
-        CallTraits { reads: call.verb == Verb::Get, of_record: call.kind == ObjectKind::Plan }
+        CallTraits {
+            is_read: call.verb == Verb::Get,
+            on_plan_record: call.kind == ObjectKind::Plan,
+        }
     }
 
     /// Whether a call is about the object with this number.
@@ -162,17 +165,29 @@
     }
 
     /// Lets the platform act on a call. `any_version` leaves out the check of the version.
-    pub fn act(&self, call: u16, object: Option<u16>, revision: u8, any_version: bool) -> Effect {
+    pub fn apply_call(
+        &self,
+        call: u16,
+        object: Option<u16>,
+        revision: u8,
+        any_version: bool,
+    ) -> Effect {
         let key = (call, object, revision, any_version);
         if let Some(&known) = self.effects.borrow().get(&key) {
             return known;
         }
-        let effect = self.effect(&self.call(call), object, revision, any_version);
+        let effect = self.compute_effect(&self.call(call), object, revision, any_version);
         self.effects.borrow_mut().insert(key, effect);
         effect
     }
 
-    fn effect(&self, call: &Call, object: Option<u16>, revision: u8, any_version: bool) -> Effect {
+    fn compute_effect(
+        &self,
+        call: &Call,
+        object: Option<u16>,
+        revision: u8,
+        any_version: bool,
+    ) -> Effect {
         let (expected_version, body) = match &call.verb {
             Verb::Get => {
                 let reply = object.map_or(Reply::Missing, Reply::Found);
