--- a/crates/spec/src/acknowledgement/attempts.rs
+++ b/crates/spec/src/acknowledgement/attempts.rs
@@ -14,7 +14,7 @@
 use super::views::View;
 
 impl<const N: usize> AcknowledgementModel<N> {
-    pub(super) fn raises(&self, state: &State<N>, next: &mut Next<N>) {
+    pub(super) fn raise_steps(&self, state: &State<N>, next: &mut Next<N>) {
         for attempt in 0..self.bounds.attempts {
             match state.attempts[attempt] {
                 0 => {
@@ -45,7 +45,7 @@
         for member in 0..N {
             let present = &state.members[member];
             let same_driver =
-                present.raised_by == self.name(attempt) || !self.has(Safeguard::OneDriver);
+                present.raised_by == self.driver_name(attempt) || !self.has(Safeguard::OneDriver);
             let takes = term > present.raised || term == present.raised && same_driver;
             let asked = present.is_in(version) || !self.has(Safeguard::OneSet);
             if !takes || !asked {
@@ -53,7 +53,7 @@
             }
             let mut after = *state;
             let raised = &mut after.members[member];
-            raised.raised_by = self.name(attempt);
+            raised.raised_by = self.driver_name(attempt);
             if term > raised.raised {
                 raised.raised = term;
                 raised.set_role(Role::Fenced);
@@ -77,7 +77,7 @@
         state.members.iter().any(|member| member.chosen >> attempt & 1 == 1)
     }
 
-    pub(super) fn choices(&self, state: &State<N>, next: &mut Next<N>) {
+    pub(super) fn choose_steps(&self, state: &State<N>, next: &mut Next<N>) {
         for attempt in 0..self.bounds.attempts {
             if self.has_chosen(state, attempt) && self.has(Safeguard::OneCandidate) {
                 continue;
@@ -124,22 +124,22 @@
         LogPosition::new(0, position.index)
     }
 
-    pub(super) fn promotions(&self, state: &State<N>, next: &mut Next<N>) {
+    pub(super) fn promote_steps(&self, state: &State<N>, next: &mut Next<N>) {
         for attempt in 0..self.bounds.attempts {
             let term = state.attempts[attempt];
             for member in 0..N {
                 let present = &state.members[member];
                 let ordered = present.chosen >> attempt & 1 == 1;
-                let voted =
-                    present.raised_by == self.name(attempt) || !self.has(Safeguard::OneDriver);
-                let done = present.reigns >> term & 1 == 1;
+                let voted = present.raised_by == self.driver_name(attempt)
+                    || !self.has(Safeguard::OneDriver);
+                let done = present.promoted_terms >> term & 1 == 1;
                 if !ordered || present.raised != term || !voted || done {
                     continue;
                 }
                 let mut after = *state;
                 let promoted = &mut after.members[member];
                 promoted.set_role(Role::Primary);
-                promoted.reigns |= 1 << term;
+                promoted.promoted_terms |= 1 << term;
                 promoted.log = promoted.log.with(term);
                 self.push(next, Step::Promote { member, term }, after);
             }
--- a/crates/spec/src/acknowledgement/model.rs
+++ b/crates/spec/src/acknowledgement/model.rs
@@ -57,10 +57,16 @@
 
     /// Whether a process with this view knows that the member confirmed the write. It forgets older
     /// reports when it takes the newest set as settled, and one that just started never had them.
-    fn knows(&self, state: &State<N>, view: View, member: &Member, write: usize) -> bool {
+    fn has_confirmation(
+        &self,
+        state: &State<N>,
+        view: View,
+        member: &Member,
+        write: usize,
+    ) -> bool {
         let newest = view.version == usize::from(state.version) && view.settled;
         let known = match newest && self.has(Safeguard::FreshReports) {
-            true => member.confirmed_lately,
+            true => member.confirmed_in_set,
             false => member.confirmed,
         };
         known >> write & 1 == 1
@@ -75,17 +81,17 @@
     }
 
     /// The name under which an attempt asks for votes.
-    pub(super) fn name(&self, attempt: usize) -> u8 {
+    pub(super) fn driver_name(&self, attempt: usize) -> u8 {
         if self.has(Safeguard::NewName) { attempt as u8 + 1 } else { 1 }
     }
 
     pub(super) fn push(&self, next: &mut Next<N>, step: Step, mut state: State<N>) {
-        self.note_reports(&mut state);
+        self.apply_reports(&mut state);
         next.push((step, state));
     }
 
     /// Hands every report that a member could send now to the acknowledging proxies.
-    pub fn note_reports(&self, state: &mut State<N>) {
+    pub fn apply_reports(&self, state: &mut State<N>) {
         for write in 0..self.bounds.writes {
             if state.writes[write].term == 0 {
                 continue;
@@ -93,10 +99,11 @@
             for member in 0..N {
                 if self.confirms(state, member, state.writes[write]) {
                     state.members[member].confirmed |= 1 << write;
-                    state.members[member].confirmed_lately |= 1 << write;
+                    state.members[member].confirmed_in_set |= 1 << write;
                 }
             }
-            let confirmed = |view: View, member: &Member| self.knows(state, view, member, write);
+            let confirmed =
+                |view: View, member: &Member| self.has_confirmation(state, view, member, write);
             if state.writes[write].acknowledged == 0 && self.is_quorum(state, confirmed) {
                 state.writes[write].acknowledged = state.writes[write].term;
             }
@@ -131,7 +138,7 @@
         }
     }
 
-    fn writes(&self, state: &State<N>, next: &mut Next<N>) {
+    fn write_steps(&self, state: &State<N>, next: &mut Next<N>) {
         let Some(write) = state.writes[..self.bounds.writes].iter().position(|w| w.term == 0)
         else {
             return;
@@ -157,15 +164,15 @@
         }
     }
 
-    fn follows(&self, state: &State<N>, next: &mut Next<N>) {
+    fn follow_steps(&self, state: &State<N>, next: &mut Next<N>) {
         for term in 1..=self.bounds.terms {
-            let opened = state.members.iter().any(|member| member.reigns >> term & 1 == 1);
+            let opened = state.members.iter().any(|member| member.promoted_terms >> term & 1 == 1);
             if !opened {
                 continue;
             }
             for member in 0..N {
                 let present = &state.members[member];
-                let led = present.reigns >> term & 1 == 1;
+                let led = present.promoted_terms >> term & 1 == 1;
                 let follows = present.raised == term && present.role() != Role::Fenced;
                 if led || follows || present.raised > term {
                     continue;
@@ -182,7 +189,7 @@
         }
     }
 
-    fn member_sets(&self, state: &State<N>, next: &mut Next<N>) {
+    fn member_set_steps(&self, state: &State<N>, next: &mut Next<N>) {
         let version = state.version;
         let holds = |write: &Write| write.acknowledged > 0 && write.known_version == version;
         let (step, version, phase) = match state.phase {
@@ -205,15 +212,15 @@
         if phase == Phase::Spreading {
             for member in &mut after.members {
                 if self.has(Safeguard::FreshReports) {
-                    member.confirmed = member.confirmed_lately;
+                    member.confirmed = member.confirmed_in_set;
                 }
-                member.confirmed_lately = 0;
+                member.confirmed_in_set = 0;
             }
         }
         self.push(next, step, after);
     }
 
-    fn replication(&self, state: &State<N>, next: &mut Next<N>) {
+    fn replicate_steps(&self, state: &State<N>, next: &mut Next<N>) {
         for member in 0..N {
             let replica = &state.members[member];
             if replica.role() != Role::Replica {
@@ -221,14 +228,14 @@
             }
             let Some(primary) = state.primary_of(replica.raised) else { continue };
             let source = state.members[primary].log;
-            let common = replica.log.common(source);
+            let common_prefix = replica.log.common_prefix(source);
             let mut after = *state;
-            if common != replica.log {
-                after.members[member].log = common;
+            if common_prefix != replica.log {
+                after.members[member].log = common_prefix;
                 self.push(next, Step::Rewind { member }, after);
-            } else if common != source {
-                let record = source.record(common.len() + 1);
-                after.members[member].log = common.with(record);
+            } else if common_prefix != source {
+                let record = source.record(common_prefix.len() + 1);
+                after.members[member].log = common_prefix.with(record);
                 self.push(next, Step::Replicate { member }, after);
             }
         }
@@ -260,13 +267,13 @@
     }
 
     fn steps(&self, state: &State<N>, next: &mut Next<N>) {
-        self.writes(state, next);
-        self.raises(state, next);
-        self.choices(state, next);
-        self.promotions(state, next);
-        self.follows(state, next);
-        self.replication(state, next);
-        self.member_sets(state, next);
+        self.write_steps(state, next);
+        self.raise_steps(state, next);
+        self.choose_steps(state, next);
+        self.promote_steps(state, next);
+        self.follow_steps(state, next);
+        self.replicate_steps(state, next);
+        self.member_set_steps(state, next);
     }
 
     fn canonical(&self, state: &State<N>) -> State<N> {
@@ -276,12 +283,12 @@
     }
 
     fn violation(&self, state: &State<N>) -> Option<&'static str> {
-        let mut reigns = 0;
+        let mut promoted_terms = 0;
         for member in &state.members {
-            if reigns & member.reigns != 0 {
+            if promoted_terms & member.promoted_terms != 0 {
                 return Some("two members were promoted in one term");
             }
-            reigns |= member.reigns;
+            promoted_terms |= member.promoted_terms;
         }
         for write in 0..self.bounds.writes {
             let acknowledged = state.writes[write].acknowledged;
--- a/crates/spec/src/acknowledgement/state.rs
+++ b/crates/spec/src/acknowledgement/state.rs
@@ -45,7 +45,7 @@
     }
 
     /// The records that both logs begin with.
-    pub fn common(self, other: Log) -> Log {
+    pub fn common_prefix(self, other: Log) -> Log {
         let same_bits = (self.0 ^ other.0).trailing_zeros() / RECORD_BITS * RECORD_BITS;
         match same_bits {
             u32::BITS => self,
@@ -71,12 +71,12 @@
     /// 0 primary, 1 replica, 2 fenced.
     role: u8,
     /// The terms in which it was promoted, one bit each.
-    pub reigns: u8,
+    pub promoted_terms: u8,
     /// The writes that it confirmed since the member set before the present one was accepted, one bit
     /// each.
     pub confirmed: u8,
     /// Those that it confirmed since the present member set was accepted.
-    pub confirmed_lately: u8,
+    pub confirmed_in_set: u8,
     /// The attempts that chose it as candidate, one bit each; the order to promote it is sent.
     pub chosen: u8,
     /// The versions of the member set that hold it, one bit each.
@@ -93,9 +93,9 @@
             raised: 1,
             raised_by: 0,
             role: 0,
-            reigns: u8::from(role == Role::Primary) << 1,
+            promoted_terms: u8::from(role == Role::Primary) << 1,
             confirmed: 0,
-            confirmed_lately: 0,
+            confirmed_in_set: 0,
             chosen: 0,
             sets,
             answered: [0; MAX_ATTEMPTS],
--- a/crates/spec/src/acknowledgement/views.rs
+++ b/crates/spec/src/acknowledgement/views.rs
@@ -25,7 +25,7 @@
     pub settled: bool,
 }
 
-fn names(members: u8) -> Vec<String> {
+fn member_names(members: u8) -> Vec<String> {
     (0..8).filter(|member| members >> member & 1 == 1).map(|m| format!("member{m}")).collect()
 }
 
@@ -37,14 +37,16 @@
         for (number, &members) in versions.iter().enumerate() {
             let version = number as u64 + 1;
             let previous = views.settled.last();
-            let changed = previous.and_then(|set| set.successor(version, names(members)).ok());
+            let changed =
+                previous.and_then(|set| set.successor(version, member_names(members)).ok());
             let is_new = |name: &&String| previous.is_some_and(|set| set.index_of(name).is_none());
             let added = changed.as_ref().and_then(|set| {
                 let name = set.names().iter().find(is_new)?;
                 set.index_of(name)
             });
-            let joint = changed
-                .unwrap_or_else(|| MemberSet::new(version, names(members)).expect("a small set"));
+            let joint = changed.unwrap_or_else(|| {
+                MemberSet::new(version, member_names(members)).expect("a small set")
+            });
             let mut settled = joint.clone();
             settled.settle();
             views.added.push(added);
@@ -83,14 +85,14 @@
     {
         let sets = if view.settled { &self.settled } else { &self.joint };
         let added = self.added[view.version];
-        let mut others = (0..).filter(|place| Some(*place) != added);
+        let mut older_indices = (0..).filter(|index| Some(*index) != added);
         let mut mask = MemberMask::EMPTY;
         for member in state.members.iter().filter(|member| member.is_in(view.version)) {
             let is_new = view.version > 0 && !member.is_in(view.version - 1);
             // Which of the older members stands at which place makes no difference to a majority.
-            let place = added.filter(|_| is_new).or_else(|| others.next());
-            if let Some(place) = place.filter(|_| counts(member)) {
-                mask.insert(place);
+            let index = added.filter(|_| is_new).or_else(|| older_indices.next());
+            if let Some(index) = index.filter(|_| counts(member)) {
+                mask.insert(index);
             }
         }
         sets[view.version].is_quorum(mask)
--- a/crates/spec/src/driver/model.rs
+++ b/crates/spec/src/driver/model.rs
@@ -247,12 +247,12 @@
         let mut after = *state;
         let promoted = &mut after.group.members[member];
         let voted = promoted.raised == term && promoted.raised_by == self.identity(run);
-        if voted && promoted.reigns >> term & 1 == 0 {
+        if voted && promoted.promoted_terms >> term & 1 == 0 {
             promoted.set_role(Role::Primary);
-            promoted.reigns |= 1 << term;
+            promoted.promoted_terms |= 1 << term;
             promoted.log = promoted.log.with(term);
         }
-        self.group.note_reports(&mut after.group);
+        self.group.apply_reports(&mut after.group);
         after
     }
 }
--- a/crates/spec/src/explore.rs
+++ b/crates/spec/src/explore.rs
@@ -112,7 +112,7 @@
 where
     M: Model,
 {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut states = 0;
     let mut next = Vec::new();
     let path = bfs::bfs(
@@ -132,7 +132,7 @@
         None if states > limit => Verdict::Incomplete,
         None => Verdict::Holds,
     };
-    Exploration { verdict, states, elapsed_ms: began.elapsed().as_millis() }
+    Exploration { verdict, states, elapsed_ms: started.elapsed().as_millis() }
 }
 
 fn trace<M>(model: &M, path: &[M::State]) -> Trace
@@ -142,12 +142,12 @@
     let mut state = model.initial();
     let start = model.describe(&state);
     let mut steps = Vec::new();
-    for wanted in &path[1..] {
+    for expected in &path[1..] {
         let mut next = Vec::new();
         model.steps(&state, &mut next);
         let (step, after) = next
             .into_iter()
-            .find(|(_, after)| model.canonical(after) == *wanted)
+            .find(|(_, after)| model.canonical(after) == *expected)
             .expect("renaming commutes with steps");
         steps.push((model.describe_step(&step), model.describe(&after)));
         state = after;
--- a/crates/spec/src/floors/model.rs
+++ b/crates/spec/src/floors/model.rs
@@ -54,7 +54,7 @@
     /// The number of the holder's state.
     holder: u16,
     /// The highest term that the holder heard of; only kept if it wrongly decides by it.
-    entered: u8,
+    highest_term: u8,
     read: Read,
 }
 
@@ -66,9 +66,9 @@
     /// A write runs for the observed session.
     OwnWrite(GroupStep),
     /// The holder hears that a write ran.
-    Hear(usize),
+    LearnWrite(usize),
     /// The holder hears that a term was opened.
-    HearOpening(u8),
+    LearnOpening(u8),
     /// The holder gets a member's status.
     Report(usize),
     /// The holder restarts, or another one takes over.
@@ -86,8 +86,8 @@
         match self {
             Step::Group(step) => write!(f, "{step}"),
             Step::OwnWrite(step) => write!(f, "{step} for the session"),
-            Step::Hear(write) => write!(f, "the holder hears of write{write}"),
-            Step::HearOpening(term) => write!(f, "the holder hears that term {term} was opened"),
+            Step::LearnWrite(write) => write!(f, "the holder hears of write{write}"),
+            Step::LearnOpening(term) => write!(f, "the holder hears that term {term} was opened"),
             Step::Report(member) => write!(f, "the holder gets the status of member{member}"),
             Step::Restart => f.write_str("the holder restarts"),
             Step::Ask => f.write_str("the session asks to read; a barrier begins"),
@@ -192,68 +192,80 @@
         bits & state.own
     }
 
-    fn hearsay(&self, state: &State, next: &mut Next) {
+    fn holder_steps(&self, state: &State, next: &mut Next) {
         for write in 0..self.bounds.writes {
             let ran = state.group.writes[write];
             if ran.term > 0 {
                 let own = state.own >> write & 1 == 1;
                 let event = HolderEvent::Wrote { position: ran.position(), own };
-                let after = self.tell(state, ran.term, event).0;
-                next.push((Step::Hear(write), after));
+                let after = self.apply_to_holder(state, ran.term, event).0;
+                next.push((Step::LearnWrite(write), after));
             }
         }
         for member in &state.group.members {
-            for term in (1..=state::MAX_TERMS).filter(|term| member.reigns >> term & 1 == 1) {
-                if let Some(position) = opening(member.log, term) {
-                    let (after, _) = self.tell(state, term, HolderEvent::Opened(position));
-                    next.push((Step::HearOpening(term), after));
+            for term in (1..=state::MAX_TERMS).filter(|term| member.promoted_terms >> term & 1 == 1)
+            {
+                if let Some(position) = opening_position(member.log, term) {
+                    let (after, _) =
+                        self.apply_to_holder(state, term, HolderEvent::Opened(position));
+                    next.push((Step::LearnOpening(term), after));
                 }
             }
         }
         for member in (0..MEMBERS).filter(|_| self.bounds.reports) {
             let status = state.group.report(member);
             let event = HolderEvent::Report(member, status.clone());
-            let ready = self.begin(state, member, &status);
-            next.push((Step::Report(member), self.tell(&ready, 0, event).0));
+            let ready = self.account_existing_records(state, member, &status);
+            next.push((Step::Report(member), self.apply_to_holder(&ready, 0, event).0));
         }
         if state.read == Read::NotAsked && state.holder != Holders::FRESH {
-            let after = State { holder: Holders::FRESH, entered: 0, ..*state };
+            let after = State { holder: Holders::FRESH, highest_term: 0, ..*state };
             next.push((Step::Restart, after));
         }
     }
 
-    fn tell(&self, state: &State, term: u8, event: HolderEvent) -> (State, Option<LogPosition>) {
+    fn apply_to_holder(
+        &self,
+        state: &State,
+        term: u8,
+        event: HolderEvent,
+    ) -> (State, Option<LogPosition>) {
         let step = self.holders.step(state.holder, event);
-        let entered = match self.has(Safeguard::Beginning) {
+        let highest_term = match self.has(Safeguard::Beginning) {
             true => 0,
-            false => state.entered.max(term),
+            false => state.highest_term.max(term),
         };
-        (State { holder: step.holder, entered, ..*state }, step.floor)
+        (State { holder: step.holder, highest_term, ..*state }, step.floor)
     }
 
     /// What a holder does on the first status of a term's primary: nothing, unless it wrongly counts
     /// all that it finds as accounted for.
-    fn begin(&self, state: &State, member: usize, status: &MemberStatus) -> State {
+    fn account_existing_records(
+        &self,
+        state: &State,
+        member: usize,
+        status: &MemberStatus,
+    ) -> State {
         let term = status.raised_term.0 as u8;
         let leads = status.role == Role::Primary && status.log.term == status.raised_term;
-        if self.has(Safeguard::Beginning) || !leads || state.entered >= term {
+        if self.has(Safeguard::Beginning) || !leads || state.highest_term >= term {
             return *state;
         }
-        let begun = State { entered: term, ..*state };
+        let accounted = State { highest_term: term, ..*state };
         let log = state.group.members[member].log;
-        let Some(first) = opening(log, term) else { return begun };
-        let (mut begun, _) = self.tell(&begun, term, HolderEvent::Opened(first));
+        let Some(first) = opening_position(log, term) else { return accounted };
+        let (mut accounted, _) = self.apply_to_holder(&accounted, term, HolderEvent::Opened(first));
         for index in first.index + 1..=status.log.index {
             let position = LogPosition { index, ..first };
-            begun = self.tell(&begun, term, HolderEvent::Account(position)).0;
+            accounted = self.apply_to_holder(&accounted, term, HolderEvent::Account(position)).0;
         }
-        begun
+        accounted
     }
 
     fn read_steps(&self, state: &State, next: &mut Next) {
         match state.read {
             Read::NotAsked => {
-                let (after, _) = self.tell(state, 0, HolderEvent::LookUp);
+                let (after, _) = self.apply_to_holder(state, 0, HolderEvent::LookUp);
                 let needed = self.acknowledged(state);
                 if needed == 0 && self.has(Safeguard::Barrier) {
                     // A read that need not show anything can't miss it.
@@ -267,17 +279,17 @@
                     false => self.acknowledged(state),
                 };
                 for member in 0..MEMBERS {
-                    self.barrier_status(state, needed, member, next);
+                    self.barrier_status_step(state, needed, member, next);
                 }
             }
             Read::Answered { needed, floor } => {
-                self.answers(state, needed, state::unpack(floor), next);
+                self.answer_steps(state, needed, state::unpack(floor), next);
             }
             Read::Done { .. } => {}
         }
     }
 
-    fn barrier_status(&self, state: &State, needed: u8, member: usize, next: &mut Next) {
+    fn barrier_status_step(&self, state: &State, needed: u8, member: usize, next: &mut Next) {
         let status = state.group.report(member);
         let mut statuses = vec![(member, status.clone())];
         if !self.has(Safeguard::BarrierMajority) && status.role == Role::Primary {
@@ -286,23 +298,24 @@
             let others = (0..MEMBERS).filter(|other| *other != member);
             statuses.splice(0..0, others.map(|other| (other, follower.clone())));
         }
-        let mut after = self.begin(state, member, &status);
+        let mut after = self.account_existing_records(state, member, &status);
         let mut answer = None;
         for (member, status) in statuses {
-            let told = self.tell(&after, 0, HolderEvent::BarrierStatus(member, status));
-            after = told.0;
-            answer = answer.or(told.1);
+            let outcome =
+                self.apply_to_holder(&after, 0, HolderEvent::BarrierStatus(member, status));
+            after = outcome.0;
+            answer = answer.or(outcome.1);
         }
         if let Some(floor) = answer {
             after.read = Read::Answered { needed, floor: state::pack(floor) };
             // What the holder knows makes no difference from here on.
             after.holder = Holders::FRESH;
-            after.entered = 0;
+            after.highest_term = 0;
         }
         next.push((Step::BarrierStatus(member), after));
     }
 
-    fn answers(&self, state: &State, needed: u8, floor: LogPosition, next: &mut Next) {
+    fn answer_steps(&self, state: &State, needed: u8, floor: LogPosition, next: &mut Next) {
         for member in 0..MEMBERS {
             let present = &state.group.members[member];
             let exempt = present.role() == Role::Primary && !self.has(Safeguard::PrimaryFloor)
@@ -320,7 +333,7 @@
 }
 
 /// The position of the record that opens a term.
-fn opening(log: state::Log, term: u8) -> Option<LogPosition> {
+fn opening_position(log: state::Log, term: u8) -> Option<LogPosition> {
     let index = (1..=log.len()).find(|index| log.record(*index) == term)?;
     Some(LogPosition::new(u64::from(term), u64::from(index)))
 }
@@ -334,7 +347,7 @@
             group: self.group.initial(),
             own: 0,
             holder: Holders::FRESH,
-            entered: 0,
+            highest_term: 0,
             read: Read::NotAsked,
         }
     }
@@ -346,7 +359,7 @@
         self.group_steps(state, next);
         if !matches!(state.read, Read::Answered { .. }) {
             // What the holder hears after its answer makes no difference to the read.
-            self.hearsay(state, next);
+            self.holder_steps(state, next);
         }
         self.read_steps(state, next);
     }
