--- a/crates/spec/src/acknowledgement/attempts.rs
+++ b/crates/spec/src/acknowledgement/attempts.rs
@@ -1,4 +1,5 @@
-//! What drivers do in the acknowledgement model: raise a term, choose a candidate, promote it.
+//! Transitions of the failover drivers in the acknowledgement model: raise a term, choose a candidate,
+//! promote it.
 
 use skylark_core::log_position::LogPosition;
 use skylark_core::log_position::Term;
@@ -19,7 +20,7 @@
             match state.attempts[attempt] {
                 0 => {
                     self.begin(state, attempt, next);
-                    // Attempts begin in the order of their numbers.
+                    // Attempts start in the order of their numbers, so at most one unstarted attempt is considered.
                     return;
                 }
                 _ => self.raise(state, attempt, next),
@@ -27,7 +28,7 @@
         }
     }
 
-    /// An attempt begins with its first raise, in any term and with any member set in use.
+    /// Starts an attempt with its first raise, in any term and with any member set in use.
     fn begin(&self, state: &State<N>, attempt: usize, next: &mut Next<N>) {
         for view in self.views_in_use(state) {
             for term in 2..=self.bounds.terms {
@@ -46,9 +47,9 @@
             let present = &state.members[member];
             let same_driver =
                 present.raised_by == self.driver_name(attempt) || !self.has(Safeguard::OneDriver);
-            let takes = term > present.raised || term == present.raised && same_driver;
-            let asked = present.is_in(version) || !self.has(Safeguard::OneSet);
-            if !takes || !asked {
+            let accepts = term > present.raised || term == present.raised && same_driver;
+            let in_attempt_set = present.is_in(version) || !self.has(Safeguard::OneSet);
+            if !accepts || !in_attempt_set {
                 continue;
             }
             let mut after = *state;
@@ -91,7 +92,8 @@
         }
     }
 
-    /// A driver with this member set chooses among the members of the set that answered.
+    /// Chooses the candidate of an attempt among the members of `view` that answered its raise: one with the
+    /// highest position, once the answers come from a quorum of the view.
     fn choose(&self, state: &State<N>, attempt: usize, view: View, next: &mut Next<N>) {
         let answered = |member: &Member| member.answered[attempt] > 0 && member.is_in(view.version);
         let fenced = match self.has(Safeguard::FenceMajority) {
--- a/crates/spec/src/acknowledgement/cases.rs
+++ b/crates/spec/src/acknowledgement/cases.rs
@@ -1,4 +1,4 @@
-//! The bounds within which the acknowledgement model is explored.
+//! The cases of the acknowledgement model: its bounds and the safeguard that is off in each.
 
 use super::AcknowledgementModel;
 use super::Bounds;
@@ -9,7 +9,7 @@
 
 macro_rules! cases {
     ($($without:expr, $members:literal members, $attempts:literal attempts, $terms:literal terms, $writes:literal writes, sets $sets:expr;)*) => {
-        /// Every case.
+        /// All cases of the model.
         pub const CASES: &[Case] = &[$(Case {
             model: "acknowledgement",
             without: match $without {
--- a/crates/spec/src/acknowledgement/mod.rs
+++ b/crates/spec/src/acknowledgement/mod.rs
@@ -1,24 +1,29 @@
 //! Acknowledgement, fence and promotion.
 //!
-//! What is explored: members with logs and raised terms, asynchronous replication, primaries that
-//! go on accepting writes because they believe they lead, and attempts of drivers to open a new
-//! term. Any step may come at any time or never, so that a driver that pauses or dies at any point,
-//! an isolated member, and a lost, late or repeated message are all among the explored orders:
+//! The model has members with logs and raised terms, asynchronous replication, deposed primaries that
+//! still accept writes, and attempts of failover drivers to open a new term. A member raises its term
+//! when a driver asks it to; it is then fenced, which means that it accepts no writes of an older term.
 //!
-//! - A raise, promotion or follow order that was sent once may arrive at any later time, again and
-//!   again, or never. A raise may take while its answer is lost.
-//! - A report that confirms a record counts for ever, however late it arrives. The model hands each
-//!   report to the acknowledging proxy as soon as the member could send it, and counts a write as
-//!   acknowledged as soon as a majority confirmed it: no other order could acknowledge more.
-//! - An attempt takes any term, also one that another attempt took. So nothing rests on the
-//!   platform's record: it may be down, lose answers, or name two drivers.
-//! - A driver that starts again is another attempt under a new name, see [`Safeguard::NewName`].
+//! A step that is enabled may happen at any time or never. The explored orders therefore include drivers
+//! that pause or crash at any point, isolated members, and lost, delayed or duplicated messages:
 //!
-//! - The member set changes while all this goes on. Processes hold the newest version or the one
-//!   before; a change is in force in three phases, see [`Phase`](state::Phase).
+//! - A raise, promotion or follow order that was sent may arrive at any later time, repeatedly, or never.
+//!   A raise may be accepted while its answer is lost.
+//! - A report that confirms a record stays valid however late it arrives. The model delivers each report
+//!   to the acknowledging proxy as soon as the member could send it, and counts a write as acknowledged as
+//!   soon as a majority confirmed it, because no other order acknowledges more.
+//! - An attempt may use any term, including one that another attempt uses. Safety therefore does not
+//!   depend on the platform's record of the driver: the platform may be down, lose answers, or name two
+//!   drivers.
+//! - A driver that restarts is a new attempt under a new name, see [`Safeguard::NewName`].
+//! - The member set changes concurrently. Each process holds the newest version or the previous one. A
+//!   change passes through three phases, see [`Phase`](state::Phase).
 //!
-//! Every member-related fact stands in the [`Member`](state::Member), so sorting the members
-//! identifies all states that differ by a renaming of members.
+//! The invariants: at most one member is promoted in each term, and a primary holds every write that was
+//! acknowledged in its term or an earlier one.
+//!
+//! All per-member data is in [`Member`](state::Member), so sorting the members identifies all states that
+//! differ only by a permutation of members.
 
 mod attempts;
 pub mod cases;
@@ -30,46 +35,46 @@
 pub use model::AcknowledgementModel;
 pub use model::Bounds;
 
-/// The parts of the protocol that can be switched off.
+/// A rule of the protocol that a case can switch off, to show that the invariants depend on it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Safeguard {
-    /// A confirmation counts only if the member's raised term and last record are of the write's
-    /// term. Off: a log that is long enough confirms.
+    /// A confirmation counts only if the member's raised term and last record have the write's term.
+    /// Off: any log that reaches the write's index confirms it.
     ConfirmationTerm,
-    /// A driver raises the term on a majority before it promotes. Off: one member is enough.
+    /// A driver raises the term on a majority before it promotes a member. Off: one member is enough.
     FenceMajority,
-    /// Candidates are compared by term first, then by index. Off: the longest log wins.
+    /// Candidates are compared by term, then by index. Off: by index only, so the longest log wins.
     TermFirst,
-    /// The term that is compared is that of the last record. Off: it is the term that the member had
-    /// raised before.
+    /// Candidates are compared by the term of their last record. Off: by the raised term that they had
+    /// before.
     RecordTerm,
     /// Only records of the primary's own term are acknowledged. Off: an older record is acknowledged
-    /// once a majority of the present term holds it.
+    /// once a majority of members in the current term holds it.
     OwnTerm,
-    /// A member takes one driver a term. Off: any driver of the same term is welcome.
+    /// A member accepts at most one driver per term. Off: it accepts any driver of its raised term.
     OneDriver,
-    /// A driver that starts again takes a new name. Off: all attempts carry one name.
+    /// A driver that restarts uses a new name. Off: all attempts share one name.
     NewName,
-    /// A driver promotes one member a term. Off: it may turn to another one when no answer comes.
+    /// A driver promotes at most one member per term. Off: it may choose another one if no answer arrives.
     OneCandidate,
-    /// Successive member sets differ by one member. Off: two members are added at once.
+    /// Successive member sets differ by one member. Off: two members are added in one change.
     OneMember,
-    /// The next member set is accepted after every process knows the present one. Off: a process may
+    /// The next member set is accepted only after every process holds the current one. Off: a process may
     /// hold any older one.
     KnownSet,
-    /// The next member set is accepted only after a quorum of the present one confirmed a record that
-    /// was written when every process knew it. Off: it is enough that every process knows it.
+    /// The next member set is accepted only after a quorum of the current one confirmed a record that was
+    /// written when every process held it. Off: it is enough that every process holds it.
     SettledRecord,
-    /// An attempt asks the members of one version of the set and counts them by that version. Off: a
-    /// driver that learns of another version goes on with the votes that it has.
+    /// An attempt asks the members of one version of the set and counts their votes by that version. Off:
+    /// a driver that learns of another version keeps the votes that it already has.
     OneSet,
-    /// A process forgets the reports it has when it takes a set as settled. Off: a member's report
-    /// from before counts by the quorums of any later set.
+    /// A process discards its reports when it considers a set settled. Off: earlier reports of a member
+    /// count towards quorums of every later set.
     FreshReports,
 }
 
 impl Safeguard {
-    /// Every switch.
+    /// All safeguards.
     pub const ALL: [Safeguard; 13] = [
         Safeguard::ConfirmationTerm,
         Safeguard::FenceMajority,
@@ -86,7 +91,7 @@
         Safeguard::FreshReports,
     ];
 
-    /// The switch's name on the command line.
+    /// Returns the name of the safeguard on the command line and in reports.
     pub const fn name(self) -> &'static str {
         match self {
             Safeguard::ConfirmationTerm => "confirmation-term",
--- a/crates/spec/src/acknowledgement/model.rs
+++ b/crates/spec/src/acknowledgement/model.rs
@@ -15,22 +15,22 @@
 use super::views::Views;
 use crate::explore::Model;
 
-/// How far the model is explored.
+/// Limits of the explored state space.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Bounds {
-    /// Attempts to open a new term.
+    /// Number of attempts to open a new term, at most [`state::MAX_ATTEMPTS`].
     pub attempts: usize,
-    /// The highest term.
+    /// The highest term, at most [`state::MAX_TERMS`].
     pub terms: u8,
-    /// Writes, each of which runs at one primary.
+    /// Number of writes, each of which runs on one primary; at most [`state::MAX_WRITES`].
     pub writes: usize,
-    /// The versions of the member set, one bit for each member. Member 0 leads at first.
+    /// Bit masks of members, one mask per version of the member set. Member 0 is the initial primary.
     pub sets: &'static [u8],
-    /// Whether the answer to a raise that took may be lost.
+    /// Whether the answer to an accepted raise may be lost.
     pub lost_answers: bool,
 }
 
-/// The model with `N` members.
+/// The acknowledgement model with `N` members.
 #[derive(Clone, Debug)]
 pub struct AcknowledgementModel<const N: usize> {
     pub(super) bounds: Bounds,
@@ -41,12 +41,12 @@
 pub(super) type Next<const N: usize> = Vec<(Step, State<N>)>;
 
 impl<const N: usize> AcknowledgementModel<N> {
-    /// The model within `bounds`, with one safeguard switched off or none.
+    /// Creates the model with the given bounds and all safeguards except `without`.
     pub fn new(bounds: Bounds, without: Option<Safeguard>) -> AcknowledgementModel<N> {
         AcknowledgementModel { bounds, without, views: Views::new(bounds.sets) }
     }
 
-    /// Whether the members that `counts` picks for a view make a quorum for some process.
+    /// Whether, in some view in use, the members that `counts` selects for that view form a quorum.
     fn is_quorum<F>(&self, state: &State<N>, counts: F) -> bool
     where
         F: Fn(View, &Member) -> bool,
@@ -55,8 +55,9 @@
         views.any(|view| self.views.is_quorum(view, state, |member| counts(view, member)))
     }
 
-    /// Whether a process with this view knows that the member confirmed the write. It forgets older
-    /// reports when it takes the newest set as settled, and one that just started never had them.
+    /// Whether a process with this view has a report of the member that confirms the write. A process
+    /// discards older reports when it considers the newest set settled, and a process that just started
+    /// has none.
     fn has_confirmation(
         &self,
         state: &State<N>,
@@ -80,7 +81,7 @@
         self.without != Some(safeguard)
     }
 
-    /// The name under which an attempt asks for votes.
+    /// Returns the driver name under which an attempt requests votes.
     pub(super) fn driver_name(&self, attempt: usize) -> u8 {
         if self.has(Safeguard::NewName) { attempt as u8 + 1 } else { 1 }
     }
@@ -90,7 +91,8 @@
         next.push((step, state));
     }
 
-    /// Hands every report that a member could send now to the acknowledging proxies.
+    /// Delivers every report that a member could send now to the acknowledging proxies, and marks the writes
+    /// that become acknowledged by it.
     pub fn apply_reports(&self, state: &mut State<N>) {
         for write in 0..self.bounds.writes {
             if state.writes[write].term == 0 {
@@ -121,8 +123,8 @@
         report.log.index >= u64::from(write.index)
     }
 
-    /// Counts the members of any one term that hold the write, as a primary does that goes by the
-    /// length of its replicas' logs.
+    /// Acknowledges a write that a quorum of members in one term holds, as a primary would that counts
+    /// replicas by the length of their logs.
     fn confirm_older_term(&self, state: &mut State<N>, write: usize) {
         let record = state::write_record(write);
         for term in 1..=self.bounds.terms {
--- a/crates/spec/src/acknowledgement/state.rs
+++ b/crates/spec/src/acknowledgement/state.rs
@@ -1,4 +1,4 @@
-//! The state of the acknowledgement model, packed into few bytes.
+//! The state of the acknowledgement model in a compact encoding, which bounds the memory of the search.
 
 use std::fmt;
 
@@ -6,32 +6,33 @@
 use skylark_core::member_status::MemberStatus;
 use skylark_core::member_status::Role;
 
-/// The most attempts that the state has room for.
+/// Maximum number of attempts that a state can represent.
 pub const MAX_ATTEMPTS: usize = 3;
-/// The most terms, counted from the initial term 1. Records 1 to this number open their term.
+/// Highest term; the initial term is 1. Record numbers 1 to this value stand for the records that open the
+/// term of that number.
 pub const MAX_TERMS: u8 = 4;
-/// The most writes. Their records follow those that open terms.
+/// Maximum number of writes. Their record numbers follow those of the records that open terms.
 pub const MAX_WRITES: usize = 3;
 
 const RECORD_BITS: u32 = 4;
 const INDEX_BITS: u32 = 4;
 
-/// A log of up to eight records, each named by a number from 1.
+/// A log of up to eight records, each identified by a number from 1.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct Log(u32);
 
 impl Log {
-    /// The number of records.
+    /// Returns the number of records.
     pub fn len(self) -> u32 {
         (u32::BITS - self.0.leading_zeros()).div_ceil(RECORD_BITS)
     }
 
-    /// Whether there is no record.
+    /// Whether the log has no records.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
 
-    /// The record at `index`, counted from 1; zero if there is none.
+    /// Returns the record at `index`, counted from 1, or zero if there is none.
     pub fn record(self, index: u32) -> u8 {
         match index {
             0 => 0,
@@ -39,12 +40,12 @@
         }
     }
 
-    /// This log with one more record.
+    /// Returns this log with `record` appended.
     pub fn with(self, record: u8) -> Log {
         Log(self.0 | u32::from(record) << (self.len() * RECORD_BITS))
     }
 
-    /// The records that both logs begin with.
+    /// Returns the longest common prefix of both logs.
     pub fn common_prefix(self, other: Log) -> Log {
         let same_bits = (self.0 ^ other.0).trailing_zeros() / RECORD_BITS * RECORD_BITS;
         match same_bits {
@@ -53,40 +54,41 @@
         }
     }
 
-    /// Whether the record stands anywhere in the log.
+    /// Whether the log contains the record at any index.
     pub fn holds(self, record: u8) -> bool {
         (1..=self.len()).any(|index| self.record(index) == record)
     }
 }
 
-/// What a member, and the drivers and proxies about it, know.
+/// State of a member, and what drivers and proxies know about that member.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Member {
-    /// The records it holds.
+    /// Records that the member holds.
     pub log: Log,
-    /// Its raised term.
+    /// Raised term: the highest term that the member has accepted; zero for none.
     pub raised: u8,
-    /// The name it gave its vote of that term: attempt number from 1; zero for none.
+    /// Driver that has the member's vote in that term, as a driver name from 1; zero for none.
     pub raised_by: u8,
-    /// 0 primary, 1 replica, 2 fenced.
+    /// Encoded [`Role`]: 0 primary, 1 replica, 2 fenced.
     role: u8,
-    /// The terms in which it was promoted, one bit each.
+    /// Terms in which the member was promoted, one bit per term.
     pub promoted_terms: u8,
-    /// The writes that it confirmed since the member set before the present one was accepted, one bit
-    /// each.
+    /// Writes that the member confirmed since the previous member set was accepted, one bit per write. If
+    /// [`FreshReports`](super::Safeguard::FreshReports) is off, those of any earlier time.
     pub confirmed: u8,
-    /// Those that it confirmed since the present member set was accepted.
+    /// Writes that the member confirmed since the current member set was accepted, one bit per write.
     pub confirmed_in_set: u8,
-    /// The attempts that chose it as candidate, one bit each; the order to promote it is sent.
+    /// Attempts that chose the member as candidate and sent the order to promote it, one bit per attempt.
     pub chosen: u8,
-    /// The versions of the member set that hold it, one bit each.
+    /// Versions of the member set that contain the member, one bit per version.
     pub sets: u8,
-    /// The last position that it answered to each attempt that has not chosen yet; zero for none.
+    /// Last position that the member reported to each attempt that has not chosen a candidate, packed; zero
+    /// for none.
     pub answered: [u8; MAX_ATTEMPTS],
 }
 
 impl Member {
-    /// A member of the first set, which holds the record that opens term 1.
+    /// Creates a member of the first set. Its log holds the record that opens term 1.
     pub fn initial(role: Role, sets: u8) -> Member {
         let mut member = Member {
             log: Log::default().with(1),
@@ -104,18 +106,18 @@
         member
     }
 
-    /// A member that a later set adds, with an empty log.
+    /// Creates a member that a later set adds. Its log is empty.
     pub fn added_later(sets: u8) -> Member {
         let initial = Member::initial(Role::Fenced, sets);
         Member { log: Log::default(), raised: 0, ..initial }
     }
 
-    /// Whether a version of the member set holds it.
+    /// Whether the given version of the member set contains the member.
     pub fn is_in(&self, version: usize) -> bool {
         self.sets >> version & 1 == 1
     }
 
-    /// The part that it plays.
+    /// Returns the role of the member.
     pub fn role(&self) -> Role {
         match self.role {
             0 => Role::Primary,
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Changes the part that it plays.
+    /// Sets the role of the member.
     pub fn set_role(&mut self, role: Role) {
         self.role = match role {
             Role::Primary => 0,
@@ -134,56 +136,57 @@
     }
 }
 
-/// A write that ran at a primary. Term zero stands for one that did not run yet.
+/// A write that ran on a primary. Its term is zero until it runs.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct Write {
-    /// The term of the primary that ran it.
+    /// Term of the primary that ran the write.
     pub term: u8,
-    /// Its index in that primary's log.
+    /// Index of the write in that primary's log.
     pub index: u8,
-    /// The term in which it was acknowledged; zero before.
+    /// Term in which the write was acknowledged; zero until then.
     pub acknowledged: u8,
-    /// The version of the member set that every process knew when it ran.
+    /// Version of the member set that every process held when the write ran; zero while a change spreads.
     pub known_version: u8,
 }
 
 impl Write {
-    /// The position that the primary answered.
+    /// Returns the log position that the primary assigned.
     pub fn position(self) -> LogPosition {
         LogPosition::new(u64::from(self.term), u64::from(self.index))
     }
 }
 
-/// How far the present version of the member set has come.
+/// Progress of the change to the newest version of the member set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Phase {
-    /// Processes may hold the version before.
+    /// Some processes may still hold the previous version.
     Spreading,
-    /// Every process holds this version.
+    /// Every process holds the newest version.
     Known,
-    /// A record written since then was confirmed, and the next version may come.
+    /// A quorum confirmed a record that was written after every process held the version. The next
+    /// version may be accepted.
     Settled,
 }
 
 /// A state of `N` members.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct State<const N: usize> {
-    /// The members.
+    /// State of each member.
     pub members: [Member; N],
-    /// The term of each attempt, zero before it begins.
+    /// Term of each attempt; zero before the attempt starts.
     pub attempts: [u8; MAX_ATTEMPTS],
-    /// The version of the member set with which each attempt began.
+    /// Version of the member set with which each attempt starts.
     pub attempt_versions: [u8; MAX_ATTEMPTS],
-    /// The writes.
+    /// Writes, in the order in which they run.
     pub writes: [Write; MAX_WRITES],
-    /// The newest version of the member set.
+    /// Newest version of the member set, counted from zero.
     pub version: u8,
-    /// How far it has come.
+    /// Progress of the change to that version.
     pub phase: Phase,
 }
 
 impl<const N: usize> State<N> {
-    /// The term that wrote a record; zero for no record.
+    /// Returns the term in which a record was written; zero for no record.
     pub fn record_term(&self, record: u8) -> u8 {
         match record.checked_sub(MAX_TERMS + 1) {
             Some(write) => self.writes[usize::from(write)].term,
@@ -191,13 +194,13 @@
         }
     }
 
-    /// The position of a log's last record.
+    /// Returns the position of the last record of a log.
     pub fn last(&self, log: Log) -> LogPosition {
         let term = self.record_term(log.record(log.len()));
         LogPosition::new(u64::from(term), u64::from(log.len()))
     }
 
-    /// What a member reports now.
+    /// Returns the status that a member reports in this state.
     pub fn report(&self, member: usize) -> MemberStatus {
         let member = &self.members[member];
         let log = self.last(member.log);
@@ -211,29 +214,29 @@
         }
     }
 
-    /// The member that leads in `term` now, if one does.
+    /// Returns the member that is primary in `term`, if any.
     pub fn primary_of(&self, term: u8) -> Option<usize> {
         let leads = |member: &Member| member.raised == term && member.role() == Role::Primary;
         self.members.iter().position(leads)
     }
 
-    /// How many members confirmed a write.
+    /// Returns the number of members that confirmed a write.
     pub fn confirmations(&self, write: usize) -> usize {
         self.members.iter().filter(|member| member.confirmed >> write & 1 == 1).count()
     }
 }
 
-/// The number of the record that a write makes.
+/// Returns the number of the record that a write appends to the log.
 pub fn write_record(write: usize) -> u8 {
     MAX_TERMS + 1 + write as u8
 }
 
-/// Packs a position into a byte other than zero.
+/// Packs a position into a nonzero byte, because zero stands for no position.
 pub fn pack(position: LogPosition) -> u8 {
     0x80 | (position.term.0 << INDEX_BITS | position.index) as u8
 }
 
-/// The position that [`pack`] packed.
+/// Returns the position that [`pack`] encoded.
 pub fn unpack(packed: u8) -> LogPosition {
     LogPosition::new(u64::from(packed >> INDEX_BITS & 0x7), u64::from(packed & 0xf))
 }
--- a/crates/spec/src/acknowledgement/step.rs
+++ b/crates/spec/src/acknowledgement/step.rs
@@ -4,71 +4,71 @@
 
 use skylark_core::log_position::LogPosition;
 
-/// What happens between two states.
+/// A transition between two states.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
-    /// A primary, or one that believes it leads, runs a write.
+    /// A primary, possibly a deposed one that does not know of its successor, runs a write.
     Write {
-        /// The member.
+        /// The member that is primary.
         member: usize,
-        /// The write.
+        /// Number of the write.
         write: usize,
     },
-    /// A raise arrives at a member and takes.
+    /// A raise arrives at a member and is accepted.
     Raise {
-        /// The attempt that sent it.
+        /// The attempt that sent the raise.
         attempt: usize,
-        /// Its term.
+        /// The term of the attempt.
         term: u8,
-        /// The member.
+        /// The member that accepts the raise.
         member: usize,
-        /// The position that the driver gets as answer; none if the answer is lost.
+        /// Position that the driver receives as the answer; `None` if the answer is lost.
         answer: Option<LogPosition>,
     },
     /// A driver chooses its candidate and sends the order to promote it.
     Choose {
-        /// The attempt.
+        /// The attempt whose driver chooses.
         attempt: usize,
-        /// The candidate.
+        /// The chosen member.
         member: usize,
     },
-    /// The order to promote arrives at the candidate and takes.
+    /// The promotion order arrives at the candidate and is accepted.
     Promote {
-        /// The member.
+        /// The promoted member.
         member: usize,
-        /// The term that it opens.
+        /// The term that the member opens.
         term: u8,
     },
-    /// The order to follow the primary of a term arrives at a member and takes.
+    /// The order to follow the primary of a term arrives at a member and is accepted.
     Follow {
-        /// The member.
+        /// The member that becomes a replica.
         member: usize,
-        /// The primary's term.
+        /// The term of the primary.
         term: u8,
     },
-    /// A replica receives its primary's next record.
+    /// A replica receives the next record of its primary's log.
     Replicate {
         /// The replica.
         member: usize,
     },
-    /// A replica drops the records that its primary does not hold.
+    /// A replica truncates its log to the common prefix with its primary.
     Rewind {
         /// The replica.
         member: usize,
     },
     /// The next version of the member set is accepted.
     ChangeMembers {
-        /// The version.
+        /// The accepted version.
         version: u8,
     },
-    /// Every process has taken over the version.
+    /// Every process holds the newest version.
     KnowMembers {
-        /// The version.
+        /// The newest version.
         version: u8,
     },
-    /// The version is safe to be followed by the next one.
+    /// The newest version is settled, so the next one may be accepted.
     SettleMembers {
-        /// The version.
+        /// The settled version.
         version: u8,
     },
 }
--- a/crates/spec/src/acknowledgement/views.rs
+++ b/crates/spec/src/acknowledgement/views.rs
@@ -1,4 +1,5 @@
-//! The member sets that processes may hold at one time, as quorums of the core's [`MemberSet`].
+//! Views: the member sets that processes may hold at the same time. Quorums are decided by the
+//! [`MemberSet`] of `skylark-core`.
 
 use skylark_core::process::member_set::MemberMask;
 use skylark_core::process::member_set::MemberSet;
@@ -7,21 +8,21 @@
 use super::state::Phase;
 use super::state::State;
 
-/// The member sets by version, each before and after it is settled.
+/// The member sets by version, each before (joint) and after it is settled.
 #[derive(Clone, Debug)]
 pub struct Views {
     joint: Vec<MemberSet>,
     settled: Vec<MemberSet>,
-    /// The place of the member that a version added.
+    /// Index, in the member set, of the member that the version added; `None` if it added none.
     added: Vec<Option<usize>>,
 }
 
-/// The set of one version as a process holds it.
+/// A version of the member set as held by a process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct View {
-    /// The version.
+    /// Version number, counted from zero.
     pub version: usize,
-    /// Whether the process takes the version as settled.
+    /// Whether the process considers the version settled.
     pub settled: bool,
 }
 
@@ -30,8 +31,8 @@
 }
 
 impl Views {
-    /// Builds the versions from masks of members. A change of more than one member, which the core
-    /// refuses, is put in force as a version of its own: what an unchecked change would do.
+    /// Builds the versions from bit masks of members. The core refuses a change of more than one member;
+    /// such a change becomes an independent set here, which is the effect that it would have unchecked.
     pub fn new(versions: &[u8]) -> Views {
         let mut views = Views { joint: Vec::new(), settled: Vec::new(), added: Vec::new() };
         for (number, &members) in versions.iter().enumerate() {
@@ -56,14 +57,14 @@
         views
     }
 
-    /// How many versions there are.
+    /// Returns the number of versions.
     pub fn count(&self) -> usize {
         self.settled.len()
     }
 
-    /// The views that processes may hold in `state`. A process that starts knows no version before
-    /// and takes the newest as settled. With `all_older`, a process may have missed any number of
-    /// changes.
+    /// Returns the views that processes may hold in `state`. A process that just started knows no earlier
+    /// version and considers the newest one settled. With `all_older`, a process may have missed any
+    /// number of changes.
     pub fn in_use<const N: usize>(&self, state: &State<N>, all_older: bool) -> Vec<View> {
         let version = usize::from(state.version);
         let oldest = match (all_older, state.phase) {
@@ -71,14 +72,14 @@
             (false, Phase::Spreading) => version - 1,
             (false, _) => version,
         };
-        let followed = View { version, settled: state.phase == Phase::Settled };
-        let mut views = vec![followed];
+        let newest = View { version, settled: state.phase == Phase::Settled };
+        let mut views = vec![newest];
         views.extend((oldest..=version).map(|version| View { version, settled: true }));
         views.dedup();
         views
     }
 
-    /// Whether the members that `counts` picks make a quorum of a view.
+    /// Whether the members that `counts` selects form a quorum of a view.
     pub fn is_quorum<const N: usize, F>(&self, view: View, state: &State<N>, counts: F) -> bool
     where
         F: Fn(&Member) -> bool,
@@ -89,7 +90,7 @@
         let mut mask = MemberMask::EMPTY;
         for member in state.members.iter().filter(|member| member.is_in(view.version)) {
             let is_new = view.version > 0 && !member.is_in(view.version - 1);
-            // Which of the older members stands at which place makes no difference to a majority.
+            // The order of the older members does not affect whether a mask is a majority.
             let index = added.filter(|_| is_new).or_else(|| older_indices.next());
             if let Some(index) = index.filter(|_| counts(member)) {
                 mask.insert(index);
