--- a/crates/spec/src/floors/cases.rs
+++ b/crates/spec/src/floors/cases.rs
@@ -1,4 +1,4 @@
-//! The bounds within which the floors model is explored.
+//! The cases of the floors model: its bounds and the safeguard that is off in each.
 
 use super::FloorsBounds;
 use super::FloorsModel;
@@ -9,7 +9,7 @@
 
 macro_rules! cases {
     ($($without:expr, $writes:literal writes (own $own:literal), $changes:literal changes, reports $reports:literal;)*) => {
-        /// Every case.
+        /// All cases of the model.
         pub const CASES: &[Case] = &[$(Case {
             model: "floors",
             without: match $without {
--- a/crates/spec/src/floors/holder.rs
+++ b/crates/spec/src/floors/holder.rs
@@ -1,4 +1,7 @@
-//! The core's table of floors as a machine with numbered states.
+//! A holder of session floors as a state machine with numbered states.
+//!
+//! The transitions are those of [`SessionFloors`] in `skylark-core`. They are memoised, and a model state
+//! stores only the number of the holder state.
 
 use std::cell::RefCell;
 
@@ -14,46 +17,46 @@
 
 use crate::intern::Interner;
 
-/// The session that is observed.
+/// The session whose reads the model checks.
 const OWN_SESSION: &str = "own";
-/// A session that stands for all others.
+/// A session that represents all other sessions.
 const OTHER_SESSION: &str = "other";
 const LOOKUP: LookupId = LookupId(1);
-/// The first barrier of a holder. Each holder state has had one at most.
+/// Id of a holder's first barrier. A holder starts at most one barrier in the model.
 const BARRIER: BarrierId = BarrierId(1);
 
-/// What a holder hears.
+/// An input of a holder.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub enum HolderEvent {
     /// A write ran.
     Wrote {
-        /// Its position.
+        /// Log position of the write.
         position: LogPosition,
-        /// Whether the observed session wrote it.
+        /// Whether the observed session made the write.
         own: bool,
     },
-    /// A write of nobody in particular is counted as accounted for.
+    /// The holder accounts for a record at this position that belongs to no session.
     Account(LogPosition),
-    /// A term was opened.
+    /// A term was opened by the record at this position.
     Opened(LogPosition),
-    /// A member's status arrives outside a barrier.
+    /// The status of a member, given by index, arrives outside a barrier.
     Report(usize, MemberStatus),
-    /// The observed session's floor is asked for, and a barrier begins.
+    /// The floor of the observed session is looked up, which starts a barrier.
     LookUp,
-    /// A member's status, read for the barrier, arrives.
+    /// The status of a member, given by index and read for the barrier, arrives.
     BarrierStatus(usize, MemberStatus),
 }
 
-/// What follows from an event.
+/// Result of an event.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct HolderStep {
-    /// The number of the state after it.
+    /// Number of the holder state after the event.
     pub holder: u16,
-    /// The answer to the lookup.
+    /// Answer to the lookup; `None` if the event completes no barrier.
     pub floor: Option<LogPosition>,
 }
 
-/// The numbered states of holders, and the steps between them that were taken before.
+/// Numbered holder states and the memoised transitions between them.
 #[derive(Clone, Debug)]
 pub struct Holders {
     states: RefCell<Interner<SessionFloors>>,
@@ -61,10 +64,10 @@
 }
 
 impl Holders {
-    /// The number of a holder that knows nothing.
+    /// Number of the state of a holder that has recorded nothing.
     pub const FRESH: u16 = 0;
 
-    /// Holders of a group with this many members.
+    /// Creates the holder states for a group with `members` members.
     pub fn new(members: usize) -> Holders {
         let names = (0..members).map(|member| format!("member{member}")).collect();
         let set = MemberSet::new(1, names).expect("a small set");
@@ -74,7 +77,7 @@
         Holders { states: RefCell::new(states), steps: RefCell::default() }
     }
 
-    /// Lets the core take in an event.
+    /// Applies an event to a holder state and checks the invariants of the core's table.
     pub fn step(&self, holder: u16, event: HolderEvent) -> HolderStep {
         let key = (holder, event);
         if let Some(&known) = self.steps.borrow().get(&key) {
--- a/crates/spec/src/floors/model.rs
+++ b/crates/spec/src/floors/model.rs
@@ -16,64 +16,65 @@
 use crate::acknowledgement::step::Step as GroupStep;
 use crate::explore::Model;
 
-/// The members of the group.
+/// Number of members in the replication group.
 pub const MEMBERS: usize = 3;
 
-/// How far the session's read has come. `needed` has a bit for each of its writes that was
-/// acknowledged before it asked.
+/// Progress of the session's read. `needed` has a bit for each write of the session that was acknowledged
+/// before the session asked.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Read {
-    /// The session has not asked.
+    /// The session has not asked to read.
     NotAsked,
-    /// A barrier is under way.
+    /// A barrier is in progress.
     Asked {
-        /// The writes that the read must show.
+        /// The writes that the read must see.
         needed: u8,
     },
     /// The floor is known.
     Answered {
-        /// The writes that the read must show.
+        /// The writes that the read must see.
         needed: u8,
         /// The floor that the holder answered, packed.
         floor: u8,
     },
-    /// A member answered.
+    /// A member answered the read.
     Done {
-        /// Whether it lacked a write that the read must show.
+        /// Whether the member lacked a write that the read must see.
         missed: bool,
     },
 }
 
-/// A state.
+/// A state of the model.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct State {
-    /// The members and the writes.
+    /// State of the members and the writes.
     group: GroupState<MEMBERS>,
-    /// The writes of the observed session, one bit each.
+    /// Writes of the observed session, one bit per write.
     own: u8,
-    /// The number of the holder's state.
+    /// Number of the holder's state.
     holder: u16,
-    /// The highest term that the holder heard of; only kept if it wrongly decides by it.
+    /// Highest term that the holder has learned of. Kept only without [`Safeguard::Beginning`], zero
+    /// otherwise.
     highest_term: u8,
     read: Read,
 }
 
-/// What happens between two states.
+/// A transition between two states.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Step {
-    /// A step of the group.
+    /// A step of the replication group.
     Group(GroupStep),
-    /// A write runs for the observed session.
+    /// A write of the observed session runs.
     OwnWrite(GroupStep),
-    /// The holder hears that a write ran.
+    /// The holder learns that a write ran.
     LearnWrite(usize),
-    /// The holder hears that a term was opened.
+    /// The holder learns that a term was opened.
     LearnOpening(u8),
-    /// The holder gets a member's status.
+    /// The holder receives the status of a member.
     Report(usize),
-    /// The holder restarts, or another one takes over.
+    /// The holder restarts or is replaced by a new one, which loses its state.
     Restart,
-    /// The session asks to read; the holder begins a barrier.
+    /// The session asks to read, and the holder starts a barrier.
     Ask,
     /// The holder reads a member's status for the barrier.
     BarrierStatus(usize),
@@ -99,20 +100,20 @@
     }
 }
 
-/// How far the model is explored.
+/// Limits of the explored state space.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct FloorsBounds {
-    /// Writes of all sessions.
+    /// Number of writes of all sessions.
     pub writes: usize,
-    /// The writes that the observed session may have written, one bit each.
+    /// Writes that may belong to the observed session, one bit per write.
     pub own: u8,
-    /// Changes of primary.
+    /// Number of changes of primary.
     pub changes: usize,
-    /// Whether the holder may get any member's status at any time, or in barriers only.
+    /// Whether the holder may receive the status of any member at any time, instead of in barriers only.
     pub reports: bool,
 }
 
-/// The model.
+/// The floors model.
 #[derive(Clone, Debug)]
 pub struct FloorsModel {
     group: AcknowledgementModel<MEMBERS>,
@@ -124,14 +125,14 @@
 type Next = Vec<(Step, State)>;
 
 impl FloorsModel {
-    /// The model within `floors`, with one safeguard switched off or none.
+    /// Creates the model with the given bounds and all safeguards except `without`.
     pub fn new(floors: FloorsBounds, without: Option<Safeguard>) -> FloorsModel {
         let bounds = Bounds {
             attempts: floors.changes,
             terms: floors.changes as u8 + 1,
             writes: floors.writes,
             sets: &[0b111],
-            // Whether the driver knows that a member is raised makes no difference to a read.
+            // Whether the driver learns that a raise was accepted does not affect a read.
             lost_answers: false,
         };
         FloorsModel {
@@ -151,7 +152,7 @@
         self.group.steps(&state.group, &mut steps);
         for (step, group) in steps {
             if let GroupStep::Choose { member, .. } = step {
-                // Members 1 and 2 begin alike, so the promotion of 2 is that of 1 under another name.
+                // Members 1 and 2 are symmetric, so promoting member 2 is equivalent to promoting member 1.
                 if member < 2 {
                     self.promote(state, step, &group, next);
                 }
@@ -167,8 +168,8 @@
         }
     }
 
-    /// Promotes a candidate as soon as it is chosen. The model of the group explores late orders;
-    /// here they would only be late choices.
+    /// Promotes a candidate in the same step in which it is chosen. A delayed promotion order, which the
+    /// acknowledgement model explores, is equivalent to a later choice here.
     fn promote(
         &self,
         state: &State,
@@ -184,7 +185,7 @@
         }
     }
 
-    /// The session's writes that are acknowledged now.
+    /// Returns the acknowledged writes of the observed session, one bit per write.
     fn acknowledged(&self, state: &State) -> u8 {
         let acknowledged = |write: &usize| state.group.writes[*write].acknowledged > 0;
         let bits =
@@ -215,8 +216,8 @@
         for member in (0..MEMBERS).filter(|_| self.bounds.reports) {
             let status = state.group.report(member);
             let event = HolderEvent::Report(member, status.clone());
-            let ready = self.account_existing_records(state, member, &status);
-            next.push((Step::Report(member), self.apply_to_holder(&ready, 0, event).0));
+            let prepared = self.account_existing_records(state, member, &status);
+            next.push((Step::Report(member), self.apply_to_holder(&prepared, 0, event).0));
         }
         if state.read == Read::NotAsked && state.holder != Holders::FRESH {
             let after = State { holder: Holders::FRESH, highest_term: 0, ..*state };
@@ -238,8 +239,8 @@
         (State { holder: step.holder, highest_term, ..*state }, step.floor)
     }
 
-    /// What a holder does on the first status of a term's primary: nothing, unless it wrongly counts
-    /// all that it finds as accounted for.
+    /// Handles the first status from the primary of a term. Without [`Safeguard::Beginning`] the holder
+    /// wrongly counts all records that it finds in that term as accounted for; otherwise nothing happens.
     fn account_existing_records(
         &self,
         state: &State,
@@ -268,7 +269,7 @@
                 let (after, _) = self.apply_to_holder(state, 0, HolderEvent::LookUp);
                 let needed = self.acknowledged(state);
                 if needed == 0 && self.has(Safeguard::Barrier) {
-                    // A read that need not show anything can't miss it.
+                    // A read that need not see any write cannot break the invariant.
                     return;
                 }
                 next.push((Step::Ask, State { read: Read::Asked { needed }, ..after }));
@@ -293,7 +294,7 @@
         let status = state.group.report(member);
         let mut statuses = vec![(member, status.clone())];
         if !self.has(Safeguard::BarrierMajority) && status.role == Role::Primary {
-            // Nobody else is asked: the others are taken to be in the primary's term.
+            // The other members are not asked; they are assumed to be in the primary's term.
             let follower = MemberStatus { role: Role::Replica, ..status.clone() };
             let others = (0..MEMBERS).filter(|other| *other != member);
             statuses.splice(0..0, others.map(|other| (other, follower.clone())));
@@ -308,7 +309,7 @@
         }
         if let Some(floor) = answer {
             after.read = Read::Answered { needed, floor: state::pack(floor) };
-            // What the holder knows makes no difference from here on.
+            // The state of the holder no longer affects the read; resetting it merges equivalent states.
             after.holder = Holders::FRESH;
             after.highest_term = 0;
         }
@@ -332,7 +333,7 @@
     }
 }
 
-/// The position of the record that opens a term.
+/// Returns the position in `log` of the record that opens `term`, if the log has it.
 fn opening_position(log: state::Log, term: u8) -> Option<LogPosition> {
     let index = (1..=log.len()).find(|index| log.record(*index) == term)?;
     Some(LogPosition::new(u64::from(term), u64::from(index)))
@@ -358,7 +359,7 @@
         }
         self.group_steps(state, next);
         if !matches!(state.read, Read::Answered { .. }) {
-            // What the holder hears after its answer makes no difference to the read.
+            // Events at the holder after its answer do not affect the read.
             self.holder_steps(state, next);
         }
         self.read_steps(state, next);
