--- a/crates/spec/src/acknowledgement/attempts.rs
+++ b/crates/spec/src/acknowledgement/attempts.rs
@@ -20,7 +20,7 @@
             match state.attempts[attempt] {
                 0 => {
                     self.begin(state, attempt, next);
-                    // Attempts start in the order of their numbers, so at most one unstarted attempt is considered.
+                    // Attempts start in the order of their numbers.
                     return;
                 }
                 _ => self.raise(state, attempt, next),
