--- a/crates/spec/src/plans/cases.rs
+++ b/crates/spec/src/plans/cases.rs
@@ -1,4 +1,4 @@
-//! The bounds within which the plans model is explored.
+//! The cases of the plans model: its bounds and the safeguard that is off in each.
 
 use super::PlansModel;
 use super::Safeguard;
@@ -8,7 +8,7 @@
 
 macro_rules! cases {
     ($($without:expr, allow_restart $allow_restart:literal;)*) => {
-        /// Every case.
+        /// All cases of the model.
         pub const CASES: &[Case] = &[$(Case {
             model: "plans",
             without: match $without {
--- a/crates/spec/src/plans/model.rs
+++ b/crates/spec/src/plans/model.rs
@@ -32,11 +32,11 @@
 
 const SERVICE: &str = "s";
 
-/// The model.
+/// The plans model.
 #[derive(Clone, Debug)]
 pub struct PlansModel {
     transition_cache: TransitionCache,
-    /// Whether operators may start a confirmation again.
+    /// Whether operators may restart a confirmation.
     allow_restart: bool,
     without: Option<Safeguard>,
 }
@@ -44,7 +44,8 @@
 type Next = Vec<(Step, State)>;
 
 impl PlansModel {
-    /// The model, with one safeguard switched off or none.
+    /// Creates the model with all safeguards except `without`. With `allow_restart`, operators may restart
+    /// a confirmation.
     pub fn new(allow_restart: bool, without: Option<Safeguard>) -> PlansModel {
         PlansModel { transition_cache: TransitionCache::default(), allow_restart, without }
     }
@@ -171,7 +172,7 @@
         next.push((Step::Call(number, call, outcome), after));
     }
 
-    /// The platform acts on a call of an operator.
+    /// Applies a call of an operator to the platform's objects and returns the platform's answer.
     fn take_effect(&self, state: &mut State, number: usize, call: u16) -> Reply {
         let traits = self.transition_cache.traits(call);
         let record_owner = self.record_owner(state, call);
@@ -209,7 +210,7 @@
         reply
     }
 
-    /// The number of the plan whose record a call is about; none for the service.
+    /// Returns the number of the plan whose record a call addresses; `None` for the service.
     fn record_owner(&self, state: &State, call: u16) -> Option<usize> {
         let is_record = |plan: &PlanState| {
             plan.record.is_some_and(|record| self.transition_cache.is_about(call, record))
@@ -217,7 +218,8 @@
         state.plans.iter().position(is_record)
     }
 
-    /// Sends an update again on the version that the object has now, until it is answered.
+    /// Retries an update with the version that the service has now, without reading it first. Only
+    /// without [`Safeguard::ReadBack`].
     fn repeat(&self, state: &State, number: usize, confirmation: u16, call: u16, next: &mut Next) {
         let call = self.transition_cache.call(call);
         let expected_version = self.transition_cache.version(state.service);
--- a/crates/spec/src/plans/state.rs
+++ b/crates/spec/src/plans/state.rs
@@ -4,98 +4,100 @@
 
 use skylark_core::version::plan::call::End;
 
-/// The operators; each makes one plan.
+/// Number of operators. Each makes one plan.
 pub const OPERATORS: usize = 2;
-/// The most updates that are on their way although their sender heard no answer.
+/// Maximum number of late updates: their answers are lost, but they may still take effect.
 pub const MAX_LATE: usize = 2;
-/// Where an operator stands.
+
+/// State of an operator. Confirmations and calls are given by number.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Operator {
-    /// It has made no plan.
+    /// The operator has made no plan.
     Idle,
-    /// It confirms its plan.
+    /// The operator runs this confirmation of its plan.
     Confirming(u16),
-    /// It sends an update again and again, on any version (only without the safeguard).
+    /// The operator retries an update on any version. Only without the safeguard
+    /// [`ReadBack`](super::Safeguard::ReadBack).
     Repeating {
-        /// Its confirmation.
+        /// The operator's confirmation.
         confirmation: u16,
-        /// The update.
+        /// The update that is retried.
         call: u16,
     },
-    /// It was told how the confirmation ended.
+    /// The operator received this outcome of its confirmation.
     Finished(ReportedOutcome),
 }
 
-/// What an operator was told.
+/// Outcome that was reported to an operator.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum ReportedOutcome {
     /// The plan has taken effect.
     Applied,
-    /// Another change came before any step.
+    /// Another change superseded the plan before any of its steps.
     Superseded,
-    /// It stopped, and nothing was touched.
+    /// The operator stopped the confirmation before it changed anything.
     Untouched,
-    /// Anything that claims less.
+    /// Any other outcome. It makes no claim that the model checks.
     Other,
 }
 
-/// A plan and what became of it.
+/// A plan and its effects.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct PlanState {
-    /// The record in the platform.
+    /// Number of the plan's record in the platform; `None` before the plan is stored.
     pub record: Option<u16>,
-    /// The version of the service that the plan was made for.
+    /// Version of the service that the plan was made for.
     pub base: u8,
-    /// How often the plan changed the service.
+    /// Number of times that the plan changed the service.
     pub effects: u8,
 }
 
-/// A state.
+/// A state of the model.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct State {
-    /// The store's revision.
+    /// Revision of the platform's store.
     pub revision: u8,
-    /// The object that both plans change.
+    /// Number of the object that both plans change.
     pub service: Option<u16>,
-    /// The plans, by their operator.
+    /// Plan of each operator.
     pub plans: [PlanState; OPERATORS],
-    /// The operators.
+    /// State of each operator.
     pub operators: [Operator; OPERATORS],
-    /// Updates that may still take effect, by the operator's number and the call's.
+    /// Late updates, each as the numbers of the operator and the call.
     pub late: [Option<(u8, u16)>; MAX_LATE],
-    /// Whether a plan took effect on another version than its base.
+    /// Whether a plan took effect on a version other than its base version.
     pub applied_to_wrong_version: bool,
 }
 
-/// What becomes of a call.
+/// Outcome of a call.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CallOutcome {
-    /// It takes effect and is answered.
+    /// The call takes effect and is answered.
     Answered,
-    /// It is lost.
+    /// The call is lost before it takes effect.
     Lost,
-    /// It takes effect and its answer is lost.
+    /// The call takes effect and its answer is lost.
     AnswerLost,
-    /// No answer comes, and it may take effect later.
+    /// No answer arrives, and the call may take effect at a later time.
     Late,
 }
 
-/// What happens between two states.
+/// A transition between two states. The first number is that of the operator.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Step {
     /// An operator makes its plan and stores it.
     Plan(usize),
-    /// An operator's call, and what becomes of it.
+    /// An operator sends a call, which has the given outcome.
     Call(usize, u16, CallOutcome),
-    /// An operator waits and asks again.
+    /// An operator waits before the next action of its confirmation.
     Pause(usize),
-    /// An operator is told the end.
+    /// An operator's confirmation ends with the given result.
     End(usize, End),
-    /// An operator stops.
+    /// An operator stops its confirmation.
     Stop(usize),
-    /// An operator runs the confirmation again from its beginning.
+    /// An operator restarts the confirmation from the beginning.
     RestartConfirmation(usize),
-    /// A late update arrives.
+    /// A late update of an operator takes effect.
     Arrive(usize, u16),
 }
 
--- a/crates/spec/src/plans/transition_cache.rs
+++ b/crates/spec/src/plans/transition_cache.rs
@@ -1,4 +1,6 @@
-//! The core's confirmations, the platform's objects and the calls between them, as numbers.
+//! Confirmations of `skylark-core`, objects of the platform and the calls between them, as numbers.
+//!
+//! Values are interned and transitions are memoised, so a state of the model stores numbers only.
 
 use std::cell::RefCell;
 
@@ -15,56 +17,56 @@
 
 use crate::intern::Interner;
 
-/// The platform's answer to a call, as a number where it holds an object.
+/// The platform's answer to a call, with objects given by number.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Reply {
-    /// The object with this number.
+    /// The object exists and has this number.
     Found(u16),
-    /// There is no such object.
+    /// The object does not exist.
     Missing,
-    /// The update took and gave this version.
+    /// The update was accepted and gave the object this version.
     Took(u8),
-    /// The update did not take.
+    /// The update was rejected because the object has another version than expected.
     Conflict,
-    /// No answer.
+    /// No answer arrives.
     Lost,
 }
 
-/// What the platform makes of a call.
+/// Effect of a call on the platform.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Effect {
-    /// The answer.
+    /// Answer of the platform.
     pub reply: Reply,
-    /// The object after the call; none where it does not exist.
+    /// Number of the object after the call; `None` if it does not exist.
     pub object: Option<u16>,
     /// Whether the object changed.
     pub changed: bool,
 }
 
-/// What a confirmation does next.
+/// Next action of a confirmation.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Action {
-    /// Makes the call with this number.
+    /// Sends the call with this number.
     Call(u16),
-    /// Waits.
+    /// Waits before the next action.
     Pause,
-    /// Ends.
+    /// Ends the confirmation with this result.
     End(End),
 }
 
-/// What decides how a call is treated.
+/// Properties of a call that decide how the model handles it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct CallTraits {
-    /// Whether it only reads.
+    /// Whether the call only reads.
     pub is_read: bool,
-    /// Whether it is about a plan's record.
+    /// Whether the call addresses the record of a plan.
     pub on_plan_record: bool,
 }
 
-/// A call, the object's number, the store's revision, and whether any version will do.
+/// Number of the call, number of the object, revision of the store, and whether any version is accepted.
 type EffectKey = (u16, Option<u16>, u8, bool);
 
-/// The numbered values, and the transitions that were taken before.
+/// Numbered values and the memoised transitions between them.
 #[derive(Clone, Debug, Default)]
 pub struct TransitionCache {
     confirmations: RefCell<Interner<Confirmation>>,
@@ -76,19 +78,20 @@
 }
 
 impl TransitionCache {
-    /// The number of a new confirmation of a plan.
+    /// Returns the number of a new confirmation of the plan with id `plan`.
     pub fn new_confirmation(&self, plan: &str) -> u16 {
         self.confirmations.borrow_mut().number(Confirmation::new(plan))
     }
 
-    /// What it means to stop a confirmation here; none before it read its record.
+    /// Returns the progress of a confirmation, which is reported if it is stopped now; `None` before it has
+    /// read the record of its plan.
     pub fn progress(&self, number: u16) -> Option<Progress> {
         let confirmations = self.confirmations.borrow();
         let confirmation = confirmations.value(number);
         confirmation.record().map(|_| confirmation.progress())
     }
 
-    /// What a confirmation does next, and its number after it was asked.
+    /// Returns the next action of a confirmation, and the confirmation's number after that request.
     pub fn next_action(&self, number: u16) -> (u16, Action) {
         if let Some(known) = self.actions.borrow().get(&number) {
             return known.clone();
@@ -104,7 +107,7 @@
         (after, action)
     }
 
-    /// The number of a confirmation after an answer.
+    /// Returns the number of a confirmation after it received an answer.
     pub fn answer(&self, number: u16, reply: Reply) -> u16 {
         if let Some(&known) = self.answers.borrow().get(&(number, reply)) {
             return known;
@@ -122,32 +125,32 @@
         after
     }
 
-    /// The number of an object.
+    /// Returns the number of an object.
     pub fn object_number(&self, object: StoredObject) -> u16 {
         self.objects.borrow_mut().number(object)
     }
 
-    /// The object with this number.
+    /// Returns the object with this number.
     pub fn object(&self, number: u16) -> StoredObject {
         self.objects.borrow().value(number).clone()
     }
 
-    /// The version of an object; zero for none.
+    /// Returns the version of the object with this number; zero if there is no object.
     pub fn version(&self, number: Option<u16>) -> u64 {
         number.map_or(0, |number| self.objects.borrow().value(number).version)
     }
 
-    /// The number of a call.
+    /// Returns the number of a call.
     pub fn call_number(&self, call: Call) -> u16 {
         self.calls.borrow_mut().number(call)
     }
 
-    /// The call with this number.
+    /// Returns the call with this number.
     pub fn call(&self, number: u16) -> Call {
         self.calls.borrow().value(number).clone()
     }
 
-    /// What decides how a call is treated.
+    /// Returns the properties of the call with this number.
     pub fn traits(&self, number: u16) -> CallTraits {
         let calls = self.calls.borrow();
         let call = calls.value(number);
@@ -157,14 +160,14 @@
         }
     }
 
-    /// Whether a call is about the object with this number.
+    /// Whether a call addresses the object, both given by number.
     pub fn is_about(&self, call: u16, object: u16) -> bool {
         let (calls, objects) = (self.calls.borrow(), self.objects.borrow());
         let (call, object) = (calls.value(call), objects.value(object));
         (call.kind, &call.name) == (object.kind, &object.name)
     }
 
-    /// Lets the platform act on a call. `any_version` leaves out the check of the version.
+    /// Returns the effect of a call on the platform. With `any_version` the expected version is not checked.
     pub fn apply_call(
         &self,
         call: u16,
