--- a/crates/spec/src/case.rs
+++ b/crates/spec/src/case.rs
@@ -1,4 +1,4 @@
-//! The cases that are explored: a model, its bounds, and the safeguard that is switched off.
+//! Cases: a model, its bounds, and the safeguard that is switched off.
 
 use std::fmt;
 
@@ -13,19 +13,19 @@
 use crate::repetition;
 use crate::spreading;
 
-/// How many states a case may have, which bounds its memory to a few hundred megabytes.
+/// Maximum number of states of a case, which limits its memory to a few hundred megabytes.
 pub const STATE_LIMIT: usize = 2_600_000;
 
 /// One exploration with fixed bounds.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
-    /// The model's name.
+    /// Name of the model.
     pub model: &'static str,
-    /// The name of the safeguard that is off. Then a counterexample is expected.
+    /// Name of the safeguard that is off, if any. The search is then expected to find a counterexample.
     pub without: Option<&'static str>,
-    /// The bounds in words.
+    /// Description of the bounds, as printed.
     pub bounds: &'static str,
-    /// Explores.
+    /// Runs the exploration, up to [`STATE_LIMIT`] states.
     pub run: fn() -> Exploration,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Every case of every model.
+/// Returns the cases of all models.
 pub fn all() -> Vec<Case> {
     [
         acknowledgement::cases::CASES,
--- a/crates/spec/src/explore.rs
+++ b/crates/spec/src/explore.rs
@@ -1,11 +1,12 @@
-//! Exhaustive search of a model's states within its bounds.
+//! Exhaustive search of the reachable states of a model within its bounds.
 //!
-//! The search is the breadth-first search of `pathfinding`, with the first state that breaks an
-//! invariant as its goal, so the path that it returns is a shortest counterexample.
+//! The search is the breadth-first search of `pathfinding`. Its goal is a state that breaks an invariant,
+//! so the returned path is a shortest counterexample.
 //!
-//! States are compared in a canonical form, which identifies states that differ by a renaming. The
-//! trace is found again without renaming: from the present state, the step whose successor has the
-//! canonical form of the path's next state. Such a step exists because renaming commutes with steps.
+//! States are compared in a canonical form, which is the same for states that differ only by a renaming of
+//! symmetric parts, such as members. The trace is rebuilt with the original names: from the current state
+//! it takes a step whose successor has the canonical form of the next state on the path. Such a step exists
+//! because renaming commutes with steps.
 
 use std::fmt;
 use std::hash::Hash;
@@ -15,42 +16,42 @@
 
 /// A transition system with invariants.
 pub trait Model {
-    /// A state, as compact as the bounds allow.
+    /// A state. It is kept in memory for every visited state, so it has to be compact.
     type State: Clone + Eq + Hash;
-    /// What happens between two states.
+    /// A transition between two states.
     type Step: fmt::Display;
 
-    /// The state in which everything begins.
+    /// Returns the initial state.
     fn initial(&self) -> Self::State;
 
-    /// Appends every step that may happen in `state`, with the state that follows.
+    /// Appends every step that is enabled in `state`, with its successor state.
     fn steps(&self, state: &Self::State, next: &mut Vec<(Self::Step, Self::State)>);
 
-    /// The representative of all states that differ from this one only by a renaming.
+    /// Returns the representative of all states that differ from `state` only by a renaming.
     fn canonical(&self, state: &Self::State) -> Self::State {
         state.clone()
     }
 
-    /// The invariant that `state` breaks.
+    /// Returns the invariant that `state` breaks, if any.
     fn violation(&self, state: &Self::State) -> Option<&'static str>;
 
-    /// What a trace says of a step.
+    /// Returns the text of a step in a trace.
     fn describe_step(&self, step: &Self::Step) -> String {
         step.to_string()
     }
 
-    /// One line that shows the state in a trace.
+    /// Returns the text of a state in a trace, on one line.
     fn describe(&self, state: &Self::State) -> String;
 }
 
-/// A shortest way from the initial state to a violation.
+/// A shortest path from the initial state to a violation.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Trace {
     /// The invariant that the last state breaks.
     pub violation: &'static str,
-    /// The initial state.
+    /// Text of the initial state.
     pub start: String,
-    /// Each step, with the state after it.
+    /// Text of each step and of the state after it.
     pub steps: Vec<(String, String)>,
 }
 
@@ -64,30 +65,30 @@
     }
 }
 
-/// What a search found.
+/// Verdict of a search.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Verdict {
     /// Every state within the bounds keeps the invariants.
     Holds,
-    /// Some state breaks one.
+    /// Some state breaks an invariant. The trace is a shortest counterexample.
     Violated(Trace),
-    /// The limit on states was met before the search ended, so nothing is shown.
+    /// The search stopped at the limit on states, so it neither proves nor refutes the invariants.
     Incomplete,
 }
 
 /// The result of a search.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Exploration {
-    /// What was found.
+    /// Verdict on the invariants.
     pub verdict: Verdict,
-    /// How many different states were expanded.
+    /// Number of distinct states that were visited.
     pub states: usize,
-    /// How long the search took, in milliseconds.
+    /// Duration of the search, in milliseconds.
     pub elapsed_ms: u128,
 }
 
 impl Exploration {
-    /// The counterexample, if there is one.
+    /// Returns the counterexample, if there is one.
     pub fn trace(&self) -> Option<&Trace> {
         match &self.verdict {
             Verdict::Violated(trace) => Some(trace),
@@ -107,7 +108,7 @@
     }
 }
 
-/// Visits every state of `model`, up to `limit` states so that memory stays bounded.
+/// Visits the reachable states of `model`, and expands at most `limit` of them to bound memory.
 pub fn explore<M>(model: &M, limit: usize) -> Exploration
 where
     M: Model,
--- a/crates/spec/src/intern.rs
+++ b/crates/spec/src/intern.rs
@@ -1,14 +1,14 @@
-//! Small numbers that stand for large values.
+//! Interning of large values as small numbers.
 //!
-//! A model that drives a state machine of `skylark-core` would need that machine in every state.
-//! Each machine takes few different values, so a state holds a number and the value stands here
-//! once. Two values are the same if they print the same.
+//! A model that drives a state machine of `skylark-core` would otherwise store that machine in every
+//! state. Each machine has few distinct values, so each value is stored once here and states hold its
+//! number. Two values are equal if their `Debug` output is equal.
 
 use std::fmt;
 
 use skylark_core::FastMap;
 
-/// The values by number.
+/// Distinct values, numbered from zero in the order of their first use.
 #[derive(Clone, Debug)]
 pub struct Interner<T> {
     values: Vec<T>,
@@ -25,7 +25,11 @@
 where
     T: fmt::Debug,
 {
-    /// The number of a value.
+    /// Returns the number of a value, which is added if it is new.
+    ///
+    /// # Panics
+    ///
+    /// Panics if there are more distinct values than `u16` can number.
     pub fn number(&mut self, value: T) -> u16 {
         let text = format!("{value:?}");
         if let Some(&number) = self.numbers.get(&text) {
@@ -37,7 +41,7 @@
         number
     }
 
-    /// The value with this number.
+    /// Returns the value with this number.
     pub fn value(&self, number: u16) -> &T {
         &self.values[usize::from(number)]
     }
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -1,22 +1,23 @@
-//! Small specification of the core protocol, explored exhaustively.
+//! Models of the core protocol for exhaustive exploration within bounds.
 //!
-//! Each model is a transition system: a compact state, the steps that may come next, and the
-//! invariants that every reachable state keeps. [`explore`] visits every state within the model's
-//! bounds by breadth-first search, so a violation comes with a shortest trace.
+//! Each model is a transition system: a compact state, the steps that are enabled in it, and the
+//! invariants of every reachable state. [`explore`] visits every state within the bounds of a model by
+//! breadth-first search, so it reports a violation with a shortest trace.
 //!
-//! Each safeguard of the protocol has a switch. With all of them on the invariants hold; with any
-//! one off the search must find a counterexample, which shows that the model can see the failure
-//! that the safeguard is there for. Where a transition takes a decision that `skylark-core` takes,
-//! it calls the function of `skylark-core`.
+//! Each safeguard of the protocol can be switched off. With all safeguards on, the invariants hold. With
+//! any one of them off, the search has to find a counterexample, which shows that the model can detect the
+//! failure that the safeguard prevents. Where a transition depends on a decision of `skylark-core`, it
+//! calls the function of `skylark-core`.
 //!
-//! - [`acknowledgement`]: who may acknowledge a write, the fence, and the choice of a new primary.
-//! - [`driver`]: the failover driver of the core among the same members.
-//! - [`floors`]: what a session that roams gets to read after its own writes.
-//! - [`plans`]: operators who race each other over a platform that loses answers.
-//! - [`repetition`]: what is sent again, and what a caller is told about it.
-//! - [`spreading`]: accepted settings on their way to every process.
-//! - [`quota`]: one limit divided among allocators that exchange nothing.
-//! - [`answers`]: when a connection may serve the next caller.
+//! - [`acknowledgement`]: acknowledgement of writes, fencing, and the choice of a new primary.
+//! - [`driver`]: the failover driver of the core with the same members.
+//! - [`floors`]: read-your-writes for sessions that move between proxies.
+//! - [`lead`]: proof, before a read, that no later primary has taken over.
+//! - [`plans`]: concurrent plans of operators over a platform that loses requests and answers.
+//! - [`repetition`]: retries of requests, and the outcome that is reported to the caller.
+//! - [`spreading`]: distribution of accepted settings to every process.
+//! - [`quota`]: one limit that is divided among allocators that do not communicate.
+//! - [`answers`]: reuse of a connection for the next caller.
 
 pub mod acknowledgement;
 pub mod answers;
--- a/crates/spec/src/main.rs
+++ b/crates/spec/src/main.rs
@@ -1,8 +1,11 @@
-//! Explores the specification's models and prints what was found.
+//! Explores the models of the specification and prints the results.
 //!
-//! Without arguments it runs every case and prints one line each. With a model's name it runs the
-//! cases of that model, with `--without SAFEGUARD` those that lack the safeguard, and prints the
-//! counterexample as numbered steps.
+//! Without arguments the program runs every case and prints one line for each. With the name of a model it
+//! runs the cases of that model. With `--without SAFEGUARD` it runs the cases that switch this safeguard
+//! off, and prints the counterexample as numbered steps. An unexpected counterexample is always printed.
+//!
+//! The exit code is a failure if no case matches, or if a verdict differs from the expected one: the
+//! invariants hold with all safeguards on, and break with one off.
 
 use std::io;
 use std::io::Write;
