--- a/crates/spec/tests/answers.rs
+++ b/crates/spec/tests/answers.rs
@@ -5,8 +5,8 @@
 checks::cases! {
     "answers";
     every_safeguard_on: None;
-    // A caller gives up, and the next one on the connection reads the late answer.
-    connection_used_again_at_once: Some("drain");
-    // A cancel request overtaken by the answer hits the next caller's statement.
-    connection_used_again_after_cancel: Some("close-after-cancel");
+    // A caller abandons its request, and the next caller on the connection reads the late answer.
+    connection_reused_without_draining: Some("drain");
+    // A cancel request arrives after the answer was read, and cancels the next caller's statement.
+    connection_reused_after_cancel: Some("close-after-cancel");
 }
--- a/crates/spec/tests/checks/mod.rs
+++ b/crates/spec/tests/checks/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the cases of a model: invariants hold with every safeguard on and break without one.
+//! Runs the cases of a model: the invariants hold with all safeguards on and break with one off.
 
 use std::io;
 use std::io::Write;
@@ -6,7 +6,7 @@
 use skylark_spec::case;
 use skylark_spec::explore::Verdict;
 
-/// Names a test for each safeguard of a model, and checks that none is left out.
+/// Defines a test for each listed safeguard of a model, and a test that no safeguard is missing.
 macro_rules! cases {
     ($model:literal; $($(#[$meta:meta])* $name:ident: $without:expr;)*) => {
         $(
@@ -25,13 +25,13 @@
 
 pub(crate) use cases;
 
-/// Runs the model's cases that lack `without`.
+/// Runs the cases of a model in which the safeguard `without` is off, or in which all are on.
 pub(crate) fn check(model: &str, without: Option<&str>) {
     let cases = case::all();
     let mut ran = 0;
     for case in cases.iter().filter(|case| case.model == model && case.without == without) {
         let exploration = (case.run)();
-        // Straight to the stream, so that the number of states is seen in passing runs too.
+        // Written directly to stderr, because the test harness hides captured output of passing tests.
         writeln!(io::stderr(), "{case}: {exploration}").expect("standard error is open");
         match (without, exploration.trace()) {
             (None, Some(trace)) => panic!("{case}:\n{trace}"),
@@ -43,7 +43,7 @@
     assert!(ran > 0, "no case of {model} without {without:?}");
 }
 
-/// Asserts that the tests name exactly the safeguards that the model's cases switch off.
+/// Asserts that every safeguard that a case of the model switches off is listed in the tests.
 pub(crate) fn check_listed(model: &str, listed: &[Option<&str>]) {
     let cases = case::all();
     for case in cases.iter().filter(|case| case.model == model) {
--- a/crates/spec/tests/driver.rs
+++ b/crates/spec/tests/driver.rs
@@ -5,6 +5,6 @@
 checks::cases! {
     "driver";
     every_safeguard_on: None;
-    // A process that was paused and its replacement use one name, and share their votes.
-    two_drivers_of_one_name: Some("new-name");
+    // A paused process and its replacement use the same driver name, so votes for one count for the other.
+    two_drivers_with_one_name: Some("new-name");
 }
--- a/crates/spec/tests/floors.rs
+++ b/crates/spec/tests/floors.rs
@@ -5,14 +5,15 @@
 checks::cases! {
     "floors";
     every_safeguard_on: None;
-    // The write is acknowledged after the barrier read the primary's end and before the session asks.
-    lookup_joins_a_barrier_under_way: Some("barrier");
-    // An isolated old primary knows nothing of the write, and a holder beside it believes it.
+    // The write is acknowledged after the barrier read the end of the primary's log and before the session
+    // asks.
+    lookup_joins_a_running_barrier: Some("barrier");
+    // An isolated old primary lacks the write, and the holder relies on the status of that primary alone.
     old_primary_answers_the_barrier: Some("barrier-majority");
-    // A holder that just started counts the write as one that it has recorded.
-    holder_counts_what_it_did_not_see: Some("beginning");
-    // The floor is right, and an old primary answers the read all the same.
+    // A holder that just started counts the write as accounted for, although it did not record it.
+    holder_accounts_for_unseen_writes: Some("beginning");
+    // The floor is correct, but an old primary answers the read although its log does not cover the floor.
     old_primary_answers_the_read: Some("primary-floor");
-    // A replica that lags answers.
+    // A lagging replica answers the read.
     any_member_answers: Some("floor");
 }
--- a/crates/spec/tests/quota.rs
+++ b/crates/spec/tests/quota.rs
@@ -5,12 +5,12 @@
 checks::cases! {
     "quota";
     every_safeguard_on: None;
-    // Two allocators grant the whole limit each.
+    // Two allocators each grant the whole limit.
     allocators_with_the_whole_limit: Some("divide");
-    // A process starts again and has forgotten what it granted just before.
-    a_full_bucket_after_a_restart: Some("start-part");
-    // The allocator that was replaced is asked by VMs with the old list, and its successor by the others.
-    a_successor_that_grants_at_once: Some("take-over-pause");
-    // What was granted over a long time runs at one moment.
+    // A restarted process has lost the record of what it granted just before.
+    full_bucket_after_a_restart: Some("start-part");
+    // VMs with the old list still ask the replaced allocator, while the others ask its successor.
+    successor_grants_without_a_pause: Some("take-over-pause");
+    // Grants of a long period are kept and used at one moment.
     grants_kept_for_later: Some("no-stock");
 }
