--- a/crates/spec/src/plans/mod.rs
+++ b/crates/spec/src/plans/mod.rs
@@ -31,7 +31,7 @@
     ReadBack,
     /// A changed object contains the id of the plan that changed it. Off: it does not.
     PlanId,
-    /// A plan that overwrites the change of another plan first notes in that plan's record that the change
+    /// A plan that overwrites the change of another plan notes in that plan's record that the change
     /// had taken effect. Off: it does not.
     Note,
 }
--- a/crates/spec/src/plans/model.rs
+++ b/crates/spec/src/plans/model.rs
@@ -114,13 +114,13 @@
                 self.finish(state, number, Step::End(number, end), outcome, next);
             }
             Action::Call(call) => {
-                for outcome in [
+                for call_outcome in [
                     CallOutcome::Answered,
                     CallOutcome::Lost,
                     CallOutcome::AnswerLost,
                     CallOutcome::Late,
                 ] {
-                    self.call(state, number, polled, call, outcome, next);
+                    self.call(state, number, polled, call, call_outcome, next);
                 }
             }
         }
@@ -143,12 +143,12 @@
         number: usize,
         polled: u16,
         call: u16,
-        outcome: CallOutcome,
+        call_outcome: CallOutcome,
         next: &mut Next,
     ) {
         let traits = self.transition_cache.traits(call);
         let mut after = *state;
-        let reply = match outcome {
+        let reply = match call_outcome {
             CallOutcome::Answered => self.take_effect(&mut after, number, call),
             CallOutcome::AnswerLost if !traits.is_read => {
                 self.take_effect(&mut after, number, call);
@@ -169,7 +169,7 @@
             true => Operator::Repeating { confirmation: polled, call },
             false => Operator::Confirming(self.transition_cache.answer(polled, reply)),
         };
-        next.push((Step::Call(number, call, outcome), after));
+        next.push((Step::Call(number, call, call_outcome), after));
     }
 
     /// Applies a call of an operator to the platform's objects and returns the platform's answer.
--- a/crates/spec/src/plans/state.rs
+++ b/crates/spec/src/plans/state.rs
@@ -105,8 +105,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Step::Plan(number) => write!(f, "operator{number} plans"),
-            Step::Call(number, call, outcome) => {
-                write!(f, "operator{number}: call{call}: {outcome:?}")
+            Step::Call(number, call, call_outcome) => {
+                write!(f, "operator{number}: call{call}: {call_outcome:?}")
             }
             Step::Pause(number) => write!(f, "operator{number} waits"),
             Step::End(number, end) => write!(f, "operator{number} is told {end:?}"),
