--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -12,7 +12,7 @@
 //! - [`acknowledgement`]: acknowledgement of writes, fencing, and the choice of a new primary.
 //! - [`driver`]: the failover driver of the core with the same members.
 //! - [`floors`]: read-your-writes for sessions that move between proxies.
-//! - [`lead`]: proof, before a read, that no later primary has taken over.
+//! - [`lead`]: reads at a primary that may have been replaced without its knowledge.
 //! - [`plans`]: concurrent plans of operators over a platform that loses requests and answers.
 //! - [`repetition`]: retries of requests, and the outcome that is reported to the caller.
 //! - [`spreading`]: distribution of accepted settings to every process.
--- a/crates/spec/tests/acknowledgement.rs
+++ b/crates/spec/tests/acknowledgement.rs
@@ -9,7 +9,8 @@
     confirmation_of_another_term: Some("confirmation-term");
     // With only one member raised, the old primary still acknowledges writes with the others.
     fence_at_one_member: Some("fence-majority");
-    // The unacknowledged tail of an old primary's log is as long as the log that holds the acknowledged write.
+    // An old primary's log with an unacknowledged tail is as long as the log that holds the acknowledged
+    // write.
     longest_log_leads: Some("term-first");
     // A member that an unfinished attempt raised appears newer than the members that hold the write.
     highest_raised_term_leads: Some("record-term");
