--- a/crates/spec/src/acknowledgement/attempts.rs
+++ b/crates/spec/src/acknowledgement/attempts.rs
@@ -1,4 +1,5 @@
-//! What drivers do in the acknowledgement model: raise a term, choose a candidate, promote it.
+//! Transitions of the failover drivers in the acknowledgement model: raise a term, choose a candidate,
+//! promote it.
 
 use skylark_core::log_position::LogPosition;
 use skylark_core::log_position::Term;
@@ -14,12 +15,12 @@
 use super::views::View;
 
 impl<const N: usize> AcknowledgementModel<N> {
-    pub(super) fn raises(&self, state: &State<N>, next: &mut Next<N>) {
+    pub(super) fn raise_steps(&self, state: &State<N>, next: &mut Next<N>) {
         for attempt in 0..self.bounds.attempts {
             match state.attempts[attempt] {
                 0 => {
                     self.begin(state, attempt, next);
-                    // Attempts begin in the order of their numbers.
+                    // Attempts start in the order of their numbers.
                     return;
                 }
                 _ => self.raise(state, attempt, next),
@@ -27,7 +28,7 @@
         }
     }
 
-    /// An attempt begins with its first raise, in any term and with any member set in use.
+    /// Starts an attempt with its first raise, in any term and with any member set in use.
     fn begin(&self, state: &State<N>, attempt: usize, next: &mut Next<N>) {
         for view in self.views_in_use(state) {
             for term in 2..=self.bounds.terms {
@@ -45,15 +46,15 @@
         for member in 0..N {
             let present = &state.members[member];
             let same_driver =
-                present.raised_by == self.name(attempt) || !self.has(Safeguard::OneDriver);
-            let takes = term > present.raised || term == present.raised && same_driver;
-            let asked = present.is_in(version) || !self.has(Safeguard::OneSet);
-            if !takes || !asked {
+                present.raised_by == self.driver_name(attempt) || !self.has(Safeguard::OneDriver);
+            let accepts = term > present.raised || term == present.raised && same_driver;
+            let in_attempt_set = present.is_in(version) || !self.has(Safeguard::OneSet);
+            if !accepts || !in_attempt_set {
                 continue;
             }
             let mut after = *state;
             let raised = &mut after.members[member];
-            raised.raised_by = self.name(attempt);
+            raised.raised_by = self.driver_name(attempt);
             if term > raised.raised {
                 raised.raised = term;
                 raised.set_role(Role::Fenced);
@@ -77,7 +78,7 @@
         state.members.iter().any(|member| member.chosen >> attempt & 1 == 1)
     }
 
-    pub(super) fn choices(&self, state: &State<N>, next: &mut Next<N>) {
+    pub(super) fn choose_steps(&self, state: &State<N>, next: &mut Next<N>) {
         for attempt in 0..self.bounds.attempts {
             if self.has_chosen(state, attempt) && self.has(Safeguard::OneCandidate) {
                 continue;
@@ -91,7 +92,8 @@
         }
     }
 
-    /// A driver with this member set chooses among the members of the set that answered.
+    /// Chooses the candidate of an attempt among the members of `view` that answered its raise: one with the
+    /// highest position, once the answers come from a quorum of the view.
     fn choose(&self, state: &State<N>, attempt: usize, view: View, next: &mut Next<N>) {
         let answered = |member: &Member| member.answered[attempt] > 0 && member.is_in(view.version);
         let fenced = match self.has(Safeguard::FenceMajority) {
@@ -124,22 +126,22 @@
         LogPosition::new(0, position.index)
     }
 
-    pub(super) fn promotions(&self, state: &State<N>, next: &mut Next<N>) {
+    pub(super) fn promote_steps(&self, state: &State<N>, next: &mut Next<N>) {
         for attempt in 0..self.bounds.attempts {
             let term = state.attempts[attempt];
             for member in 0..N {
                 let present = &state.members[member];
                 let ordered = present.chosen >> attempt & 1 == 1;
-                let voted =
-                    present.raised_by == self.name(attempt) || !self.has(Safeguard::OneDriver);
-                let done = present.reigns >> term & 1 == 1;
+                let voted = present.raised_by == self.driver_name(attempt)
+                    || !self.has(Safeguard::OneDriver);
+                let done = present.promoted_terms >> term & 1 == 1;
                 if !ordered || present.raised != term || !voted || done {
                     continue;
                 }
                 let mut after = *state;
                 let promoted = &mut after.members[member];
                 promoted.set_role(Role::Primary);
-                promoted.reigns |= 1 << term;
+                promoted.promoted_terms |= 1 << term;
                 promoted.log = promoted.log.with(term);
                 self.push(next, Step::Promote { member, term }, after);
             }
