--- a/crates/bench/examples/surge.rs
+++ b/crates/bench/examples/surge.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::io::Write;
 
-use skylark_bench::surge::outcome::RunName;
+use skylark_bench::surge::outcome::RunId;
 use skylark_bench::surge::outcome::RunOutcome;
 use skylark_bench::surge::simulation;
 use skylark_bench::surge::simulation::Setup;
@@ -30,7 +30,7 @@
 fn main() -> io::Result<()> {
     for scenario in Scenario::ALL {
         for seed in SEEDS {
-            let arrivals = trace::record(scenario, seed);
+            let arrivals = trace::generate(scenario, seed);
             for running in RUNNING {
                 for weights in [DOUBLING, STEEP] {
                     let setup = Setup::new(weights, running);
@@ -49,12 +49,12 @@
     setup: Setup,
     arrivals: &[Arrival],
 ) -> io::Result<()> {
-    let name = |strategy| RunName { scenario: scenario.name(), strategy, setup, seed };
+    let name = |strategy| RunId { scenario: scenario.name(), strategy, setup, seed };
     let weighted = simulation::run::<WeightedMaxMin>(arrivals, &setup);
     print(&name("weighted_max_min"), &weighted)
 }
 
-fn print(name: &RunName<'_>, outcome: &RunOutcome) -> io::Result<()> {
+fn print(name: &RunId<'_>, outcome: &RunOutcome) -> io::Result<()> {
     let mut stdout = io::stdout().lock();
     for line in outcome.lines(name) {
         serde_json::to_writer(&mut stdout, &line)?;
--- a/crates/bench/src/connection_cache/mod.rs
+++ b/crates/bench/src/connection_cache/mod.rs
@@ -92,7 +92,7 @@
 
 /// A kind of statement.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Work {
+pub struct StatementKind {
     /// Its part of all statements, in thousandths.
     pub weight: u32,
     /// Whether only the primary can run it.
@@ -102,11 +102,11 @@
 }
 
 /// The kinds of statements: short writes, reads, and longer work of which a part writes.
-pub const WORK: [Work; 4] = [
-    Work { weight: 135, at_primary: true, run_us: 8_000 },
-    Work { weight: 235, at_primary: false, run_us: 40_000 },
-    Work { weight: 150, at_primary: true, run_us: 24_000 },
-    Work { weight: 480, at_primary: false, run_us: 24_000 },
+pub const STATEMENT_KINDS: [StatementKind; 4] = [
+    StatementKind { weight: 135, at_primary: true, run_us: 8_000 },
+    StatementKind { weight: 235, at_primary: false, run_us: 40_000 },
+    StatementKind { weight: 150, at_primary: true, run_us: 24_000 },
+    StatementKind { weight: 480, at_primary: false, run_us: 24_000 },
 ];
 
 /// How long a slot is occupied by opening a connection, in microseconds.
--- a/crates/bench/src/connection_cache/pool.rs
+++ b/crates/bench/src/connection_cache/pool.rs
@@ -11,11 +11,11 @@
 
 /// A statement that waits for a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Waiting {
+pub struct PendingStatement {
     /// Whose it is.
     pub organisation: OrganisationId,
     /// When it came.
-    pub came_us: u64,
+    pub arrived_us: u64,
     /// How long it will occupy a slot.
     pub run_us: u64,
 }
@@ -24,7 +24,7 @@
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Actions {
     /// Statements that got a connection.
-    pub run: Vec<Waiting>,
+    pub run: Vec<PendingStatement>,
     /// For whom connections are to be opened.
     pub open: Vec<OrganisationId>,
     /// How many idle connections were evicted for other organisations.
@@ -37,7 +37,7 @@
     budget: ConnectionBudget,
     /// Idle connections, the least recently used first.
     idle: Vec<OrganisationId>,
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<PendingStatement>,
     opening: Vec<OrganisationId>,
 }
 
@@ -53,10 +53,15 @@
     }
 
     /// A statement comes. Returns whether an idle connection of its organisation was there.
-    pub fn arrive(&mut self, statement: Waiting, now_us: u64, actions: &mut Actions) -> bool {
+    pub fn statement_arrived(
+        &mut self,
+        statement: PendingStatement,
+        now_us: u64,
+        actions: &mut Actions,
+    ) -> bool {
         let found = self.idle.iter().rposition(|it| *it == statement.organisation);
-        if let Some(place) = found {
-            self.idle.remove(place);
+        if let Some(index) = found {
+            self.idle.remove(index);
             self.budget.take(now_us);
             actions.run.push(statement);
             return true;
@@ -67,18 +72,28 @@
     }
 
     /// A connection was opened.
-    pub fn opened(&mut self, organisation: OrganisationId, now_us: u64, actions: &mut Actions) {
-        if let Some(place) = self.opening.iter().position(|it| *it == organisation) {
-            self.opening.swap_remove(place);
+    pub fn connection_opened(
+        &mut self,
+        organisation: OrganisationId,
+        now_us: u64,
+        actions: &mut Actions,
+    ) {
+        if let Some(index) = self.opening.iter().position(|it| *it == organisation) {
+            self.opening.swap_remove(index);
         }
         self.budget.opened();
-        self.hand_over(organisation, now_us, actions);
+        self.serve_or_idle(organisation, now_us, actions);
     }
 
     /// A statement ended.
-    pub fn gave_back(&mut self, organisation: OrganisationId, now_us: u64, actions: &mut Actions) {
+    pub fn statement_ended(
+        &mut self,
+        organisation: OrganisationId,
+        now_us: u64,
+        actions: &mut Actions,
+    ) {
         self.budget.returned();
-        self.hand_over(organisation, now_us, actions);
+        self.serve_or_idle(organisation, now_us, actions);
     }
 
     /// Opens connections for those who wait, in place of others where there is no room.
@@ -95,15 +110,15 @@
     }
 
     /// Gives up statements that came before a moment, and returns how many.
-    pub fn give_up(&mut self, before_us: u64) -> usize {
+    pub fn expire(&mut self, before_us: u64) -> usize {
         let count = self.waiting.len();
-        self.waiting.retain(|statement| statement.came_us >= before_us);
+        self.waiting.retain(|statement| statement.arrived_us >= before_us);
         count - self.waiting.len()
     }
 
-    fn hand_over(&mut self, organisation: OrganisationId, now_us: u64, actions: &mut Actions) {
-        let place = self.waiting.iter().position(|it| it.organisation == organisation);
-        if let Some(statement) = place.and_then(|place| self.waiting.remove(place)) {
+    fn serve_or_idle(&mut self, organisation: OrganisationId, now_us: u64, actions: &mut Actions) {
+        let index = self.waiting.iter().position(|it| it.organisation == organisation);
+        if let Some(statement) = index.and_then(|index| self.waiting.remove(index)) {
             self.budget.take(now_us);
             actions.run.push(statement);
             return;
--- a/crates/bench/src/connection_cache/report.rs
+++ b/crates/bench/src/connection_cache/report.rs
@@ -69,12 +69,12 @@
         .y_label_area_size(LABEL_AREA)
         .build_cartesian_2d(0.0..most, 0.0..100.0)?;
     chart.configure_mesh().disable_x_mesh().draw()?;
-    for (place, strategy) in STRATEGIES.into_iter().enumerate() {
+    for (index, strategy) in STRATEGIES.into_iter().enumerate() {
         let points = PLOTTED_CONNECTIONS.map(|connections| {
             let outcomes = outcomes(&Setup { connections, ..*setup }, strategy, seeds);
             (f64::from(connections), 100.0 * mean(&outcomes, |outcome| outcome.misses))
         });
-        let color = Palette99::pick(place).to_rgba();
+        let color = Palette99::pick(index).to_rgba();
         chart
             .draw_series(LineSeries::new(points, color.stroke_width(2)))?
             .label(strategy.name)
--- a/crates/bench/src/connection_cache/simulation.rs
+++ b/crates/bench/src/connection_cache/simulation.rs
@@ -17,14 +17,14 @@
 use crate::connection_cache::OPEN_US;
 use crate::connection_cache::Placement;
 use crate::connection_cache::ReplicaChoice;
+use crate::connection_cache::STATEMENT_KINDS;
 use crate::connection_cache::Setup;
 use crate::connection_cache::Strategy;
 use crate::connection_cache::WAIT_LIMIT_US;
-use crate::connection_cache::WORK;
 use crate::connection_cache::pool::Actions;
 use crate::connection_cache::pool::OrganisationId;
+use crate::connection_cache::pool::PendingStatement;
 use crate::connection_cache::pool::SimulatedPool;
-use crate::connection_cache::pool::Waiting;
 
 /// The targets of the service; the first is the primary.
 const TARGETS: usize = 3;
@@ -103,7 +103,7 @@
     strategy: Strategy,
     rng: StdRng,
     /// The sums of the organisations' sizes up to each.
-    sizes: Vec<f64>,
+    cumulative_sizes: Vec<f64>,
     /// How many processes connect to each target.
     holders: usize,
     /// The pools by target and holder.
@@ -127,7 +127,7 @@
         }
         if !is_warm && now_us >= warm_up_us {
             is_warm = true;
-            simulation.forget_counts();
+            simulation.reset_counts();
         }
         simulation.handle(event, now_us);
     }
@@ -136,10 +136,10 @@
 
 impl Simulation<'_> {
     fn new(setup: &Setup, strategy: Strategy, seed: u64) -> Simulation<'_> {
-        let mut sum = 0.0;
-        let sizes = (0..setup.organisations).map(|place| {
-            sum += ((place + 1) as f64).powf(-setup.zipf_exponent);
-            sum
+        let mut cumulative_size = 0.0;
+        let cumulative_sizes = (0..setup.organisations).map(|index| {
+            cumulative_size += ((index + 1) as f64).powf(-setup.zipf_exponent);
+            cumulative_size
         });
         let demand = Demand {
             max_connections: setup.connections,
@@ -168,7 +168,7 @@
             setup,
             strategy,
             rng: StdRng::seed_from_u64(seed),
-            sizes: sizes.collect(),
+            cumulative_sizes: cumulative_sizes.collect(),
             holders,
             pools: (0..TARGETS).map(pools_of).collect(),
             targets: Default::default(),
@@ -183,7 +183,7 @@
         self.events.push(Reverse((at_us, self.scheduled, event)));
     }
 
-    fn forget_counts(&mut self) {
+    fn reset_counts(&mut self) {
         self.counts = Counts::default();
         for target in &mut self.targets {
             (target.opening_us, target.running_us) = (0, 0);
@@ -194,41 +194,44 @@
         match event {
             Event::Arrival => {
                 self.arrive(now_us);
-                let pause_s = -(1.0 - self.rng.random::<f64>()).ln() / self.setup.per_s;
-                self.schedule(now_us + (pause_s * US_PER_S) as u64, Event::Arrival);
+                let interarrival_s = -(1.0 - self.rng.random::<f64>()).ln() / self.setup.per_s;
+                self.schedule(now_us + (interarrival_s * US_PER_S) as u64, Event::Arrival);
             }
             Event::Maintenance => {
                 self.maintain(now_us);
                 self.schedule(now_us + MAINTENANCE_US, Event::Maintenance);
             }
-            Event::Ended(job) => self.ended(job, now_us),
+            Event::Ended(job) => self.finish_job(job, now_us),
         }
     }
 
     fn arrive(&mut self, now_us: u64) {
         let organisation = self.draw_organisation();
-        let draw = self.rng.random_range(0..WORK.iter().map(|work| work.weight).sum::<u32>());
-        let mut below = 0;
-        let work = WORK.iter().find(|work| {
-            below += work.weight;
-            draw < below
+        let draw =
+            self.rng.random_range(0..STATEMENT_KINDS.iter().map(|work| work.weight).sum::<u32>());
+        let mut cumulative_weight = 0;
+        let work = STATEMENT_KINDS.iter().find(|work| {
+            cumulative_weight += work.weight;
+            draw < cumulative_weight
         });
         let work = work.expect("the draw is below the sum of weights");
         let vm = self.rng.random_range(0..self.setup.vms);
         let target = if work.at_primary { 0 } else { self.replica_for(organisation) };
         let holder = self.holder_for(target, organisation, vm);
-        let statement = Waiting { organisation, came_us: now_us, run_us: work.run_us };
+        let statement = PendingStatement { organisation, arrived_us: now_us, run_us: work.run_us };
         let mut actions = Actions::default();
-        let found = self.pools[target][holder].arrive(statement, now_us, &mut actions);
+        let found = self.pools[target][holder].statement_arrived(statement, now_us, &mut actions);
         self.counts.statements += 1;
         self.counts.missed += u64::from(!found);
-        self.carry_out(actions, target, holder, now_us);
+        self.apply_actions(actions, target, holder, now_us);
     }
 
     fn draw_organisation(&mut self) -> OrganisationId {
-        let all = self.sizes.last().copied().unwrap_or_default();
+        let all = self.cumulative_sizes.last().copied().unwrap_or_default();
         let draw = self.rng.random::<f64>() * all;
-        self.sizes.partition_point(|sum| *sum <= draw).min(self.sizes.len() - 1)
+        self.cumulative_sizes
+            .partition_point(|sum| *sum <= draw)
+            .min(self.cumulative_sizes.len() - 1)
     }
 
     fn replica_for(&mut self, organisation: OrganisationId) -> usize {
@@ -258,12 +261,12 @@
         }
     }
 
-    fn carry_out(&mut self, actions: Actions, target: usize, holder: usize, now_us: u64) {
+    fn apply_actions(&mut self, actions: Actions, target: usize, holder: usize, now_us: u64) {
         self.counts.replaced += u64::from(actions.replaced);
         let opens = actions.open.into_iter().map(|organisation| (organisation, JobKind::Open));
         let runs = actions.run.into_iter().map(|statement| {
             self.counts.served += 1;
-            self.counts.waited_us += now_us - statement.came_us;
+            self.counts.waited_us += now_us - statement.arrived_us;
             (statement.organisation, JobKind::Run { us: statement.run_us })
         });
         let jobs: Vec<(OrganisationId, JobKind)> = runs.chain(opens).collect();
@@ -291,15 +294,15 @@
         }
     }
 
-    fn ended(&mut self, job: Job, now_us: u64) {
+    fn finish_job(&mut self, job: Job, now_us: u64) {
         self.targets[job.target].running -= 1;
         let pool = &mut self.pools[job.target][job.holder];
         let mut actions = Actions::default();
         match job.kind {
-            JobKind::Open => pool.opened(job.organisation, now_us, &mut actions),
-            JobKind::Run { .. } => pool.gave_back(job.organisation, now_us, &mut actions),
+            JobKind::Open => pool.connection_opened(job.organisation, now_us, &mut actions),
+            JobKind::Run { .. } => pool.statement_ended(job.organisation, now_us, &mut actions),
         }
-        self.carry_out(actions, job.target, job.holder, now_us);
+        self.apply_actions(actions, job.target, job.holder, now_us);
     }
 
     fn maintain(&mut self, now_us: u64) {
@@ -307,24 +310,24 @@
             for holder in 0..self.holders {
                 let pool = &mut self.pools[target][holder];
                 let mut actions = Actions::default();
-                let refused = pool.give_up(now_us.saturating_sub(WAIT_LIMIT_US));
+                let refused = pool.expire(now_us.saturating_sub(WAIT_LIMIT_US));
                 pool.maintain(now_us, &mut actions);
                 self.counts.refused += refused as u64;
-                self.carry_out(actions, target, holder, now_us);
+                self.apply_actions(actions, target, holder, now_us);
             }
         }
     }
 
     fn outcome(&self, span_us: u64) -> Outcome {
-        let of_all = |count: u64| count as f64 / self.counts.statements.max(1) as f64;
+        let fraction = |count: u64| count as f64 / self.counts.statements.max(1) as f64;
         let slots_us = span_us as f64 * f64::from(self.setup.slots);
         let [primary, first, second] = &self.targets;
         let replicas_us = (first.running_us + second.running_us).max(1) as f64;
         let busier_us = first.running_us.max(second.running_us) as f64;
         Outcome {
             statements: self.counts.statements,
-            misses: of_all(self.counts.missed),
-            refused: of_all(self.counts.refused),
+            misses: fraction(self.counts.missed),
+            refused: fraction(self.counts.refused),
             mean_wait_us: self.counts.waited_us as f64 / self.counts.served.max(1) as f64,
             replaced_per_s: self.counts.replaced as f64 * US_PER_S / span_us as f64,
             opening_at_primary: primary.opening_us as f64 / slots_us,
--- a/crates/bench/src/experiment/file.rs
+++ b/crates/bench/src/experiment/file.rs
@@ -41,23 +41,23 @@
     pub limit_ms: u64,
     /// What happens when.
     #[serde(default)]
-    pub timeline: Vec<Moment>,
+    pub timeline: Vec<TimelineEntry>,
 }
 
 /// Something that happens in an experiment.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Moment {
+pub struct TimelineEntry {
     /// When, in milliseconds since the load began.
     pub at_ms: u64,
     /// What.
-    pub event: Happening,
+    pub event: TimelineEvent,
 }
 
 /// What can happen.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Happening {
+pub enum TimelineEvent {
     /// A fault of the stand-ins begins or ends.
     Fault(Fault),
     /// The proxy of a VM ends at once.
@@ -119,9 +119,9 @@
 /// Reads an experiment's file and its deployment.
 pub fn load(path: &Path) -> Result<(Experiment, DeploymentSettings), ReadError> {
     let experiment = parse(&fs::read_to_string(path).map_err(ReadError::Io)?)?;
-    let beside = path.parent().unwrap_or(Path::new("."));
+    let directory = path.parent().unwrap_or(Path::new("."));
     let mut settings: DeploymentSettings =
-        skylark_settings::load(&beside.join(&experiment.deployment))
+        skylark_settings::load(&directory.join(&experiment.deployment))
             .map_err(|error| ReadError::Deployment(error.to_string()))?;
     for member in settings.groups.iter_mut().flat_map(|group| &mut group.members) {
         member.statement_cost_us = experiment.statement_cost_us;
--- a/crates/bench/src/experiment/plot.rs
+++ b/crates/bench/src/experiment/plot.rs
@@ -48,8 +48,8 @@
         .y_label_area_size(LABEL_AREA)
         .build_cartesian_2d(0.0..seconds(lines), (0.1..highest * 1.2).log_scale())?;
     chart.configure_mesh().disable_x_mesh().draw()?;
-    for (place, (name, points)) in by_operation.into_iter().enumerate() {
-        let color = Palette99::pick(place).to_rgba();
+    for (index, (name, points)) in by_operation.into_iter().enumerate() {
+        let color = Palette99::pick(index).to_rgba();
         chart
             .draw_series(LineSeries::new(points, color.stroke_width(2)))?
             .label(name)
--- a/crates/bench/src/experiment/reads.rs
+++ b/crates/bench/src/experiment/reads.rs
@@ -10,7 +10,7 @@
 use skylark_proxy::process::peer::api::PeerApiClient;
 use skylark_proxy::process::peer::client;
 
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Counters of all proxies together, by name.
 pub type CounterSums = BTreeMap<String, u64>;
@@ -19,7 +19,7 @@
 pub async fn counters(control_addresses: &[SocketAddr]) -> CounterSums {
     let mut sums = CounterSums::new();
     for address in control_addresses {
-        let Some(client) = client::open(&address.to_string(), CALL_LIMIT) else { continue };
+        let Some(client) = client::open(&address.to_string(), CALL_TIMEOUT) else { continue };
         let Ok(status) = client.status().await else { continue };
         for (name, value) in status.counters {
             *sums.entry(name).or_default() += value;
--- a/crates/bench/src/experiment/report.rs
+++ b/crates/bench/src/experiment/report.rs
@@ -29,8 +29,8 @@
             Line::Second(_) | Line::Reads(_) => {}
             Line::Counters { counters } => {
                 let _ = writeln!(text, "\n## Counters of the proxies\n");
-                for (name, grown) in counters {
-                    let _ = writeln!(text, "- `{name}`: {grown}");
+                for (name, increase) in counters {
+                    let _ = writeln!(text, "- `{name}`: {increase}");
                 }
             }
             Line::Verdict(verdict) => {
--- a/crates/bench/src/experiment/runner.rs
+++ b/crates/bench/src/experiment/runner.rs
@@ -13,8 +13,8 @@
 use crate::embedded::deployment::Ports;
 use crate::embedded::deployment::ProxyOptions;
 use crate::experiment::file::Experiment;
-use crate::experiment::file::Happening;
-use crate::experiment::file::Moment;
+use crate::experiment::file::TimelineEntry;
+use crate::experiment::file::TimelineEvent;
 use crate::experiment::reads;
 use crate::experiment::reads::CounterSums;
 use crate::experiment::reads::ReplicaShare;
@@ -31,8 +31,8 @@
 use crate::load::series;
 use crate::slopes::measure;
 
-const READY_LIMIT: Duration = Duration::from_secs(20);
-const READY_POLL: Duration = Duration::from_millis(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const SECOND: Duration = Duration::from_secs(1);
 const US_PER_MS: u64 = 1000;
 
@@ -46,7 +46,7 @@
     }
 }
 
-fn failed<E>(error: E) -> RunnerError
+fn runner_error<E>(error: E) -> RunnerError
 where
     E: fmt::Display,
 {
@@ -62,10 +62,10 @@
     let clock = Clock::start();
     let load_average = measure::load_average();
     let mut embedded =
-        Embedded::start(settings, options, Ports::Free, clock).await.map_err(failed)?;
+        Embedded::start(settings, options, Ports::Free, clock).await.map_err(runner_error)?;
     wait_ready(&embedded).await?;
     let plan = plan(experiment, settings, embedded.addresses());
-    run::prepare(&plan).await.map_err(failed)?;
+    run::prepare(&plan).await.map_err(runner_error)?;
 
     let controls = embedded.control_addresses();
     let start_us = clock.now_us();
@@ -73,12 +73,12 @@
     let (records, samples, events) = tokio::join!(
         run::offer(&plan, clock),
         sample(&controls, total_ms),
-        play(&mut embedded, &experiment.timeline)
+        run_timeline(&mut embedded, &experiment.timeline)
     );
     events?;
 
-    embedded.heal(settings).await.map_err(failed)?;
-    let rows = run::final_rows(&plan).await.map_err(failed)?;
+    embedded.heal(settings).await.map_err(runner_error)?;
+    let rows = run::final_rows(&plan).await.map_err(runner_error)?;
     let verdict = checker::check(&records, &rows);
     let mut lines = vec![Line::Experiment {
         name: experiment.name.clone(),
@@ -115,10 +115,10 @@
 async fn wait_ready(embedded: &Embedded) -> Result<(), RunnerError> {
     let all_ready = async {
         while !embedded.ready() {
-            time::sleep(READY_POLL).await;
+            time::sleep(READY_POLL_INTERVAL).await;
         }
     };
-    let in_time = time::timeout(READY_LIMIT, all_ready).await;
+    let in_time = time::timeout(READY_TIMEOUT, all_ready).await;
     in_time.map_err(|_| RunnerError("the proxies did not become ready in time".to_owned()))
 }
 
@@ -133,16 +133,21 @@
     samples
 }
 
-async fn play(embedded: &mut Embedded, timeline: &[Moment]) -> Result<(), RunnerError> {
+async fn run_timeline(
+    embedded: &mut Embedded,
+    timeline: &[TimelineEntry],
+) -> Result<(), RunnerError> {
     let start = Instant::now();
     let mut timeline = timeline.to_vec();
-    timeline.sort_by_key(|moment| moment.at_ms);
-    for moment in &timeline {
-        time::sleep_until(start + Duration::from_millis(moment.at_ms)).await;
-        match &moment.event {
-            Happening::Fault(fault) => embedded.deployment().inject(fault).await.map_err(failed)?,
-            Happening::KillVm(vm) => embedded.kill_vm(vm).map_err(failed)?,
-            Happening::RestartVm(vm) => embedded.restart_vm(vm).await.map_err(failed)?,
+    timeline.sort_by_key(|entry| entry.at_ms);
+    for entry in &timeline {
+        time::sleep_until(start + Duration::from_millis(entry.at_ms)).await;
+        match &entry.event {
+            TimelineEvent::Fault(fault) => {
+                embedded.deployment().inject(fault).await.map_err(runner_error)?
+            }
+            TimelineEvent::KillVm(vm) => embedded.kill_vm(vm).map_err(runner_error)?,
+            TimelineEvent::RestartVm(vm) => embedded.restart_vm(vm).await.map_err(runner_error)?,
         }
     }
     Ok(())
@@ -156,10 +161,10 @@
 ) -> Vec<Line> {
     let mut lines = Vec::new();
     let mut from_ms = 0;
-    for (place, phase) in experiment.phases.iter().enumerate() {
+    for (index, phase) in experiment.phases.iter().enumerate() {
         let to_ms = from_ms + phase.for_ms;
         let sample_at = |ms: u64| &samples[(ms / 1000).min(samples.len() as u64 - 1) as usize];
-        let grown = reads::growth(sample_at(from_ms), sample_at(to_ms));
+        let increase = reads::growth(sample_at(from_ms), sample_at(to_ms));
         let operations = series::summarise(
             records,
             &experiment.mix,
@@ -167,11 +172,11 @@
             start_us + to_ms * US_PER_MS,
         );
         lines.push(Line::Phase(PhaseResult {
-            phase: place + 1,
+            phase: index + 1,
             per_s: phase.per_s,
             surge: phase.surge,
             operations,
-            reads: ReplicaShare::of(&grown),
+            reads: ReplicaShare::of(&increase),
         }));
         from_ms = to_ms;
     }
@@ -194,7 +199,7 @@
         (Some(first), Some(last)) => reads::growth(first, last),
         _ => CounterSums::new(),
     };
-    counters.retain(|_, grown| *grown > 0);
+    counters.retain(|_, increase| *increase > 0);
     Line::Counters { counters }
 }
 
--- a/crates/bench/src/gap/summary.rs
+++ b/crates/bench/src/gap/summary.rs
@@ -52,9 +52,9 @@
         |it| it.route_us,
     ];
     let mut text = String::new();
-    for (place, part) in parts.into_iter().enumerate() {
+    for (index, part) in parts.into_iter().enumerate() {
         let values = known.iter().map(|phases| part(phases) as f64 / US_PER_MS).collect();
-        let separator = if place == 0 { "" } else { " / " };
+        let separator = if index == 0 { "" } else { " / " };
         let _ = write!(text, "{separator}{:.1}", Spread::of(values).median);
     }
     if known.len() < trials.len() {
--- a/crates/bench/src/gap/trial.rs
+++ b/crates/bench/src/gap/trial.rs
@@ -43,21 +43,21 @@
 const PROBES_PER_S: f64 = 200.0;
 
 /// The other callers' operations a second.
-const OTHERS_PER_S: f64 = 200.0;
+const BACKGROUND_PER_S: f64 = 200.0;
 
 /// Sessions of the probe: enough that those that wait in a gap don't keep the next ones back.
 const PROBE_SESSIONS: u32 = 400;
 
 /// Sessions of the other callers.
-const OTHER_SESSIONS: u32 = 60;
+const BACKGROUND_SESSIONS: u32 = 60;
 
 /// When a caller gives up waiting.
-const CALLER_LIMIT_MS: u64 = 10_000;
+const CALLER_TIMEOUT_MS: u64 = 10_000;
 
 /// How long the deployment may take to start, and to settle after the fault has ended.
-const SETTLE_LIMIT: Duration = Duration::from_secs(20);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What one run gave.
 #[derive(Clone, Debug)]
@@ -106,7 +106,7 @@
     }
 }
 
-fn failed<E>(error: E) -> TrialError
+fn trial_error<E>(error: E) -> TrialError
 where
     E: fmt::Display,
 {
@@ -122,35 +122,35 @@
 ) -> Result<Trial, TrialError> {
     let clock = Clock::start();
     let mut embedded =
-        Embedded::start(settings, options, Ports::Free, clock).await.map_err(failed)?;
+        Embedded::start(settings, options, Ports::Free, clock).await.map_err(trial_error)?;
     wait_until(|| embedded.ready(), "the proxies are not ready").await?;
-    let site = Site::of(settings, &embedded, scenario);
-    let (probe, others) = plans(&site, seed);
-    run::prepare(&others).await.map_err(failed)?;
+    let setup = TrialSetup::of(settings, &embedded, scenario);
+    let (probe, background) = plans(&setup, seed);
+    run::prepare(&background).await.map_err(trial_error)?;
 
-    let load = async { tokio::join!(run::offer(&probe, clock), run::offer(&others, clock)) };
-    let fault = cause(&mut embedded, &site, scenario, seed, clock);
-    let ((probe_records, other_records), caused) = tokio::join!(load, fault);
-    let caused = caused?;
+    let load = async { tokio::join!(run::offer(&probe, clock), run::offer(&background, clock)) };
+    let fault = inject_scenario(&mut embedded, &setup, scenario, seed, clock);
+    let ((probe_records, background_records), injected) = tokio::join!(load, fault);
+    let injected = injected?;
 
     end_faults(&mut embedded, settings).await?;
-    settle(&embedded, &site.group).await?;
-    let rows = run::final_rows(&others).await.map_err(failed)?;
-    let longest = longest_gap(&probe_records, caused.at_us);
-    let change = change_gap(&probe_records, caused.at_us);
-    let decisions = embedded.decisions().about(&site.group, caused.at_us);
-    let records: Vec<Record> = probe_records.into_iter().chain(other_records).collect();
+    wait_until_settled(&embedded, &setup.group).await?;
+    let rows = run::final_rows(&background).await.map_err(trial_error)?;
+    let longest = longest_gap(&probe_records, injected.at_us);
+    let failover = failover_gap(&probe_records, injected.at_us);
+    let decisions = embedded.decisions().about(&setup.group, injected.at_us);
+    let records: Vec<Record> = probe_records.into_iter().chain(background_records).collect();
     Ok(Trial {
-        gap_us: change.unwrap_or(longest).lasts_us(),
-        longest_us: longest.lasts_us(),
-        phases: change.and_then(|gap| phases::split(&decisions, caused.at_us, gap.to_us)),
+        gap_us: failover.unwrap_or(longest).duration_us(),
+        longest_us: longest.duration_us(),
+        phases: failover.and_then(|gap| phases::split(&decisions, injected.at_us, gap.to_us)),
         verdict: checker::check(&records, &rows),
-        killed_at: caused.killed_at,
+        killed_at: injected.killed_at,
     })
 }
 
 /// Where a run takes place.
-struct Site {
+struct TrialSetup {
     group: String,
     primary: String,
     primary_zone: String,
@@ -161,8 +161,8 @@
     read_kind: String,
 }
 
-impl Site {
-    fn of(settings: &DeploymentSettings, embedded: &Embedded, scenario: Scenario) -> Site {
+impl TrialSetup {
+    fn of(settings: &DeploymentSettings, embedded: &Embedded, scenario: Scenario) -> TrialSetup {
         let group = &settings.groups[0];
         let primary = &group.members[0];
         let all_entries = embedded.addresses();
@@ -175,7 +175,7 @@
             .collect();
         let kinds = settings.services.iter().find(|service| service.name == group.service);
         let read_kind = kinds.and_then(|service| service.read_kinds.first());
-        Site {
+        TrialSetup {
             group: group.name.clone(),
             primary: primary.target.clone(),
             primary_zone: primary.zone.clone(),
@@ -198,65 +198,65 @@
     }
 }
 
-fn plans(site: &Site, seed: u64) -> (RunPlan, RunPlan) {
+fn plans(setup: &TrialSetup, seed: u64) -> (RunPlan, RunPlan) {
     let for_ms = FAULT_AT_MS + AFTER_FAULT_MS;
     let probe = RunPlan {
         seed,
         phases: vec![Phase { for_ms, per_s: PROBES_PER_S, surge: false, even: true }],
         mix: vec![operation("probe", Action::Write, "", 1)],
-        groups: vec![site.group.clone()],
-        entries: site.probe_entries.clone(),
+        groups: vec![setup.group.clone()],
+        entries: setup.probe_entries.clone(),
         first_session: 0,
         sessions_per_group: PROBE_SESSIONS,
         roaming: vec![Roaming::Stay],
         roam_every: 1,
-        limit_ms: CALLER_LIMIT_MS,
+        limit_ms: CALLER_TIMEOUT_MS,
     };
-    let others = RunPlan {
-        phases: vec![Phase { for_ms, per_s: OTHERS_PER_S, surge: false, even: false }],
+    let background = RunPlan {
+        phases: vec![Phase { for_ms, per_s: BACKGROUND_PER_S, surge: false, even: false }],
         mix: vec![
             operation("write", Action::Write, "", 2),
             operation("transaction", Action::Transaction, "", 1),
             operation("read", Action::Read, "", 1),
-            operation("aged read", Action::Read, &site.read_kind, 4),
+            operation("aged read", Action::Read, &setup.read_kind, 4),
         ],
-        entries: site.all_entries.clone(),
+        entries: setup.all_entries.clone(),
         first_session: PROBE_SESSIONS,
-        sessions_per_group: OTHER_SESSIONS,
+        sessions_per_group: BACKGROUND_SESSIONS,
         roaming: vec![Roaming::Token, Roaming::Identity, Roaming::Stay],
         roam_every: 2,
         ..probe.clone()
     };
-    (probe, others)
+    (probe, background)
 }
 
 /// What was brought about.
-struct Caused {
+struct InjectedFault {
     at_us: u64,
     killed_at: Option<String>,
 }
 
-async fn cause(
+async fn inject_scenario(
     embedded: &mut Embedded,
-    site: &Site,
+    setup: &TrialSetup,
     scenario: Scenario,
     seed: u64,
     clock: Clock,
-) -> Result<Caused, TrialError> {
+) -> Result<InjectedFault, TrialError> {
     // Not in step with probes and timers.
-    let late_ms = seed.wrapping_mul(37) % 100;
-    time::sleep(Duration::from_millis(FAULT_AT_MS + late_ms)).await;
+    let jitter_ms = seed.wrapping_mul(37) % 100;
+    time::sleep(Duration::from_millis(FAULT_AT_MS + jitter_ms)).await;
     let at_us = clock.now_us();
-    let kill = Fault::KillTarget { target: site.primary.clone(), on: true };
+    let kill = Fault::KillTarget { target: setup.primary.clone(), on: true };
     let mut killed_at = None;
     match scenario {
         Scenario::Killed => inject(embedded, &kill).await?,
         Scenario::Isolated => {
-            let zone = site.primary_zone.clone();
+            let zone = setup.primary_zone.clone();
             inject(embedded, &Fault::IsolateZone { zone, on: true }).await?;
         }
         Scenario::Paused => {
-            let target = site.primary.clone();
+            let target = setup.primary.clone();
             inject(embedded, &Fault::PauseTarget { target, on: true }).await?;
         }
         Scenario::PlatformDown => {
@@ -265,15 +265,17 @@
         }
         Scenario::DriverKilled => {
             inject(embedded, &kill).await?;
-            killed_at = Some(kill_driver(embedded, &site.group, at_us, seed).await?);
+            killed_at = Some(kill_driver(embedded, &setup.group, at_us, seed).await?);
         }
         Scenario::PlannedMove => {
             let platform = embedded.deployment().settings().platform_address.to_string();
-            let store = HttpStore::new(&platform, &site.primary_zone);
-            operator::want_primary(&store, &site.group, &site.successor).await.map_err(failed)?;
+            let store = HttpStore::new(&platform, &setup.primary_zone);
+            operator::want_primary(&store, &setup.group, &setup.successor)
+                .await
+                .map_err(trial_error)?;
         }
     }
-    Ok(Caused { at_us, killed_at })
+    Ok(InjectedFault { at_us, killed_at })
 }
 
 /// Kills the proxy that drives the change when it reaches a step, which changes from run to run.
@@ -287,25 +289,25 @@
     let step = STEPS[seed as usize % STEPS.len()];
     let reached = |it: &Decision| phases::step_of(it).is_some_and(|(_, of)| of == step);
     let decisions = embedded.decisions().clone();
-    let waited = time::timeout(SETTLE_LIMIT, decisions.wait_for(group, from_us, reached)).await;
+    let waited = time::timeout(SETTLE_TIMEOUT, decisions.wait_for(group, from_us, reached)).await;
     let decision = waited.map_err(|_| TrialError(format!("no driver reached `{step}`")))?;
-    embedded.kill_vm(&decision.vm).map_err(failed)?;
+    embedded.kill_vm(&decision.vm).map_err(trial_error)?;
     Ok(step.to_owned())
 }
 
 async fn inject(embedded: &Embedded, fault: &Fault) -> Result<(), TrialError> {
-    embedded.deployment().inject(fault).await.map_err(failed)
+    embedded.deployment().inject(fault).await.map_err(trial_error)
 }
 
 async fn end_faults(
     embedded: &mut Embedded,
     settings: &DeploymentSettings,
 ) -> Result<(), TrialError> {
-    embedded.heal(settings).await.map_err(failed)
+    embedded.heal(settings).await.map_err(trial_error)
 }
 
 /// Waits until one member leads and all hold the same log.
-async fn settle(embedded: &Embedded, group: &str) -> Result<(), TrialError> {
+async fn wait_until_settled(embedded: &Embedded, group: &str) -> Result<(), TrialError> {
     let settled = || {
         let statuses: Vec<_> = embedded
             .deployment()
@@ -319,16 +321,16 @@
     wait_until(settled, "the members do not agree after the faults ended").await
 }
 
-async fn wait_until<F>(holds: F, otherwise: &str) -> Result<(), TrialError>
+async fn wait_until<F>(holds: F, timeout_message: &str) -> Result<(), TrialError>
 where
     F: Fn() -> bool,
 {
     let waiting = async {
         while !holds() {
-            time::sleep(POLL).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     };
-    time::timeout(SETTLE_LIMIT, waiting).await.map_err(|_| TrialError(otherwise.to_owned()))
+    time::timeout(SETTLE_TIMEOUT, waiting).await.map_err(|_| TrialError(timeout_message.to_owned()))
 }
 
 /// A time between two acknowledgements of probes that follow each other.
@@ -339,14 +341,14 @@
 }
 
 impl Gap {
-    fn lasts_us(self) -> u64 {
+    fn duration_us(self) -> u64 {
         self.to_us.saturating_sub(self.from_us)
     }
 }
 
 /// The time between the last acknowledgement of the old primary and the first one of a newer term,
 /// in the order of acknowledgements. `None` if no newer term acknowledged a probe.
-fn change_gap(probes: &[Record], fault_us: u64) -> Option<Gap> {
+fn failover_gap(probes: &[Record], fault_us: u64) -> Option<Gap> {
     let acknowledged = |record: &Record| match record.ending {
         Ending::Acknowledged { position: Some(position) } => Some((record.ended_us, position.term)),
         _ => None,
@@ -370,7 +372,7 @@
     ends.sort_unstable();
     let gaps = ends.windows(2).map(|pair| Gap { from_us: pair[0], to_us: pair[1] });
     gaps.filter(|gap| gap.to_us >= fault_us)
-        .max_by_key(|gap| gap.lasts_us())
+        .max_by_key(|gap| gap.duration_us())
         .unwrap_or(Gap { from_us: fault_us, to_us: fault_us })
 }
 
--- a/crates/bench/src/history/checker.rs
+++ b/crates/bench/src/history/checker.rs
@@ -12,10 +12,10 @@
 use skylark_core::log_position::LogPosition;
 use skylark_core::request::error_kind::Outcome;
 
-use crate::history::record::Asked;
 use crate::history::record::Ending;
 use crate::history::record::FinalRows;
 use crate::history::record::Record;
+use crate::history::record::Request;
 use crate::history::record::Tag;
 
 /// One thing that must not happen.
@@ -160,15 +160,17 @@
 pub fn check(records: &[Record], rows: &[FinalRows]) -> Verdict {
     let mut verdict = Verdict { operations: records.len(), ..Verdict::default() };
     for record in records {
-        match record.asked {
-            Asked::Write { .. } => {}
-            Asked::Read { must_see_seq } => check_read(record, must_see_seq, &mut verdict),
+        match record.request {
+            Request::Write { .. } => {}
+            Request::Read { must_see_seq } => check_read(record, must_see_seq, &mut verdict),
         }
     }
     for (group, rows) in rows.iter().enumerate() {
         let writes: Vec<&Record> = records
             .iter()
-            .filter(|record| record.group == group && matches!(record.asked, Asked::Write { .. }))
+            .filter(|record| {
+                record.group == group && matches!(record.request, Request::Write { .. })
+            })
             .collect();
         check_rows(&writes, rows, &mut verdict);
         check_order(&writes, &mut verdict);
@@ -232,7 +234,7 @@
 
 /// An acknowledged write with a known position.
 #[derive(Clone, Copy)]
-struct Placed {
+struct PositionedWrite {
     tag: Tag,
     position: LogPosition,
     started_us: u64,
@@ -240,7 +242,8 @@
 }
 
 fn check_order(writes: &[&Record], verdict: &mut Verdict) {
-    let mut by_start: Vec<Placed> = writes.iter().filter_map(|write| placed(write)).collect();
+    let mut by_start: Vec<PositionedWrite> =
+        writes.iter().filter_map(|write| positioned_write(write)).collect();
     verdict.positioned += by_start.len();
     by_start.sort_by_key(|write| write.started_us);
     let mut by_end = by_start.clone();
@@ -249,7 +252,7 @@
     // Both lists are walked together: before each write's start, the highest position among the
     // writes that had ended by then is the one that it must pass.
     let mut ended = by_end.iter().peekable();
-    let mut highest: Option<Placed> = None;
+    let mut highest: Option<PositionedWrite> = None;
     for write in &by_start {
         while let Some(earlier) = ended.next_if(|earlier| earlier.ended_us < write.started_us) {
             if highest.is_none_or(|known| known.position < earlier.position) {
@@ -264,9 +267,9 @@
     check_positions_unique(&by_start, verdict);
 }
 
-fn placed(write: &Record) -> Option<Placed> {
+fn positioned_write(write: &Record) -> Option<PositionedWrite> {
     let Ending::Acknowledged { position: Some(position) } = write.ending else { return None };
-    Some(Placed {
+    Some(PositionedWrite {
         tag: write.tag,
         position,
         started_us: write.started_us,
@@ -274,7 +277,7 @@
     })
 }
 
-fn check_positions_unique(writes: &[Placed], verdict: &mut Verdict) {
+fn check_positions_unique(writes: &[PositionedWrite], verdict: &mut Verdict) {
     let mut by_position: FastMap<LogPosition, Tag> = FastMap::default();
     for write in writes {
         if let Some(other) = by_position.insert(write.position, write.tag) {
--- a/crates/bench/src/history/record.rs
+++ b/crates/bench/src/history/record.rs
@@ -65,7 +65,7 @@
 
 /// What a write or a read asked.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Asked {
+pub enum Request {
     /// Adds the row (`tag`, session, `seq`); `seq` grows with each write of the session.
     Write {
         /// The session's number for this write, from 1.
@@ -109,7 +109,7 @@
     /// The request's tag.
     pub tag: Tag,
     /// What it asked.
-    pub asked: Asked,
+    pub request: Request,
     /// When it should have begun; latency counts from here.
     pub intended_us: u64,
     /// When the caller began it.
--- a/crates/bench/src/load/session.rs
+++ b/crates/bench/src/load/session.rs
@@ -13,11 +13,11 @@
 use tokio::sync::mpsc;
 use tokio_postgres::SimpleQueryMessage;
 
-use crate::history::record::Asked;
 use crate::history::record::Ending;
 use crate::history::record::Reason;
 use crate::history::record::Record;
 use crate::history::record::Refusal;
+use crate::history::record::Request;
 use crate::history::record::Tag;
 use crate::load::caller::Caller;
 use crate::load::caller::CallerSettings;
@@ -127,16 +127,16 @@
         let tag = Tag::new(self.number, self.last_serial);
         let connected = self.connect().await;
         // Only now: a session without identity begins anew with its connection.
-        let asked = self.ask(job.operation);
+        let request = self.ask(job.operation);
         let ending = match connected {
-            Ok(()) => self.perform(job.operation, tag, asked).await,
+            Ok(()) => self.perform(job.operation, tag, request).await,
             Err(refusal) => Err(refusal),
         };
         let ended_us = self.plan.clock.now_us();
         if let Err(refusal) = &ending {
             self.after_refusal(refusal);
         }
-        if let (Asked::Write { seq }, Ok(Ending::Acknowledged { .. })) = (asked, &ending) {
+        if let (Request::Write { seq }, Ok(Ending::Acknowledged { .. })) = (request, &ending) {
             self.acknowledged_seq = seq;
         }
         self.records.push(Record {
@@ -144,7 +144,7 @@
             group: self.group,
             session: self.number,
             tag,
-            asked,
+            request,
             intended_us: job.intended_us,
             started_us,
             ended_us,
@@ -152,12 +152,12 @@
         });
     }
 
-    fn ask(&mut self, operation: usize) -> Asked {
+    fn ask(&mut self, operation: usize) -> Request {
         match self.plan.mix[operation].action {
-            Action::Read => Asked::Read { must_see_seq: self.acknowledged_seq },
+            Action::Read => Request::Read { must_see_seq: self.acknowledged_seq },
             Action::Write | Action::Transaction => {
                 self.last_seq += 1;
-                Asked::Write { seq: self.last_seq }
+                Request::Write { seq: self.last_seq }
             }
         }
     }
@@ -195,7 +195,7 @@
         &mut self,
         operation: usize,
         tag: Tag,
-        asked: Asked,
+        request: Request,
     ) -> Result<Ending, Refusal> {
         let plan = Arc::clone(&self.plan);
         let spec = &plan.mix[operation];
@@ -208,12 +208,12 @@
         };
         let declaration = Declaration { class: &spec.class, read_kind: &spec.read_kind, token };
         let session = self.number;
-        let ending = match asked {
-            Asked::Read { .. } => {
+        let ending = match request {
+            Request::Read { .. } => {
                 let sql = read_sql(tag, session);
                 read_ending(&caller.run(declaration, &sql, plan.limit).await?)
             }
-            Asked::Write { seq } => {
+            Request::Write { seq } => {
                 let sql = write_sql(tag, session, seq);
                 let commit = match spec.action {
                     Action::Transaction => {
--- a/crates/bench/src/surge/outcome.rs
+++ b/crates/bench/src/surge/outcome.rs
@@ -12,10 +12,10 @@
 use crate::surge::trace::Weights;
 
 /// Microseconds in a millisecond.
-const MS_US: f64 = 1_000.0;
+const US_PER_MS: f64 = 1_000.0;
 
 /// The longest time that the histograms hold.
-const LONGEST_US: u64 = 600_000_000;
+const MAX_RECORDED_US: u64 = 600_000_000;
 
 /// The counts of one class in one phase.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
 impl ClassOutcome {
     fn new() -> ClassOutcome {
         let histogram = || {
-            let bounded = Histogram::new_with_bounds(1, LONGEST_US, 3);
+            let bounded = Histogram::new_with_bounds(1, MAX_RECORDED_US, 3);
             bounded.expect("the bounds and three digits are what the library takes")
         };
         ClassOutcome {
@@ -64,13 +64,13 @@
     }
 
     /// Counts a request that arrives.
-    pub fn offered(&mut self, arrival: &Arrival) {
+    pub fn record_offered(&mut self, arrival: &Arrival) {
         self.offered += 1;
         self.heavy_offered += u64::from(arrival.caller == HEAVY_CALLER);
     }
 
     /// Counts a request that was served.
-    pub fn served(&mut self, load: &ClassLoad, arrival: &Arrival, response_us: u64) {
+    pub fn record_served(&mut self, load: &ClassLoad, arrival: &Arrival, response_us: u64) {
         self.served += 1;
         self.heavy_served += u64::from(arrival.caller == HEAVY_CALLER);
         self.within_goal += u64::from(response_us <= load.goal_us);
@@ -79,12 +79,12 @@
     }
 
     /// Records how far a predicted wait was from the actual one.
-    pub fn predicted(&mut self, predicted_us: u64, waited_us: u64) {
+    pub fn record_prediction(&mut self, predicted_us: u64, waited_us: u64) {
         self.prediction_errors_us.saturating_record(predicted_us.abs_diff(waited_us));
     }
 
     fn response_ms(&self, quantile: f64) -> f64 {
-        self.responses_us.value_at_quantile(quantile) as f64 / MS_US
+        self.responses_us.value_at_quantile(quantile) as f64 / US_PER_MS
     }
 }
 
@@ -108,7 +108,7 @@
     }
 
     /// One line for each class and phase.
-    pub fn lines(&self, run: &RunName<'_>) -> Vec<Line> {
+    pub fn lines(&self, run: &RunId<'_>) -> Vec<Line> {
         let mut lines = Vec::new();
         for (class, phases) in self.classes.iter().enumerate() {
             let idle_p99_ms = phases[Phase::Before as usize].response_ms(0.99);
@@ -123,7 +123,7 @@
 
 /// Which run a line belongs to.
 #[derive(Clone, Copy, Debug)]
-pub struct RunName<'a> {
+pub struct RunId<'a> {
     /// What surged.
     pub scenario: &'a str,
     /// The strategy.
@@ -164,14 +164,14 @@
 
 impl Line {
     fn new(
-        run: &RunName<'_>,
+        run: &RunId<'_>,
         class: &'static str,
         phase: Phase,
         outcome: &ClassOutcome,
         idle_p99_ms: f64,
     ) -> Line {
         let error_ms =
-            |quantile| outcome.prediction_errors_us.value_at_quantile(quantile) as f64 / MS_US;
+            |quantile| outcome.prediction_errors_us.value_at_quantile(quantile) as f64 / US_PER_MS;
         Line {
             scenario: run.scenario.to_owned(),
             strategy: run.strategy.to_owned(),
--- a/crates/bench/src/surge/simulation.rs
+++ b/crates/bench/src/surge/simulation.rs
@@ -32,7 +32,7 @@
 const CONNECTIONS: u32 = 16;
 
 /// The way from the home to the target, or back.
-const WAY_US: u64 = 200;
+const ONE_WAY_DELAY_US: u64 = 200;
 
 /// The time between the answer to a statement and the caller's next one: the way to the caller
 /// and back.
@@ -104,7 +104,7 @@
     tickets: FastMap<Ticket, usize>,
     progress: Vec<Progress>,
     free_slots: usize,
-    inside_target: collections::VecDeque<usize>,
+    target_queue: collections::VecDeque<usize>,
     outcome: RunOutcome,
 }
 
@@ -122,7 +122,7 @@
         tickets: FastMap::default(),
         progress: vec![Progress::default(); arrivals.len()],
         free_slots: SLOTS,
-        inside_target: collections::VecDeque::new(),
+        target_queue: collections::VecDeque::new(),
         outcome: RunOutcome::default(),
     };
     simulation.run();
@@ -135,41 +135,41 @@
 {
     fn run(&mut self) {
         self.arrive_next(0);
-        self.at(EXPIRY_US, Event::Expiry);
+        self.schedule(EXPIRY_US, Event::Expiry);
         while let Some(cmp::Reverse((now_us, _, event))) = self.events.pop() {
-            self.happen(event, now_us);
+            self.handle(event, now_us);
         }
         assert_eq!(self.queue.verify(), Vec::<String>::new(), "the queue is sound at the end");
         assert_eq!(self.queue.connections(), 0, "every connection came back");
     }
 
-    fn at(&mut self, time_us: u64, event: Event) {
+    fn schedule(&mut self, time_us: u64, event: Event) {
         self.sequence += 1;
         self.events.push(cmp::Reverse((time_us, self.sequence, event)));
     }
 
     fn arrive_next(&mut self, request: usize) {
         if let Some(arrival) = self.arrivals.get(request) {
-            self.at(arrival.at_us, Event::Arrives(request));
+            self.schedule(arrival.at_us, Event::Arrives(request));
         }
     }
 
-    fn happen(&mut self, event: Event, now_us: u64) {
+    fn handle(&mut self, event: Event, now_us: u64) {
         match event {
             Event::Arrives(request) => {
-                self.arrives(request, now_us);
+                self.handle_arrival(request, now_us);
                 self.arrive_next(request + 1);
             }
             Event::Reaches(request) => {
-                self.inside_target.push_back(request);
+                self.target_queue.push_back(request);
                 self.fill_slots(now_us);
             }
             Event::Ran(request) => {
                 self.free_slots += 1;
                 self.fill_slots(now_us);
-                self.at(now_us + WAY_US, Event::Answered(request));
+                self.schedule(now_us + ONE_WAY_DELAY_US, Event::Answered(request));
             }
-            Event::Answered(request) => self.answered(request, now_us),
+            Event::Answered(request) => self.handle_answer(request, now_us),
             Event::Continues(request) => {
                 self.queue.statement_started();
                 self.send(request, now_us);
@@ -178,65 +178,69 @@
         }
     }
 
-    fn count(&mut self, request: usize) -> &mut ClassOutcome {
+    fn class_outcome(&mut self, request: usize) -> &mut ClassOutcome {
         let arrival = &self.arrivals[request];
         self.outcome.of(arrival.class, arrival.phase())
     }
 
-    fn arrives(&mut self, request: usize, now_us: u64) {
+    fn handle_arrival(&mut self, request: usize, now_us: u64) {
         let arrival = &self.arrivals[request];
-        self.count(request).offered(arrival);
+        self.class_outcome(request).record_offered(arrival);
         let class = ClassId(arrival.class as u32);
         let deadline_us = now_us + CLASSES[arrival.class].deadline_us;
         match self.queue.arrive(class, CallerId(arrival.caller), deadline_us, now_us) {
-            Admission::Granted => self.start(request, now_us),
+            Admission::Granted => self.start_request(request, now_us),
             Admission::Queued { ticket, predicted_wait_us } => {
                 self.progress[request].predicted_us = predicted_wait_us;
                 self.tickets.insert(ticket, request);
             }
             Admission::Refused { kind: ErrorKind::QueueFull, .. } => {
-                self.count(request).refused_full += 1;
+                self.class_outcome(request).refused_full += 1;
             }
-            Admission::Refused { .. } => self.count(request).refused_deadline += 1,
+            Admission::Refused { .. } => self.class_outcome(request).refused_deadline += 1,
         }
     }
 
-    fn start(&mut self, request: usize, now_us: u64) {
+    fn start_request(&mut self, request: usize, now_us: u64) {
         self.progress[request].granted_us = now_us;
         let waited_us = now_us - self.arrivals[request].at_us;
         let predicted_us = self.progress[request].predicted_us;
-        self.count(request).predicted(predicted_us, waited_us);
+        self.class_outcome(request).record_prediction(predicted_us, waited_us);
         self.send(request, now_us);
     }
 
     fn send(&mut self, request: usize, now_us: u64) {
         self.progress[request].sent_us = now_us;
-        self.at(now_us + WAY_US, Event::Reaches(request));
+        self.schedule(now_us + ONE_WAY_DELAY_US, Event::Reaches(request));
     }
 
     fn fill_slots(&mut self, now_us: u64) {
         while self.free_slots > 0 {
-            let Some(request) = self.inside_target.pop_front() else { return };
+            let Some(request) = self.target_queue.pop_front() else { return };
             self.free_slots -= 1;
             let statement = self.progress[request].statement;
             let run_us = self.arrivals[request].runs_us[statement];
-            self.at(now_us + run_us, Event::Ran(request));
+            self.schedule(now_us + run_us, Event::Ran(request));
         }
     }
 
-    fn answered(&mut self, request: usize, now_us: u64) {
+    fn handle_answer(&mut self, request: usize, now_us: u64) {
         let arrival = &self.arrivals[request];
         let progress = &mut self.progress[request];
         progress.run_us += now_us - progress.sent_us;
         progress.statement += 1;
         self.queue.statement_ended();
         if progress.statement < arrival.runs_us.len() {
-            self.at(now_us + THINK_US, Event::Continues(request));
+            self.schedule(now_us + THINK_US, Event::Continues(request));
         } else {
             let held_us = now_us - progress.granted_us;
             self.queue.released(ClassId(arrival.class as u32), progress.run_us, held_us);
             let response_us = now_us - arrival.at_us;
-            self.count(request).served(&CLASSES[arrival.class], arrival, response_us);
+            self.class_outcome(request).record_served(
+                &CLASSES[arrival.class],
+                arrival,
+                response_us,
+            );
         }
         self.take_turns(now_us);
     }
@@ -246,7 +250,7 @@
             match turn {
                 Turn::Granted(grant) => {
                     let request = self.tickets.remove(&grant.ticket).expect("the ticket waited");
-                    self.start(request, now_us);
+                    self.start_request(request, now_us);
                 }
                 Turn::TimedOut(ticket) => self.timed_out(ticket),
             }
@@ -260,12 +264,12 @@
             self.timed_out(ticket);
         }
         if !self.events.is_empty() {
-            self.at(now_us + EXPIRY_US, Event::Expiry);
+            self.schedule(now_us + EXPIRY_US, Event::Expiry);
         }
     }
 
     fn timed_out(&mut self, ticket: Ticket) {
         let request = self.tickets.remove(&ticket).expect("the ticket waited");
-        self.count(request).timed_out += 1;
+        self.class_outcome(request).timed_out += 1;
     }
 }
--- a/crates/bench/src/surge/trace.rs
+++ b/crates/bench/src/surge/trace.rs
@@ -6,7 +6,7 @@
 use skylark_core::process::sharing::ClassShare;
 
 /// Microseconds in a second.
-const SECOND_US: f64 = 1_000_000.0;
+const US_PER_S: f64 = 1_000_000.0;
 
 /// How many callers the requests of a class are spread over.
 const CALLERS: u64 = 200;
@@ -171,34 +171,34 @@
 }
 
 /// Records the arrivals of a scenario, in the order of their times. Equal seeds give equal records.
-pub fn record(scenario: Scenario, seed: u64) -> Vec<Arrival> {
+pub fn generate(scenario: Scenario, seed: u64) -> Vec<Arrival> {
     let mut arrivals = Vec::new();
     for class in 0..CLASSES.len() {
         let mut rng = StdRng::seed_from_u64(seed * CLASSES.len() as u64 + class as u64);
-        record_class(scenario, class, &mut rng, &mut arrivals);
+        generate_class(scenario, class, &mut rng, &mut arrivals);
     }
     arrivals.sort_by_key(|arrival| arrival.at_us);
     arrivals
 }
 
-fn record_class(scenario: Scenario, class: usize, rng: &mut StdRng, arrivals: &mut Vec<Arrival>) {
+fn generate_class(scenario: Scenario, class: usize, rng: &mut StdRng, arrivals: &mut Vec<Arrival>) {
     let load = &CLASSES[class];
     let mut at_us = 0.0;
     loop {
-        let surges = (SURGE_START_US..SURGE_END_US).contains(&(at_us as u64));
-        let factor = if surges { scenario.factor(class) } else { 1.0 };
-        at_us += exponential(rng, SECOND_US / (load.rate * factor));
+        let in_surge = (SURGE_START_US..SURGE_END_US).contains(&(at_us as u64));
+        let factor = if in_surge { scenario.factor(class) } else { 1.0 };
+        at_us += exponential(rng, US_PER_S / (load.rate * factor));
         if at_us as u64 >= END_US {
             return;
         }
-        let caller = caller(scenario, class, surges, rng);
+        let caller = caller(scenario, class, in_surge, rng);
         let runs_us = (0..load.statements).map(|_| run_us(rng, load.run_us)).collect();
         arrivals.push(Arrival { at_us: at_us as u64, class, caller, runs_us });
     }
 }
 
-fn caller(scenario: Scenario, class: usize, surges: bool, rng: &mut StdRng) -> u64 {
-    let heavy = scenario == Scenario::OneCaller && class == LOOKUP && surges;
+fn caller(scenario: Scenario, class: usize, in_surge: bool, rng: &mut StdRng) -> u64 {
+    let heavy = scenario == Scenario::OneCaller && class == LOOKUP && in_surge;
     if heavy && rng.random_bool(0.5) {
         return HEAVY_CALLER;
     }
--- a/crates/bench/tests/checker.rs
+++ b/crates/bench/tests/checker.rs
@@ -5,12 +5,12 @@
 
 use skylark_bench::history::checker;
 use skylark_bench::history::checker::Violation;
-use skylark_bench::history::record::Asked;
 use skylark_bench::history::record::Ending;
 use skylark_bench::history::record::FinalRows;
 use skylark_bench::history::record::Reason;
 use skylark_bench::history::record::Record;
 use skylark_bench::history::record::Refusal;
+use skylark_bench::history::record::Request;
 use skylark_bench::history::record::Tag;
 use skylark_core::log_position::LogPosition;
 use skylark_core::request::error_kind::ErrorKind;
@@ -21,13 +21,13 @@
     rows: Vec<FinalRows>,
 }
 
-fn record(session: u32, serial: u32, at_us: u64, asked: Asked, ending: Ending) -> Record {
+fn record(session: u32, serial: u32, at_us: u64, request: Request, ending: Ending) -> Record {
     Record {
         operation: 0,
         group: 0,
         session,
         tag: Tag::new(session, serial),
-        asked,
+        request,
         intended_us: at_us,
         started_us: at_us,
         ended_us: at_us + 50,
@@ -37,20 +37,20 @@
 
 fn write(session: u32, serial: u32, at_us: u64, term: u64, index: u64) -> Record {
     let position = Some(LogPosition::new(term, index));
-    let asked = Asked::Write { seq: u64::from(serial) };
-    record(session, serial, at_us, asked, Ending::Acknowledged { position })
+    let request = Request::Write { seq: u64::from(serial) };
+    record(session, serial, at_us, request, Ending::Acknowledged { position })
 }
 
 fn read(session: u32, serial: u32, at_us: u64, must_see_seq: u64) -> Record {
     let echo = Some(Tag::new(session, serial));
     let ending = Ending::Answered { echo, seen_seq: must_see_seq };
-    record(session, serial, at_us, Asked::Read { must_see_seq }, ending)
+    record(session, serial, at_us, Request::Read { must_see_seq }, ending)
 }
 
 fn refused(session: u32, serial: u32, at_us: u64, kind: ErrorKind) -> Record {
     let outcome = kind.answer().outcome;
     let ending = Ending::Refused(Refusal { reason: Reason::Kind(kind), outcome });
-    record(session, serial, at_us, Asked::Write { seq: u64::from(serial) }, ending)
+    record(session, serial, at_us, Request::Write { seq: u64::from(serial) }, ending)
 }
 
 /// Sessions 1 and 2 write and read in term 1; the primary changes; session 3 writes in term 2. One
--- a/crates/bench/tests/surge.rs
+++ b/crates/bench/tests/surge.rs
@@ -2,7 +2,7 @@
 //! gives the same figures.
 
 use serde_json::Value;
-use skylark_bench::surge::outcome::RunName;
+use skylark_bench::surge::outcome::RunId;
 use skylark_bench::surge::simulation;
 use skylark_bench::surge::simulation::Setup;
 use skylark_bench::surge::trace;
@@ -12,9 +12,9 @@
 const SEED: u64 = 1;
 
 fn lines(scenario: Scenario, setup: Setup) -> Vec<Value> {
-    let arrivals = trace::record(scenario, SEED);
+    let arrivals = trace::generate(scenario, SEED);
     let outcome = simulation::run::<WeightedMaxMin>(&arrivals, &setup);
-    let name = RunName { scenario: scenario.name(), strategy: "weighted", setup, seed: SEED };
+    let name = RunId { scenario: scenario.name(), strategy: "weighted", setup, seed: SEED };
     let lines = outcome.lines(&name);
     lines.iter().map(|line| serde_json::to_value(line).expect("a line is JSON")).collect()
 }
