--- a/crates/bench/src/connection_cache/mod.rs
+++ b/crates/bench/src/connection_cache/mod.rs
@@ -1,44 +1,45 @@
-//! Hit rates of pools that cache connections by organisation, under different placement strategies.
+//! Simulates the hit rates of connection pools keyed by organisation, under different placement strategies.
 //!
-//! One service with a primary and two replicas is simulated in virtual time. Placement, eviction and opening are
-//! the decisions that the proxies ship: `connection_plan`, `homes` and `connection_budget`. Arrivals, run times and the targets' slots are the simulation's.
+//! The simulation runs in virtual time and covers one service with a primary and two replicas. Placement,
+//! eviction and the opening of connections use the proxy's own algorithms: `connection_plan`, `homes` and
+//! `connection_budget`. Arrivals, run times and the targets' execution slots are modelled.
 //!
-//! Left out: failures, limits, precedence between classes, and the time that messages between VMs take.
+//! The model has no failures, limits, precedence between classes or network delay between VMs.
 
 pub mod pool;
 pub mod report;
 pub mod simulation;
 
-/// Which process holds an organisation's connections to a target.
+/// The rule that selects the process that holds an organisation's connections to a target.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Placement {
-    /// The home that the caller's VM goes through, for all organisations.
+    /// The home assigned to the caller's VM, the same one for all organisations.
     ByVm,
-    /// One home for each target and organisation.
+    /// The home with the highest rendezvous hash score for the target and organisation.
     ByOrganisation,
 }
 
-/// Which replica serves a read.
+/// The rule that selects the replica that serves a read.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ReplicaChoice {
-    /// Either one.
+    /// A replica drawn uniformly at random.
     Any,
-    /// The one that the organisation prefers.
+    /// The replica with the highest rendezvous hash score for the organisation.
     Preferred,
 }
 
-/// A placement strategy.
+/// A combination of connection placement and replica selection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Strategy {
-    /// Its name in tables and plots.
+    /// The name in tables and plots.
     pub name: &'static str,
-    /// Which process holds connections.
+    /// Selects the process that holds the connections.
     pub placement: Placement,
-    /// Which replica serves reads.
+    /// Selects the replica that serves a read.
     pub replica: ReplicaChoice,
 }
 
-/// The strategies that are compared. The proxies use the last one.
+/// The compared strategies. The proxy implements the last one.
 pub const STRATEGIES: [Strategy; 3] = [
     Strategy {
         name: "home by VM, any replica",
@@ -57,22 +58,22 @@
     },
 ];
 
-/// What is simulated.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Setup {
-    /// How many organisations send statements. Their sizes follow Zipf's law.
+    /// The number of organisations. Their statement rates follow Zipf's law.
     pub organisations: usize,
-    /// The exponent of their sizes.
+    /// The exponent of the Zipf distribution of the organisations' rates.
     pub zipf_exponent: f64,
-    /// How many VMs the callers are spread over.
+    /// The number of VMs that the callers are spread over evenly.
     pub vms: usize,
-    /// How many connections each target accepts.
+    /// The connection limit of each target.
     pub connections: u32,
-    /// How many statements a target runs at once.
+    /// The execution slots of each target: jobs that it runs concurrently, including connection setup.
     pub slots: u32,
-    /// Statements a second, of all organisations.
+    /// The mean statement rate of all organisations together, per second.
     pub per_s: f64,
-    /// How long is simulated, in microseconds of virtual time.
+    /// The simulated time span including the warm-up, in microseconds.
     pub span_us: u64,
 }
 
@@ -90,18 +91,18 @@
     }
 }
 
-/// A kind of statement.
+/// A kind of statement in the simulated workload.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct StatementKind {
-    /// Its part of all statements, in thousandths.
+    /// The share of all statements, in thousandths.
     pub weight: u32,
-    /// Whether only the primary can run it.
+    /// Whether the statement has to run on the primary.
     pub at_primary: bool,
-    /// How long it occupies a slot, in microseconds.
+    /// The time that the statement occupies a slot, in microseconds.
     pub run_us: u64,
 }
 
-/// The kinds of statements: short writes, reads, and longer work of which a part writes.
+/// The workload: short writes, reads, and longer statements of which some write.
 pub const STATEMENT_KINDS: [StatementKind; 4] = [
     StatementKind { weight: 135, at_primary: true, run_us: 8_000 },
     StatementKind { weight: 235, at_primary: false, run_us: 40_000 },
@@ -109,8 +110,8 @@
     StatementKind { weight: 480, at_primary: false, run_us: 24_000 },
 ];
 
-/// How long a slot is occupied by opening a connection, in microseconds.
+/// The time that opening a connection occupies a slot of the target, in microseconds.
 pub const OPEN_US: u64 = 12_000;
 
-/// After which wait a statement is refused, in microseconds.
+/// The longest wait for a connection before a statement is refused, in microseconds.
 pub const WAIT_LIMIT_US: u64 = 300_000;
--- a/crates/bench/src/connection_cache/pool.rs
+++ b/crates/bench/src/connection_cache/pool.rs
@@ -1,4 +1,7 @@
-//! The connections of one process to one target, kept and opened as the proxies' pools do.
+//! A model of the connection pool that one process keeps for one target.
+//!
+//! A connection serves a single organisation. The proxy's [`ConnectionBudget`] decides when connections are
+//! opened and when idle ones are evicted.
 
 use std::collections::VecDeque;
 
@@ -6,43 +9,43 @@
 use skylark_core::process::connection_budget::ConnectionBudget;
 use skylark_proxy::sessions::process::limits;
 
-/// The number of an organisation.
+/// The index of an organisation, in descending order of its statement rate.
 pub type OrganisationId = usize;
 
-/// A statement that waits for a connection.
+/// A statement that needs a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct PendingStatement {
-    /// Whose it is.
+    /// The organisation that sent the statement.
     pub organisation: OrganisationId,
-    /// When it came.
+    /// The arrival time, in microseconds of virtual time.
     pub arrived_us: u64,
-    /// How long it will occupy a slot.
+    /// The time that the statement occupies a slot of the target, in microseconds.
     pub run_us: u64,
 }
 
-/// What is to be done after a change.
+/// The work that follows from a change of a pool, carried out by the simulation.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Actions {
-    /// Statements that got a connection.
+    /// Statements that were assigned a connection and have to run.
     pub run: Vec<PendingStatement>,
-    /// For whom connections are to be opened.
+    /// The organisations to open connections for, one entry per connection.
     pub open: Vec<OrganisationId>,
-    /// How many idle connections were evicted for other organisations.
+    /// The number of idle connections evicted to make room for other organisations.
     pub replaced: u32,
 }
 
-/// One pool.
+/// The simulated pool of one process for one target.
 #[derive(Debug)]
 pub struct SimulatedPool {
     budget: ConnectionBudget,
-    /// Idle connections, the least recently used first.
+    /// The organisations of idle connections, least recently used first.
     idle: Vec<OrganisationId>,
     waiting: VecDeque<PendingStatement>,
     opening: Vec<OrganisationId>,
 }
 
 impl SimulatedPool {
-    /// An empty pool of at most `share` connections.
+    /// Creates an empty pool of at most `share` connections.
     pub fn new(share: u32, seed: u64) -> SimulatedPool {
         SimulatedPool {
             budget: ConnectionBudget::new(limits::ORGANISATIONS_POLICY, share, seed, 0),
@@ -52,7 +55,9 @@
         }
     }
 
-    /// A statement comes. Returns whether an idle connection of its organisation was there.
+    /// Assigns an idle connection of the organisation to the statement or queues the statement.
+    ///
+    /// Returns whether an idle connection was available.
     pub fn statement_arrived(
         &mut self,
         statement: PendingStatement,
@@ -71,7 +76,7 @@
         false
     }
 
-    /// A connection was opened.
+    /// Adds an opened connection and assigns it to a waiting statement, if any.
     pub fn connection_opened(
         &mut self,
         organisation: OrganisationId,
@@ -85,7 +90,7 @@
         self.serve_or_idle(organisation, now_us, actions);
     }
 
-    /// A statement ended.
+    /// Returns the connection of an ended statement to the pool or assigns it to a waiting statement.
     pub fn statement_ended(
         &mut self,
         organisation: OrganisationId,
@@ -96,7 +101,7 @@
         self.serve_or_idle(organisation, now_us, actions);
     }
 
-    /// Opens connections for those who wait, in place of others where there is no room.
+    /// Requests connections for waiting statements, evicting idle ones if the pool has reached its limit.
     pub fn maintain(&mut self, now_us: u64, actions: &mut Actions) {
         let waiting = self.waiting.iter().map(|statement| &statement.organisation);
         let missing = connection_budget::missing_users(waiting, &self.opening);
@@ -109,7 +114,7 @@
         actions.replaced += plan.replaced;
     }
 
-    /// Gives up statements that came before a moment, and returns how many.
+    /// Removes waiting statements that arrived before `before_us` and returns their number.
     pub fn expire(&mut self, before_us: u64) -> usize {
         let count = self.waiting.len();
         self.waiting.retain(|statement| statement.arrived_us >= before_us);
--- a/crates/bench/src/connection_cache/report.rs
+++ b/crates/bench/src/connection_cache/report.rs
@@ -1,4 +1,5 @@
-//! Means over seeds as a table, and misses over the connections of a target as an SVG picture.
+//! Reports: a Markdown table of means over seeds, and an SVG plot of the miss rate against a target's
+//! connection limit.
 
 use std::error::Error;
 use std::path::Path;
@@ -16,20 +17,20 @@
 const CAPTION: (&str, u32) = ("sans-serif", 16);
 const LABEL_AREA: u32 = 48;
 
-/// The connections of a target that the plot goes over.
+/// The connection limits of a target on the x axis of the plot.
 const PLOTTED_CONNECTIONS: [u32; 11] = [8, 16, 24, 32, 40, 48, 56, 64, 72, 80, 88];
 
-/// The head of the table.
+/// The header rows of the Markdown table.
 pub const TABLE_HEAD: &str = "\
 | strategy | misses (least to most) | refused | mean wait, ms | replaced, a second | opening: primary, replicas | busier replica |
 |---|---|---|---|---|---|---|";
 
-/// The outcomes of the seeds from zero on.
+/// Runs the simulation once for each seed in `0..seeds`.
 pub fn outcomes(setup: &Setup, strategy: Strategy, seeds: u64) -> Vec<Outcome> {
     (0..seeds).map(|seed| simulation::run(setup, strategy, seed)).collect()
 }
 
-/// A row of the table.
+/// Formats a strategy's outcomes as a row of the table.
 pub fn table_row(strategy: Strategy, outcomes: &[Outcome]) -> String {
     let percent = |field: fn(&Outcome) -> f64| format!("{:.1} %", 100.0 * mean(outcomes, field));
     let misses = || outcomes.iter().map(|outcome| 100.0 * outcome.misses);
@@ -48,16 +49,16 @@
     )
 }
 
-/// The mean of one field over all seeds.
+/// Returns the mean of one field over all outcomes, or 0 without outcomes.
 pub fn mean(outcomes: &[Outcome], field: fn(&Outcome) -> f64) -> f64 {
     outcomes.iter().map(field).sum::<f64>() / outcomes.len().max(1) as f64
 }
 
-/// Plots the miss rate of each strategy against a target's connection limit.
+/// Plots the miss rate of each strategy against a target's connection limit into an SVG file.
 ///
 /// # Errors
 ///
-/// The picture can't be drawn or written.
+/// Returns an error if the plot can't be drawn or the file can't be written.
 pub fn draw(setup: &Setup, seeds: u64, path: &Path) -> Result<(), Box<dyn Error>> {
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
--- a/crates/bench/src/connection_cache/simulation.rs
+++ b/crates/bench/src/connection_cache/simulation.rs
@@ -1,4 +1,4 @@
-//! One run in virtual time. A seed decides everything.
+//! A discrete-event simulation of one run in virtual time. Equal setups and seeds give equal outcomes.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -26,35 +26,35 @@
 use crate::connection_cache::pool::PendingStatement;
 use crate::connection_cache::pool::SimulatedPool;
 
-/// The targets of the service; the first is the primary.
+/// The number of targets of the service. Target 0 is the primary, the others are replicas.
 const TARGETS: usize = 3;
 
-/// How often pools are looked after, in microseconds.
+/// The interval of pool maintenance, in microseconds.
 const MAINTENANCE_US: u64 = 100_000;
 
-/// The part of a run that only fills the pools, as one part in this many.
+/// The warm-up, which fills the pools and isn't counted, takes this fraction (1/n) of the run.
 const WARM_UP_DIVISOR: u64 = 4;
 
 const US_PER_S: f64 = 1e6;
 
-/// What one run showed, after its warm-up.
+/// The figures of one run after its warm-up.
 #[derive(Clone, Copy, PartialEq, Debug, Default, Serialize)]
 pub struct Outcome {
-    /// Statements that came.
+    /// The number of statements that arrived.
     pub statements: u64,
-    /// The part of them that found no idle connection of their organisation.
+    /// The fraction of statements that found no idle connection of their organisation.
     pub misses: f64,
-    /// The part of them that were refused after a wait.
+    /// The fraction of statements that were refused after waiting for a connection.
     pub refused: f64,
-    /// The mean wait for a connection, in microseconds.
+    /// The mean wait for a connection of the served statements, in microseconds.
     pub mean_wait_us: f64,
-    /// Connections replaced in a second.
+    /// Idle connections evicted for other organisations, per second.
     pub replaced_per_s: f64,
-    /// The part of the primary's slot time that opening connections took.
+    /// The fraction of the primary's slot time spent on opening connections.
     pub opening_at_primary: f64,
-    /// The same at the replicas.
+    /// The fraction of the replicas' slot time spent on opening connections.
     pub opening_at_replicas: f64,
-    /// What the busier replica worked, against the mean of both.
+    /// The statement run time on the busier replica divided by the mean of both replicas.
     pub imbalance: f64,
 }
 
@@ -64,7 +64,7 @@
     Run { us: u64 },
 }
 
-/// Something that occupies a slot.
+/// Work that occupies a slot of a target.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 struct Job {
     kind: JobKind,
@@ -102,11 +102,11 @@
     setup: &'a Setup,
     strategy: Strategy,
     rng: StdRng,
-    /// The sums of the organisations' sizes up to each.
+    /// Cumulative sums of the organisations' rate weights, for drawing an organisation.
     cumulative_sizes: Vec<f64>,
-    /// How many processes connect to each target.
+    /// The number of processes that hold connections to each target.
     holders: usize,
-    /// The pools by target and holder.
+    /// The pools, indexed by target and then by holder.
     pools: Vec<Vec<SimulatedPool>>,
     targets: [Target; TARGETS],
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
@@ -114,7 +114,7 @@
     counts: Counts,
 }
 
-/// Runs one strategy.
+/// Simulates one strategy and returns the figures after the warm-up.
 pub fn run(setup: &Setup, strategy: Strategy, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(setup, strategy, seed);
     simulation.schedule(0, Event::Arrival);
@@ -241,7 +241,7 @@
                 let score = |replica: &usize| {
                     homes::user_score("replicas", &name(organisation), &name(*replica))
                 };
-                (1..TARGETS).max_by_key(score).expect("there are replicas")
+                (1..TARGETS).max_by_key(score).expect("the service has replicas")
             }
         }
     }
@@ -256,7 +256,7 @@
                 let score = |holder: &usize| {
                     homes::user_score(&name(target), &name(organisation), &name(*holder))
                 };
-                (0..self.holders).max_by_key(score).expect("somebody connects")
+                (0..self.holders).max_by_key(score).expect("at least one process holds connections")
             }
         }
     }
