--- a/crates/bench/src/surge/mod.rs
+++ b/crates/bench/src/surge/mod.rs
@@ -1,8 +1,8 @@
-//! A recorded surge in front of one target, in virtual time: how strategies of sharing compare.
+//! Compares sharing strategies of the target queue under a load surge, in virtual time.
 //!
-//! The very queue of the product (`skylark_core::process::sharing`) stands in front of a target of a
-//! few slots. Every strategy meets the same arrivals with the same run times. The figures and what
-//! follows from them are in `docs/design/sharing-in-a-surge.md`.
+//! The proxy's own queue (`skylark_core::process::sharing`) schedules requests for one modelled target
+//! with a few execution slots. Every strategy gets the same arrivals with the same run times. The results
+//! and the conclusions are in `docs/design/sharing-in-a-surge.md`.
 
 pub mod outcome;
 pub mod simulation;
--- a/crates/bench/src/surge/outcome.rs
+++ b/crates/bench/src/surge/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of the requests of a run.
+//! Counts, response times and wait prediction errors of a run, by class and phase.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -14,7 +14,7 @@
 /// Microseconds in a millisecond.
 const US_PER_MS: f64 = 1_000.0;
 
-/// The longest time that the histograms hold.
+/// The highest value of the histograms, in microseconds. Longer times are recorded as this value.
 const MAX_RECORDED_US: u64 = 600_000_000;
 
 /// The counts of one class in one phase.
@@ -24,15 +24,15 @@
     pub offered: u64,
     /// Requests that were served.
     pub served: u64,
-    /// Requests that were served within the goal of the class.
+    /// Requests that were served within the response time goal of the class.
     pub within_goal: u64,
     /// Requests that were served after their deadline.
     pub late: u64,
-    /// Requests refused because the predicted wait passed their deadline.
+    /// Requests refused because the predicted wait exceeded their deadline.
     pub refused_deadline: u64,
-    /// Requests refused because a bound of the queue was reached.
+    /// Requests refused because a limit of the queue was reached.
     pub refused_full: u64,
-    /// Requests whose deadline passed while they waited.
+    /// Requests whose deadline passed while they were queued.
     pub timed_out: u64,
     /// Requests of [`HEAVY_CALLER`] that arrived.
     pub heavy_offered: u64,
@@ -46,7 +46,7 @@
     fn new() -> ClassOutcome {
         let histogram = || {
             let bounded = Histogram::new_with_bounds(1, MAX_RECORDED_US, 3);
-            bounded.expect("the bounds and three digits are what the library takes")
+            bounded.expect("the bounds and three significant digits are valid")
         };
         ClassOutcome {
             offered: 0,
@@ -78,7 +78,7 @@
         self.responses_us.saturating_record(response_us);
     }
 
-    /// Records how far a predicted wait was from the actual one.
+    /// Records the absolute difference between the predicted and the actual wait.
     pub fn record_prediction(&mut self, predicted_us: u64, waited_us: u64) {
         self.prediction_errors_us.saturating_record(predicted_us.abs_diff(waited_us));
     }
@@ -102,12 +102,12 @@
 }
 
 impl RunOutcome {
-    /// The counts of one class in one phase.
+    /// Returns the counts of one class in one phase, for updates.
     pub fn of(&mut self, class: usize, phase: Phase) -> &mut ClassOutcome {
         &mut self.classes[class][phase as usize]
     }
 
-    /// One line for each class and phase.
+    /// Returns one result line per class and phase.
     pub fn lines(&self, run: &RunId<'_>) -> Vec<Line> {
         let mut lines = Vec::new();
         for (class, phases) in self.classes.iter().enumerate() {
@@ -121,20 +121,20 @@
     }
 }
 
-/// Which run a line belongs to.
+/// The parameters that identify a run in its result lines.
 #[derive(Clone, Copy, Debug)]
 pub struct RunId<'a> {
-    /// What surged.
+    /// The name of the scenario.
     pub scenario: &'a str,
-    /// The strategy.
+    /// The name of the sharing strategy.
     pub strategy: &'a str,
-    /// The bounds of the queue and the weights.
+    /// The limits of the queue and the class weights.
     pub setup: Setup,
     /// The seed of the arrivals.
     pub seed: u64,
 }
 
-/// One line of the results.
+/// A result line: the figures of one class in one phase of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Line {
     scenario: String,
--- a/crates/bench/src/surge/simulation.rs
+++ b/crates/bench/src/surge/simulation.rs
@@ -1,8 +1,8 @@
-//! One run: the product's queue in front of a modelled target, in virtual time.
+//! A discrete-event simulation of one run: the proxy's target queue in front of a modelled target.
 //!
-//! The target runs as many statements at once as it has slots and keeps the others in arrival order,
-//! as `docs/INTERFACES.md` says. Connections are open already; a statement and its answer take the
-//! time of the way within a zone.
+//! The target runs as many statements concurrently as it has slots and queues the others in arrival order,
+//! as specified in `docs/INTERFACES.md`. Connections are already open. A statement and its response each
+//! take the one-way network delay within an availability zone.
 
 use std::cmp;
 use std::collections;
@@ -25,77 +25,77 @@
 use crate::surge::trace::CLASSES;
 use crate::surge::trace::Weights;
 
-/// Statements that the target runs at once.
+/// The number of statements that the target runs concurrently.
 const SLOTS: usize = 2;
 
-/// Connections that the target accepts.
+/// The connection limit of the target.
 const CONNECTIONS: u32 = 16;
 
-/// The way from the home to the target, or back.
+/// The network delay between the home and the target in one direction, in microseconds.
 const ONE_WAY_DELAY_US: u64 = 200;
 
-/// The time between the answer to a statement and the caller's next one: the way to the caller
-/// and back.
+/// The time between the response to a statement and the arrival of the transaction's next statement at the
+/// home, in microseconds: the network round trip to the caller.
 const THINK_US: u64 = 2_000;
 
-/// How often expired requests are looked for.
+/// The interval of the checks for expired requests, in microseconds.
 const EXPIRY_US: u64 = 10_000;
 
-/// What is varied between runs besides the strategy.
+/// The parameters that vary between runs besides the strategy.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
-    /// The bounds of the queue.
+    /// The limits of the queue.
     pub limits: QueueLimits,
     /// The weights of the classes.
     pub weights: Weights,
 }
 
 impl Setup {
-    /// The queue's defaults with these weights and this many statements running at once.
+    /// Returns the default queue limits with the given weights and at most `running` concurrent statements.
     pub fn new(weights: Weights, running: u32) -> Setup {
         let limits = QueueLimits { running, connections: CONNECTIONS, ..QueueLimits::default() };
         Setup { limits, weights }
     }
 
-    /// Without the refusals that keep the wait of an overloaded class near its goal.
+    /// Disables the refusals that keep the wait of an overloaded class near its goal.
     pub fn without_standing_rule(mut self) -> Setup {
         self.limits.standing_us = NEVER_US;
         self
     }
 }
 
-/// A time that no run reaches.
+/// A time beyond the end of every run, in microseconds.
 const NEVER_US: u64 = 1_000_000_000_000;
 
-/// What happens at a time.
+/// An event of the simulation.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 enum Event {
     /// A request arrives at the home.
     Arrives(usize),
     /// A request's next statement arrives at the target.
     Reaches(usize),
-    /// A slot has run the statement of a request.
+    /// The target finishes the statement of a request.
     Ran(usize),
-    /// The answer to a statement is back at the home.
+    /// The response to a statement arrives at the home.
     Answered(usize),
-    /// The caller sends the next statement of its transaction.
+    /// The next statement of a request's transaction arrives at the home.
     Continues(usize),
-    /// Expired requests are looked for.
+    /// The queue is checked for expired requests.
     Expiry,
 }
 
-/// Where a request stands.
+/// The progress of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 struct Progress {
     granted_us: u64,
     predicted_us: u64,
     sent_us: u64,
     statement: usize,
-    /// What the home sees of its statements: from sending each one to its answer.
+    /// The sum of the statements' times from sending to response, as the home measures them.
     run_us: u64,
 }
 
-/// A run under way.
+/// The state of a run.
 struct Simulation<'a, S> {
     arrivals: &'a [Arrival],
     events: collections::BinaryHeap<cmp::Reverse<(u64, u64, Event)>>,
@@ -108,7 +108,11 @@
     outcome: RunOutcome,
 }
 
-/// Runs the recorded arrivals through a queue with the strategy `S`.
+/// Simulates the arrivals with a queue that uses the sharing strategy `S`.
+///
+/// # Panics
+///
+/// Panics if the queue is inconsistent or holds connections at the end of the run.
 pub fn run<S>(arrivals: &[Arrival], setup: &Setup) -> RunOutcome
 where
     S: SharingStrategy,
@@ -139,8 +143,8 @@
         while let Some(cmp::Reverse((now_us, _, event))) = self.events.pop() {
             self.handle(event, now_us);
         }
-        assert_eq!(self.queue.verify(), Vec::<String>::new(), "the queue is sound at the end");
-        assert_eq!(self.queue.connections(), 0, "every connection came back");
+        assert_eq!(self.queue.verify(), Vec::<String>::new(), "the queue is consistent at the end");
+        assert_eq!(self.queue.connections(), 0, "every connection was released");
     }
 
     fn schedule(&mut self, time_us: u64, event: Event) {
@@ -249,7 +253,10 @@
         while let Some(turn) = self.queue.next_turn(now_us) {
             match turn {
                 Turn::Granted(grant) => {
-                    let request = self.tickets.remove(&grant.ticket).expect("the ticket waited");
+                    let request = self
+                        .tickets
+                        .remove(&grant.ticket)
+                        .expect("the ticket belongs to a queued request");
                     self.start_request(request, now_us);
                 }
                 Turn::TimedOut(ticket) => self.timed_out(ticket),
@@ -269,7 +276,7 @@
     }
 
     fn timed_out(&mut self, ticket: Ticket) {
-        let request = self.tickets.remove(&ticket).expect("the ticket waited");
+        let request = self.tickets.remove(&ticket).expect("the ticket belongs to a queued request");
         self.class_outcome(request).timed_out += 1;
     }
 }
--- a/crates/bench/src/surge/trace.rs
+++ b/crates/bench/src/surge/trace.rs
@@ -1,4 +1,4 @@
-//! The recorded surge: seeded arrivals of four classes.
+//! Seeded generation of the request arrivals of four classes, with a surge in the middle.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -8,30 +8,30 @@
 /// Microseconds in a second.
 const US_PER_S: f64 = 1_000_000.0;
 
-/// How many callers the requests of a class are spread over.
+/// The number of callers that the requests of a class are spread over uniformly.
 const CALLERS: u64 = 200;
 
-/// The caller that sends a part of the lookups alone in [`Scenario::OneCaller`].
+/// The id of the caller that sends half of the lookups during the surge of [`Scenario::OneCaller`].
 pub const HEAVY_CALLER: u64 = 1_000_000;
 
-/// A class of the recorded load.
+/// The load of a request class.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassLoad {
     /// The name in the results.
     pub name: &'static str,
-    /// The response time aimed at.
+    /// The response time goal, in microseconds.
     pub goal_us: u64,
-    /// The time limit of each request.
+    /// The deadline of each request, in microseconds after its arrival.
     pub deadline_us: u64,
-    /// Requests a second outside the surge.
+    /// The mean arrival rate outside the surge, in requests per second.
     pub rate: f64,
-    /// Statements in a request.
+    /// The number of statements in a request.
     pub statements: u32,
-    /// The mean run time of a statement.
+    /// The mean run time of a statement, in microseconds.
     pub run_us: f64,
 }
 
-/// The classes of the recorded load. With these rates the two slots are used to three tenths.
+/// The request classes. Outside the surge, they use three tenths of the capacity of the target's two slots.
 pub const CLASSES: [ClassLoad; 4] = [
     ClassLoad {
         name: "reservation",
@@ -70,28 +70,28 @@
 /// The weights of the classes in a run, in the order of [`CLASSES`].
 pub type Weights = [u32; CLASSES.len()];
 
-/// The settings of the classes with these weights.
+/// Returns the queue's settings of the classes with the given weights.
 pub fn shares(weights: Weights) -> Vec<ClassShare> {
     let share = |(class, weight): (&ClassLoad, u32)| ClassShare { weight, goal_us: class.goal_us };
     CLASSES.iter().zip(weights).map(share).collect()
 }
 
-/// The place of the lookups in [`CLASSES`].
+/// The index of the lookups in [`CLASSES`].
 pub const LOOKUP: usize = 2;
 
-/// What surges.
+/// The classes and callers that the surge affects.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Scenario {
-    /// Ten times the lookups.
+    /// Lookups arrive at ten times their rate.
     Lookups,
-    /// Ten times everything.
+    /// All classes arrive at ten times their rates.
     Everything,
-    /// Ten times the lookups, half of them from one caller.
+    /// Lookups arrive at ten times their rate, half of them from one caller.
     OneCaller,
 }
 
 impl Scenario {
-    /// Every scenario.
+    /// All scenarios.
     pub const ALL: [Scenario; 3] = [Scenario::Lookups, Scenario::Everything, Scenario::OneCaller];
 
     /// The name in the results.
@@ -112,7 +112,7 @@
     }
 }
 
-/// A part of the run, by the time of arrival.
+/// A phase of the run. A request belongs to the phase of its arrival.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Phase {
     /// Before the surge.
@@ -124,7 +124,7 @@
 }
 
 impl Phase {
-    /// Every phase in order.
+    /// All phases in order of time.
     pub const ALL: [Phase; 3] = [Phase::Before, Phase::Surge, Phase::After];
 
     /// The name in the results.
@@ -137,30 +137,30 @@
     }
 }
 
-/// The time from the start to the surge.
+/// The start of the surge, in microseconds since the start of the run.
 pub const SURGE_START_US: u64 = 60_000_000;
 
-/// The end of the surge.
+/// The end of the surge, in microseconds since the start of the run.
 pub const SURGE_END_US: u64 = 120_000_000;
 
-/// The end of the arrivals.
+/// The time from which no request arrives, in microseconds since the start of the run.
 pub const END_US: u64 = 150_000_000;
 
-/// One request.
+/// The arrival of one request.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Arrival {
-    /// When it arrives at the home.
+    /// The arrival time at the home, in microseconds since the start of the run.
     pub at_us: u64,
-    /// Its place in [`CLASSES`].
+    /// The index of the request's class in [`CLASSES`].
     pub class: usize,
-    /// Whom it comes from.
+    /// The id of the caller.
     pub caller: u64,
-    /// The run time of each of its statements.
+    /// The run time of each statement, in microseconds.
     pub runs_us: Vec<u64>,
 }
 
 impl Arrival {
-    /// The phase that the request belongs to.
+    /// Returns the phase in which the request arrives.
     pub fn phase(&self) -> Phase {
         match self.at_us {
             SURGE_START_US..SURGE_END_US => Phase::Surge,
@@ -170,7 +170,7 @@
     }
 }
 
-/// Records the arrivals of a scenario, in the order of their times. Equal seeds give equal records.
+/// Generates the arrivals of a scenario in order of time. Equal seeds give equal arrivals.
 pub fn generate(scenario: Scenario, seed: u64) -> Vec<Arrival> {
     let mut arrivals = Vec::new();
     for class in 0..CLASSES.len() {
@@ -205,7 +205,7 @@
     class as u64 * CALLERS + rng.random_range(0..CALLERS)
 }
 
-/// Half of the mean is fixed, and the other half varies.
+/// Draws a run time: half of the mean plus an exponentially distributed time with the other half as its mean.
 fn run_us(rng: &mut StdRng, mean_us: f64) -> u64 {
     (mean_us / 2.0 + exponential(rng, mean_us / 2.0)) as u64
 }
