--- a/crates/bench/src/gap/mod.rs
+++ b/crates/bench/src/gap/mod.rs
@@ -1,9 +1,9 @@
-//! The failover gap: how long no primary accepts writes, and where the time goes.
+//! Measures the failover gap, the time in which no primary acknowledges writes, and splits it into phases.
 //!
-//! - [`scenario`]: what fails.
-//! - [`trial`]: one run with a probe writer, other callers and the checker.
-//! - [`phases`]: the parts of the gap, from the proxies' decisions.
-//! - [`summary`]: many runs together.
+//! - [`scenario`]: the ways in which a group loses its primary.
+//! - [`trial`]: one run with a probe writer, background load and the history checker.
+//! - [`phases`]: the phases of the gap, derived from the proxies' logged decisions.
+//! - [`summary`]: a table row over the runs of a scenario.
 
 pub mod phases;
 pub mod scenario;
--- a/crates/bench/src/gap/phases.rs
+++ b/crates/bench/src/gap/phases.rs
@@ -1,30 +1,33 @@
-//! Splits a gap into phases by the decisions that the proxies logged.
+//! Splits a failover gap into phases, using the decisions that the proxies logged.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::embedded::decisions::Decision;
 
-/// How a step begins in the log, before a term is chosen and after it.
+/// The prefix of a logged step before a term is chosen.
 const TERMLESS_PREFIX: &str = "change of primary: ";
+/// The prefix of a logged step after a term is chosen. The term and a colon follow it.
 const STEP_PREFIX: &str = "change of primary to term ";
 
-/// Where the time of one change of primary went, in microseconds. Phases follow each other.
+/// The durations of the consecutive phases of one change of primary, in microseconds.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default, Serialize, Deserialize)]
 pub struct Phases {
-    /// From the fault until the winning driver began.
+    /// From the fault until the proxy that completes the change started to drive it.
     pub detect_us: u64,
-    /// Until the platform named the driver, or it went on without the platform.
+    /// Until the platform accepted the driver's claim, or the driver continued without the platform.
     pub agree_us: u64,
-    /// Until a majority had raised its term.
+    /// Until a majority of members had adopted the new term.
     pub fence_us: u64,
-    /// Until a majority confirmed the record that opens the term.
+    /// Until a majority of members confirmed the first log record of the term.
     pub promote_us: u64,
     /// Until the first write was acknowledged in the new term.
     pub route_us: u64,
 }
 
-/// The step of a decision, with the term that it is about; zero before one is chosen.
+/// Returns the term and the step of a decision about a change of primary, or `None` for other decisions.
+///
+/// The term is 0 before one is chosen.
 pub fn step_of(decision: &Decision) -> Option<(u64, &str)> {
     if let Some(step) = decision.decision.strip_prefix(TERMLESS_PREFIX) {
         return Some((0, step));
@@ -34,8 +37,9 @@
     Some((term.parse().ok()?, step))
 }
 
-/// Splits the time from the fault to the first acknowledged write. `None` if the decisions show no
-/// change of primary that reached its end.
+/// Splits the time from the fault to the first acknowledged write of the new term into phases.
+///
+/// Returns `None` if the decisions contain no completed change of primary.
 pub fn split(decisions: &[Decision], fault_us: u64, first_ack_us: u64) -> Option<Phases> {
     let opened = decisions
         .iter()
--- a/crates/bench/src/gap/scenario.rs
+++ b/crates/bench/src/gap/scenario.rs
@@ -1,24 +1,24 @@
-//! What fails in a run.
+//! The failure scenarios of a run.
 
 /// A way for a group to lose its primary.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Scenario {
     /// The primary's process is killed.
     Killed,
-    /// The primary's zone is cut off from the other zones and from the platform.
+    /// The primary's availability zone is partitioned from the other zones and from the platform.
     Isolated,
-    /// The primary's process is stopped; its connections stay open.
+    /// The primary's process is paused. Its connections stay open.
     Paused,
-    /// The platform goes down and the primary is killed at the same moment.
+    /// The platform goes down, and immediately afterwards the primary is killed.
     PlatformDown,
-    /// The primary is killed, and then the proxy that drives the change, midway.
+    /// The primary is killed, then the proxy that drives the failover is killed before the failover completes.
     DriverKilled,
-    /// An operator asks for another primary.
+    /// An operator requests a planned move of the primary to another member.
     PlannedMove,
 }
 
 impl Scenario {
-    /// Every scenario.
+    /// All scenarios.
     pub const ALL: [Scenario; 6] = [
         Scenario::Killed,
         Scenario::Isolated,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The scenario with this name.
+    /// Returns the scenario with the given name.
     pub fn from_name(name: &str) -> Option<Scenario> {
         Scenario::ALL.into_iter().find(|scenario| scenario.name() == name)
     }
--- a/crates/bench/src/gap/summary.rs
+++ b/crates/bench/src/gap/summary.rs
@@ -1,4 +1,4 @@
-//! The figures of many runs of one scenario.
+//! The figures of all runs of one scenario as a Markdown table row.
 
 use std::fmt::Write;
 
@@ -10,11 +10,11 @@
 
 const US_PER_MS: f64 = 1000.0;
 
-/// The head of the table.
+/// The header rows of the Markdown table.
 pub const TABLE_HEAD: &str = "| scenario | runs | gap ms: min / median / max | longest without an acknowledgement ms: median / max | median ms: detect / agree / fence / promote / \
      route | operations checked | acknowledged writes | violations |\n|---|---|---|---|---|---|---|---|";
 
-/// A row of the table; nothing without runs.
+/// Formats the runs of a scenario as a row of the table. Returns `None` without runs.
 pub fn table_row(scenario: Scenario, trials: &[Trial]) -> Option<String> {
     if trials.is_empty() {
         return None;
--- a/crates/bench/src/gap/trial.rs
+++ b/crates/bench/src/gap/trial.rs
@@ -1,4 +1,4 @@
-//! One run: a deployment of its own, a probe writer, other callers, a fault, and the checker.
+//! One run: a fresh deployment, a probe writer, background load, a fault, and the history checker.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -33,70 +33,72 @@
 use crate::load::run::RunPlan;
 use crate::load::session::Roaming;
 
-/// When the fault comes, after the load began.
+/// The delay from the start of the load to the fault, without the jitter.
 const FAULT_AT_MS: u64 = 700;
 
-/// How long the load goes on after the fault.
+/// The time that the load continues after [`FAULT_AT_MS`].
 const AFTER_FAULT_MS: u64 = 2_300;
 
-/// The probe's writes a second: one each five milliseconds.
+/// The probe's write rate per second: one write every five milliseconds.
 const PROBES_PER_S: f64 = 200.0;
 
-/// The other callers' operations a second.
+/// The rate of background operations per second.
 const BACKGROUND_PER_S: f64 = 200.0;
 
-/// Sessions of the probe: enough that those that wait in a gap don't keep the next ones back.
+/// The number of probe sessions, high enough that sessions blocked during a gap don't delay the next probes.
 const PROBE_SESSIONS: u32 = 400;
 
-/// Sessions of the other callers.
+/// The number of background sessions.
 const BACKGROUND_SESSIONS: u32 = 60;
 
-/// When a caller gives up waiting.
+/// The time after which a caller abandons a request.
 const CALLER_TIMEOUT_MS: u64 = 10_000;
 
-/// How long the deployment may take to start, and to settle after the fault has ended.
+/// The limit for the start of the deployment, for a driver to reach the step at which it is killed, and for
+/// the members to agree after the faults ended.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What one run gave.
+/// The result of one run.
 #[derive(Clone, Debug)]
 pub struct Trial {
-    /// The time between the last write that the old primary acknowledged to the probe and the first
-    /// one of the new primary, in microseconds.
+    /// The time from the last probe write acknowledged before the primary changed to the first one
+    /// acknowledged in the new term, in microseconds. Equals [`Trial::longest_us`] if the
+    /// probes show no change of term.
     pub gap_us: u64,
-    /// The longest time from the fault on in which no probe was acknowledged, in microseconds.
+    /// The longest time without an acknowledged probe that ends after the fault, in microseconds.
     pub longest_us: u64,
-    /// Where the time went, where the decisions show it.
+    /// The phases of the gap, if the logged decisions contain a completed change of primary.
     pub phases: Option<Phases>,
-    /// The checker's verdict on all callers.
+    /// The checker's verdict on the histories of the probe and the background load.
     pub verdict: Verdict,
-    /// The step that the driver had reached when it was killed.
+    /// The step that the driver had reached when it was killed, in [`Scenario::DriverKilled`] only.
     pub killed_at: Option<String>,
 }
 
-/// A run's figures, as they are written.
+/// The figures of a run as a line of the result file.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct TrialLine {
     /// The scenario's name.
     pub scenario: String,
-    /// The run's seed.
+    /// The seed of the load, of the fault's jitter and of the step at which a driver is killed.
     pub seed: u64,
-    /// The time between the last write of the old primary and the first one of the new.
+    /// [`Trial::gap_us`], in microseconds.
     pub gap_us: u64,
-    /// The longest time from the fault on in which no probe was acknowledged.
+    /// [`Trial::longest_us`], in microseconds.
     pub longest_us: u64,
-    /// The phases.
+    /// [`Trial::phases`].
     pub phases: Option<Phases>,
-    /// Operations checked.
+    /// The number of checked operations.
     pub checked: usize,
-    /// Violations found, in words.
+    /// The violations found by the checker, as text.
     pub violations: Vec<String>,
-    /// The step that the driver had reached when it was killed.
+    /// [`Trial::killed_at`].
     pub killed_at: Option<String>,
 }
 
-/// Why a run gave no figures.
+/// The reason why a run failed to give figures.
 #[derive(Debug)]
 pub struct TrialError(String);
 
@@ -113,7 +115,7 @@
     TrialError(error.to_string())
 }
 
-/// Runs one scenario on a fresh deployment; the first group loses its primary.
+/// Runs one scenario on a fresh deployment. The first group loses its primary.
 pub async fn run(
     settings: &DeploymentSettings,
     options: &ProxyOptions,
@@ -123,7 +125,7 @@
     let clock = Clock::start();
     let mut embedded =
         Embedded::start(settings, options, Ports::Free, clock).await.map_err(trial_error)?;
-    wait_until(|| embedded.ready(), "the proxies are not ready").await?;
+    wait_until(|| embedded.ready(), "timed out waiting for the proxies to become ready").await?;
     let setup = TrialSetup::of(settings, &embedded, scenario);
     let (probe, background) = plans(&setup, seed);
     run::prepare(&background).await.map_err(trial_error)?;
@@ -149,13 +151,13 @@
     })
 }
 
-/// Where a run takes place.
+/// The group under test and the proxies that receive the load.
 struct TrialSetup {
     group: String,
     primary: String,
     primary_zone: String,
     successor: String,
-    /// The proxies of zones that stay connected: those that the balancer sends callers to.
+    /// The proxies that a load balancer would use: all except those in the isolated zone.
     probe_entries: Vec<SocketAddr>,
     all_entries: Vec<SocketAddr>,
     read_kind: String,
@@ -230,7 +232,7 @@
     (probe, background)
 }
 
-/// What was brought about.
+/// The fault that was injected.
 struct InjectedFault {
     at_us: u64,
     killed_at: Option<String>,
@@ -243,7 +245,7 @@
     seed: u64,
     clock: Clock,
 ) -> Result<InjectedFault, TrialError> {
-    // Not in step with probes and timers.
+    // The jitter avoids a fixed phase relation between the fault and the probes and timers.
     let jitter_ms = seed.wrapping_mul(37) % 100;
     time::sleep(Duration::from_millis(FAULT_AT_MS + jitter_ms)).await;
     let at_us = clock.now_us();
@@ -278,7 +280,9 @@
     Ok(InjectedFault { at_us, killed_at })
 }
 
-/// Kills the proxy that drives the change when it reaches a step, which changes from run to run.
+/// Kills the proxy that drives the failover when it reaches a step, and returns the step.
+///
+/// The seed selects the step, so consecutive seeds cover all steps.
 async fn kill_driver(
     embedded: &mut Embedded,
     group: &str,
@@ -290,7 +294,8 @@
     let reached = |it: &Decision| phases::step_of(it).is_some_and(|(_, of)| of == step);
     let decisions = embedded.decisions().clone();
     let waited = time::timeout(SETTLE_TIMEOUT, decisions.wait_for(group, from_us, reached)).await;
-    let decision = waited.map_err(|_| TrialError(format!("no driver reached `{step}`")))?;
+    let timed_out = || TrialError(format!("timed out waiting for a driver to reach step `{step}`"));
+    let decision = waited.map_err(|_| timed_out())?;
     embedded.kill_vm(&decision.vm).map_err(trial_error)?;
     Ok(step.to_owned())
 }
@@ -306,7 +311,7 @@
     embedded.heal(settings).await.map_err(trial_error)
 }
 
-/// Waits until one member leads and all hold the same log.
+/// Waits until exactly one member is the primary and all members have applied the same log position.
 async fn wait_until_settled(embedded: &Embedded, group: &str) -> Result<(), TrialError> {
     let settled = || {
         let statuses: Vec<_> = embedded
@@ -318,7 +323,7 @@
         let leaders = statuses.iter().filter(|status| status.role == Role::Primary).count();
         leaders == 1 && statuses.windows(2).all(|pair| pair[0].applied == pair[1].applied)
     };
-    wait_until(settled, "the members do not agree after the faults ended").await
+    wait_until(settled, "timed out waiting for the members to agree after the faults ended").await
 }
 
 async fn wait_until<F>(holds: F, timeout_message: &str) -> Result<(), TrialError>
@@ -333,7 +338,7 @@
     time::timeout(SETTLE_TIMEOUT, waiting).await.map_err(|_| TrialError(timeout_message.to_owned()))
 }
 
-/// A time between two acknowledgements of probes that follow each other.
+/// The interval between two consecutive probe acknowledgements.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 struct Gap {
     from_us: u64,
@@ -346,8 +351,10 @@
     }
 }
 
-/// The time between the last acknowledgement of the old primary and the first one of a newer term,
-/// in the order of acknowledgements. `None` if no newer term acknowledged a probe.
+/// Returns the interval from the last probe acknowledgement before the first one of a newer term to that one.
+///
+/// The old term is the highest one acknowledged before the fault. Returns `None` if no probe was acknowledged
+/// before the fault or in a newer term.
 fn failover_gap(probes: &[Record], fault_us: u64) -> Option<Gap> {
     let acknowledged = |record: &Record| match record.ending {
         Ending::Acknowledged { position: Some(position) } => Some((record.ended_us, position.term)),
@@ -361,8 +368,9 @@
     Some(Gap { from_us, to_us: ends[first_new].0 })
 }
 
-/// The longest time between two acknowledgements that ends after the fault. One that lasts until
-/// the last probe was sent counts until then.
+/// Returns the longest interval between two probe acknowledgements that ends after the fault.
+///
+/// An interval that is still open when the last probe is due ends at that time.
 fn longest_gap(probes: &[Record], fault_us: u64) -> Gap {
     let acknowledged = |record: &&Record| matches!(record.ending, Ending::Acknowledged { .. });
     let last_us = probes.iter().map(|it| it.intended_us).max().unwrap_or(fault_us);
@@ -377,7 +385,7 @@
 }
 
 impl Trial {
-    /// The run's figures, as they are written.
+    /// Returns the run's figures as a line of the result file.
     pub fn line(&self, scenario: Scenario, seed: u64) -> TrialLine {
         TrialLine {
             scenario: scenario.name().to_owned(),
