--- a/crates/bench/src/gap/scenario.rs
+++ b/crates/bench/src/gap/scenario.rs
@@ -11,7 +11,7 @@
     Paused,
     /// The platform goes down, and immediately afterwards the primary is killed.
     PlatformDown,
-    /// The primary is killed, then the proxy that drives the failover is killed before the failover completes.
+    /// The primary is killed, then the proxy that drives the failover is killed before completing it.
     DriverKilled,
     /// An operator requests a planned move of the primary to another member.
     PlannedMove,
--- a/crates/bench/src/gap/trial.rs
+++ b/crates/bench/src/gap/trial.rs
@@ -294,8 +294,7 @@
     let reached = |it: &Decision| phases::step_of(it).is_some_and(|(_, of)| of == step);
     let decisions = embedded.decisions().clone();
     let waited = time::timeout(SETTLE_TIMEOUT, decisions.wait_for(group, from_us, reached)).await;
-    let timed_out = || TrialError(format!("timed out waiting for a driver to reach step `{step}`"));
-    let decision = waited.map_err(|_| timed_out())?;
+    let decision = waited.map_err(|_| TrialError(format!("no driver reached `{step}` in time")))?;
     embedded.kill_vm(&decision.vm).map_err(trial_error)?;
     Ok(step.to_owned())
 }
--- a/crates/bench/src/history/checker.rs
+++ b/crates/bench/src/history/checker.rs
@@ -1,10 +1,10 @@
-//! Checks callers' histories against the rows that the groups hold in the end.
+//! Checks the histories of callers against the rows that the groups hold at the end of a run.
 //!
-//! Each write adds one row with a tag of its own and is never repeated by the caller, so the count
-//! of rows with that tag tells what happened to it. Positions of acknowledged writes must grow in
-//! real time: a write that began after another was acknowledged stands behind it in the log. A
-//! primary that acknowledges after a newer one did breaks that order, and so do two primaries that
-//! hand out one position twice.
+//! Each write inserts one row with a unique tag and is never retried by the caller. The number of rows with
+//! that tag shows whether the write was lost, applied once or duplicated. The log positions of acknowledged
+//! writes must follow real time: a write that starts after another write was acknowledged must get a higher
+//! position. A primary that acknowledges a write after a newer primary did so violates this order. Two
+//! primaries that assign the same position violate the uniqueness of positions.
 
 use std::fmt;
 
@@ -18,58 +18,58 @@
 use crate::history::record::Request;
 use crate::history::record::Tag;
 
-/// One thing that must not happen.
+/// A violation of consistency. Reports contain the variants' names and fields as `Debug` writes them.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Violation {
-    /// A write was acknowledged and its row is not there.
+    /// An acknowledged write has no row.
     Lost {
         /// The write.
         tag: Tag,
     },
-    /// A write's row is there more than once.
+    /// A write has more than one row.
     Doubled {
         /// The write.
         tag: Tag,
-        /// How often its row is there.
+        /// The number of rows with the write's tag.
         rows: usize,
     },
-    /// A write that began after `newer` was acknowledged was itself acknowledged at a position that
-    /// is not behind it: an old primary acknowledged it.
+    /// A write that started after `newer` was acknowledged got a lower position, so a superseded primary
+    /// acknowledged it.
     OldPrimary {
-        /// The write with the position that is too low.
+        /// The write with the lower position, which started later.
         tag: Tag,
-        /// The earlier write with the higher position.
+        /// The write with the higher position, which was acknowledged earlier.
         newer: Tag,
     },
-    /// Two writes were acknowledged at one position.
+    /// Two writes were acknowledged at the same position.
     PositionTwice {
-        /// One of them.
+        /// The write that started later.
         tag: Tag,
-        /// The other.
+        /// The write that started earlier.
         other: Tag,
     },
-    /// A read does not show what its own session wrote before it.
+    /// A read misses an acknowledged write of its own session (violates read-your-writes).
     MissedOwnWrite {
         /// The read.
         tag: Tag,
-        /// The write number that it had to show.
+        /// The lowest write number that the read was required to return.
         must_see_seq: u64,
-        /// The write number that it shows.
+        /// The write number that the read returned.
         seen_seq: u64,
     },
-    /// An answer carries the tag of another request, or none.
+    /// A response carries the tag of another request or no tag.
     Crossed {
         /// The request.
         tag: Tag,
-        /// The tag in its answer.
+        /// The tag in the response, or `None` if there is none.
         echo: Option<Tag>,
     },
-    /// A write was refused as not run and its row is there.
+    /// A write that was refused with the outcome "not run" has a row.
     UntrueNotRun {
         /// The write.
         tag: Tag,
     },
-    /// A row is there that no caller wrote.
+    /// A row has a tag that no caller wrote.
     UnknownRow {
         /// The tag in the row.
         tag: Tag,
@@ -77,7 +77,7 @@
 }
 
 impl Violation {
-    /// The kind's name in reports.
+    /// Returns the name of the kind of violation in reports.
     pub fn name(&self) -> &'static str {
         match self {
             Violation::Lost { .. } => "write lost",
@@ -98,26 +98,26 @@
     }
 }
 
-/// What was checked and what was found.
+/// The counts of checked operations and the violations found.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Verdict {
-    /// All operations of the history.
+    /// The number of operations in the history.
     pub operations: usize,
-    /// The acknowledged writes among them.
+    /// The number of acknowledged writes.
     pub acknowledged: usize,
-    /// The acknowledged writes whose position is known, so that their order was checked.
+    /// The number of acknowledged writes with a known position. Only the order of these is checked.
     pub positioned: usize,
-    /// The answered reads.
+    /// The number of answered reads.
     pub reads: usize,
-    /// The answered reads of sessions that had written before.
+    /// The number of answered reads of sessions with an earlier acknowledged write.
     pub reads_after_write: usize,
-    /// The writes refused as not run.
+    /// The number of writes refused with the outcome "not run".
     pub not_run: usize,
-    /// The writes whose outcome the caller doesn't know.
+    /// The number of writes with any other failure, whose outcome counts as unknown to the caller.
     pub unknown: usize,
-    /// The writes of unknown outcome whose row is there.
+    /// The number of writes of unknown outcome that have a row.
     pub unknown_present: usize,
-    /// Everything that must not happen.
+    /// The violations found.
     pub violations: Vec<Violation>,
 }
 
@@ -156,7 +156,7 @@
     }
 }
 
-/// Checks a history against the final rows of its groups, which are indexed as in the records.
+/// Checks a history against the final rows of its groups. `rows` is indexed by [`Record::group`].
 pub fn check(records: &[Record], rows: &[FinalRows]) -> Verdict {
     let mut verdict = Verdict { operations: records.len(), ..Verdict::default() };
     for record in records {
@@ -249,8 +249,8 @@
     let mut by_end = by_start.clone();
     by_end.sort_by_key(|write| write.ended_us);
 
-    // Both lists are walked together: before each write's start, the highest position among the
-    // writes that had ended by then is the one that it must pass.
+    // Merges both lists: each write must have a higher position than all writes that ended before it
+    // started. The highest position of those is enough for the comparison.
     let mut ended = by_end.iter().peekable();
     let mut highest: Option<PositionedWrite> = None;
     for write in &by_start {
--- a/crates/bench/src/history/mod.rs
+++ b/crates/bench/src/history/mod.rs
@@ -1,4 +1,4 @@
-//! What callers did and saw, and whether that is consistent.
+//! Records of callers' operations and a consistency checker for them.
 
 pub mod checker;
 pub mod record;
--- a/crates/bench/src/history/record.rs
+++ b/crates/bench/src/history/record.rs
@@ -1,4 +1,4 @@
-//! One operation of a caller: what it asked, when, and how it ended.
+//! The record of one operation of a caller: its request, its times and its result.
 
 use std::fmt;
 
@@ -6,12 +6,12 @@
 use skylark_core::request::error_kind::ErrorKind;
 use skylark_core::request::error_kind::Outcome;
 
-/// The number that a request carries and that its answer must echo; unique within a run.
+/// The id of a request, unique within a run. The response has to echo it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Tag(pub u64);
 
 impl Tag {
-    /// The tag of a session's operation.
+    /// Combines the session's number and the operation's serial number within the session into a tag.
     pub fn new(session: u32, serial: u32) -> Tag {
         Tag((u64::from(session) << 32) | u64::from(serial))
     }
@@ -23,25 +23,25 @@
     }
 }
 
-/// Why an operation was refused or given up, as far as the caller can tell.
+/// The reason why an operation was refused or abandoned, from the caller's point of view.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub enum Reason {
-    /// An answer of the table in `skylark_core::request::error_kind`.
+    /// An error that is listed in `skylark_core::request::error_kind`.
     Kind(ErrorKind),
-    /// An error that is not of the table, by SQLSTATE and message.
+    /// Any other error, as its SQLSTATE and message.
     Foreign(String),
     /// No connection could be opened, so nothing was sent.
     ConnectFailed,
-    /// The connection was found closed before anything was sent.
+    /// The connection was closed before the request was sent.
     ClosedBefore,
     /// The connection broke after the request was sent.
     Broken,
-    /// The caller gave up waiting.
+    /// The caller's time limit passed before a response arrived.
     GaveUp,
 }
 
 impl Reason {
-    /// The name in counts and reports.
+    /// Returns the name in counters and reports.
     pub fn name(&self) -> &str {
         match self {
             Reason::Kind(kind) => kind.answer().name,
@@ -54,87 +54,87 @@
     }
 }
 
-/// A request that got no result, and what it was told about its effect.
+/// The failure of a request that got no result.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Refusal {
-    /// Why.
+    /// The reason of the failure.
     pub reason: Reason,
-    /// Whether it ran, as the answer claims or as the caller knows.
+    /// Whether the request ran, according to the error response or to the caller's own knowledge.
     pub outcome: Outcome,
 }
 
-/// What a write or a read asked.
+/// The request of an operation.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Request {
-    /// Adds the row (`tag`, session, `seq`); `seq` grows with each write of the session.
+    /// Inserts the row (`tag`, session, `seq`). `seq` increases with each write of the session.
     Write {
-        /// The session's number for this write, from 1.
+        /// The sequence number of the write within the session, from 1.
         seq: u64,
     },
     /// Reads the highest `seq` of the session's own rows.
     Read {
-        /// The highest `seq` that was acknowledged to the session before this read began.
+        /// The highest `seq` that was acknowledged to the session before the read started, or 0.
         must_see_seq: u64,
     },
 }
 
-/// How an operation ended.
+/// The result of an operation.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Ending {
-    /// The write was acknowledged, at this position where one was reported.
+    /// The write was acknowledged.
     Acknowledged {
-        /// The commit's position.
+        /// The log position of the commit, or `None` if none was reported.
         position: Option<LogPosition>,
     },
-    /// The read was answered.
+    /// The read was answered, or a write got the response of a read.
     Answered {
-        /// The tag that the answer carries; none if the answer has another shape.
+        /// The tag in the response, or `None` if the response has an unexpected form.
         echo: Option<Tag>,
-        /// The highest `seq` that it shows.
+        /// The highest `seq` in the response.
         seen_seq: u64,
     },
-    /// It was refused or given up.
+    /// The operation failed: it was refused or abandoned.
     Refused(Refusal),
 }
 
-/// One operation of one caller.
+/// The record of one operation. Times are in microseconds on the run's clock.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Record {
-    /// The place of the operation's description in the mix.
+    /// The index of the operation's description in the mix.
     pub operation: usize,
-    /// The place of the group in the run's list.
+    /// The index of the group in the run's list of groups.
     pub group: usize,
-    /// The session.
+    /// The number of the session.
     pub session: u32,
     /// The request's tag.
     pub tag: Tag,
-    /// What it asked.
+    /// The request.
     pub request: Request,
-    /// When it should have begun; latency counts from here.
+    /// The scheduled start. Latency is measured from here, so it includes delays of the caller.
     pub intended_us: u64,
-    /// When the caller began it.
+    /// The actual start.
     pub started_us: u64,
-    /// When it ended.
+    /// The end.
     pub ended_us: u64,
-    /// How it ended.
+    /// The result.
     pub ending: Ending,
 }
 
 impl Record {
-    /// The time from the intended start to the end.
+    /// Returns the time from the scheduled start to the end, in microseconds.
     pub fn latency_us(&self) -> u64 {
         self.ended_us.saturating_sub(self.intended_us)
     }
 
-    /// Whether it got its result.
+    /// Returns whether the operation was answered or acknowledged.
     pub fn succeeded(&self) -> bool {
         !matches!(self.ending, Ending::Refused(_))
     }
 }
 
-/// The rows that a group's primary holds at the end: one tag a row, in any order.
+/// The rows that a group's primary holds at the end of a run.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct FinalRows {
-    /// The tags, with repetitions where rows repeat.
+    /// The tag of each row, in any order. Duplicate rows give duplicate tags.
     pub tags: Vec<Tag>,
 }
