--- a/crates/bench/src/experiment/compare.rs
+++ b/crates/bench/src/experiment/compare.rs
@@ -1,4 +1,4 @@
-//! Two results side by side.
+//! Formats a comparison of two experiment results as Markdown.
 
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
 
 const US_PER_MS: f64 = 1000.0;
 
-/// Compares the phases and operations that both results have.
+/// Compares the phases and operations that are in both results. Others are omitted.
 pub fn markdown(old: &[Line], new: &[Line]) -> String {
     let mut text = String::new();
     let _ = writeln!(text, "| phase | operation | p50 ms | p99 ms | refused |");
--- a/crates/bench/src/experiment/file.rs
+++ b/crates/bench/src/experiment/file.rs
@@ -1,4 +1,4 @@
-//! The description of an experiment: JSON with comments.
+//! The experiment file: JSON with comments.
 
 use std::fmt;
 use std::fs;
@@ -14,75 +14,76 @@
 use crate::load::mix::OperationSpec;
 use crate::load::session::Roaming;
 
-/// An experiment.
+/// The contents of an experiment file.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// The name in results.
+    /// The name of the experiment in results.
     pub name: String,
-    /// The deployment's file, relative to this one.
+    /// The path of the deployment file, relative to the directory of the experiment file.
     pub deployment: String,
     /// The service time of each statement at the targets, in microseconds.
     #[serde(default)]
     pub statement_cost_us: u64,
     /// The seed of arrivals and roaming.
     pub seed: u64,
-    /// The rates over time.
+    /// The load phases, in order.
     pub phases: Vec<Phase>,
-    /// The operations.
+    /// The operations of the load and their weights.
     pub mix: Vec<OperationSpec>,
-    /// Sessions in each group.
+    /// The number of sessions in each group.
     pub sessions_per_group: u32,
-    /// How sessions roam; they take turns over this list.
+    /// The roaming modes, assigned to the sessions in turn.
     pub roaming: Vec<Roaming>,
-    /// Before one of how many operations a session moves to another proxy.
+    /// The mean number of operations between a session's moves to another proxy: it moves before one in this
+    /// many, chosen at random.
     pub roam_every: u32,
-    /// When a caller gives up waiting, in milliseconds.
+    /// The time after which a caller abandons a request, in milliseconds.
     pub limit_ms: u64,
-    /// What happens when.
+    /// The timed events, in any order.
     #[serde(default)]
     pub timeline: Vec<TimelineEntry>,
 }
 
-/// Something that happens in an experiment.
+/// An event of an experiment with its time.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimelineEntry {
-    /// When, in milliseconds since the load began.
+    /// The time of the event, in milliseconds since the start of the load.
     pub at_ms: u64,
-    /// What.
+    /// The event.
     pub event: TimelineEvent,
 }
 
-/// What can happen.
+/// An event of an experiment.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TimelineEvent {
-    /// A fault of the stand-ins begins or ends.
+    /// Starts or ends a fault of the simulated targets, zones or platform.
     Fault(Fault),
-    /// The proxy of a VM ends at once.
+    /// Kills the proxy of a VM without a graceful stop.
     KillVm(String),
-    /// The proxy of a VM starts again.
+    /// Restarts the proxy of a VM.
     RestartVm(String),
 }
 
-/// Why an experiment can't be read.
+/// An error while reading an experiment file.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The file can't be read.
+    /// The experiment file can't be read.
     Io(io::Error),
-    /// The text is no JSON with comments.
+    /// The text isn't valid JSON with comments.
     Syntax(String),
-    /// A value has no accepted form.
+    /// A value is invalid.
     Value {
-        /// The path of the value.
+        /// The path of the value within the file.
         path: String,
-        /// What is wrong with it.
+        /// The reason why the value is invalid.
         reason: String,
     },
-    /// The deployment can't be read.
+    /// The deployment file can't be read or is invalid.
     Deployment(String),
-    /// A list that must hold something is empty.
+    /// The list of this name needs at least one entry but is empty.
     Empty(&'static str),
 }
 
@@ -92,13 +93,13 @@
             ReadError::Io(error) => error.fmt(f),
             ReadError::Syntax(reason) => f.write_str(reason),
             ReadError::Value { path, reason } => write!(f, "{path}: {reason}"),
-            ReadError::Deployment(reason) => write!(f, "the deployment: {reason}"),
-            ReadError::Empty(list) => write!(f, "{list}: at least one entry is needed"),
+            ReadError::Deployment(reason) => write!(f, "deployment file: {reason}"),
+            ReadError::Empty(list) => write!(f, "{list}: at least one entry is required"),
         }
     }
 }
 
-/// Reads an experiment's text.
+/// Parses the text of an experiment file.
 pub fn parse(text: &str) -> Result<Experiment, ReadError> {
     let value = jsonc_parser::parse_to_serde_value::<serde_json::Value>(text, &Default::default())
         .map_err(|error| ReadError::Syntax(error.to_string()))?;
@@ -116,7 +117,9 @@
     }
 }
 
-/// Reads an experiment's file and its deployment.
+/// Reads an experiment file and its deployment file.
+///
+/// The experiment's `statement_cost_us` overrides the value of every member of the deployment.
 pub fn load(path: &Path) -> Result<(Experiment, DeploymentSettings), ReadError> {
     let experiment = parse(&fs::read_to_string(path).map_err(ReadError::Io)?)?;
     let directory = path.parent().unwrap_or(Path::new("."));
--- a/crates/bench/src/experiment/mod.rs
+++ b/crates/bench/src/experiment/mod.rs
@@ -1,10 +1,10 @@
-//! Experiments: a deployment, a load and faults on a timeline, described in a file.
+//! Experiments: load on an embedded deployment with faults on a timeline, described in a file.
 //!
-//! - [`mod@file`]: the description.
-//! - [`runner`]: runs one.
-//! - [`reads`]: the replicas' share from the proxies' counters.
-//! - [`result`]: what a run gives, as JSON lines.
-//! - [`report`]: the same as Markdown; [`plot`]: as a picture; [`compare`]: two of them side by side.
+//! - [`mod@file`]: the experiment file.
+//! - [`runner`]: runs an experiment.
+//! - [`reads`]: the share of reads served by replicas, from the proxies' counters.
+//! - [`result`]: the result of a run, stored as JSON lines.
+//! - [`report`]: a result as Markdown; [`plot`]: a result as an SVG plot; [`compare`]: two results compared.
 
 pub mod compare;
 pub mod file;
--- a/crates/bench/src/experiment/plot.rs
+++ b/crates/bench/src/experiment/plot.rs
@@ -1,4 +1,5 @@
-//! A result as an SVG picture: latency by operation, replicas' share and refusals over time.
+//! Draws an experiment result as an SVG plot: p99 latency by operation, and the percentages of reads at
+//! replicas and of refused operations over time.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -19,7 +20,11 @@
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Points = Vec<(f64, f64)>;
 
-/// Draws a result.
+/// Draws a result into an SVG file.
+///
+/// # Errors
+///
+/// Returns an error if the plot can't be drawn or the file can't be written.
 pub fn draw(lines: &[Line], path: &Path) -> Result<(), Box<dyn Error>> {
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
--- a/crates/bench/src/experiment/reads.rs
+++ b/crates/bench/src/experiment/reads.rs
@@ -1,4 +1,4 @@
-//! Where reads were served, from the proxies' counters.
+//! The distribution of declared reads over primary and replicas, from the proxies' counters.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Counters of all proxies together, by name.
+/// The sums of the counters over all proxies, by counter name.
 pub type CounterSums = BTreeMap<String, u64>;
 
-/// Adds the counters of all proxies that answer.
+/// Sums the counters of all proxies that respond. Others are skipped.
 pub async fn counters(control_addresses: &[SocketAddr]) -> CounterSums {
     let mut sums = CounterSums::new();
     for address in control_addresses {
@@ -28,8 +28,9 @@
     sums
 }
 
-/// How much each counter grew. A proxy that was restarted counts from zero again, so growth is
-/// never below zero.
+/// Returns the increase of each counter.
+///
+/// A restarted proxy counts from zero again, which can lower a sum. Its increase then is 0.
 pub fn growth(before: &CounterSums, after: &CounterSums) -> CounterSums {
     after
         .iter()
@@ -40,26 +41,26 @@
         .collect()
 }
 
-/// Where declared reads were served.
+/// The declared reads by the place where they were served.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct ReplicaShare {
-    /// Declared reads that were decided.
+    /// The number of declared reads with a final routing decision.
     pub reads: u64,
-    /// Those that a replica served.
+    /// The number of these reads that a replica served.
     pub at_replicas: u64,
-    /// Those that a replica was fit to serve.
+    /// The number of these reads that a replica was eligible to serve.
     pub eligible: u64,
-    /// All of them by reason.
+    /// The number of these reads by the reason of the routing decision.
     pub by_reason: BTreeMap<String, u64>,
 }
 
 impl ReplicaShare {
-    /// Sorts the counters of a stretch of time.
+    /// Computes the shares from the counters' increase over a period.
     pub fn of(counters: &CounterSums) -> ReplicaShare {
         let mut share = ReplicaShare::default();
         for reason in ReadReason::ALL {
             let count = counters.get(&format!("reads.{}", reason.name())).copied().unwrap_or(0);
-            // A read that waits is counted again when it is served or refused.
+            // A waiting read is counted again when it is served or refused.
             let waits = matches!(reason, ReadReason::WaitForFloor | ReadReason::WaitForAge);
             if count == 0 || waits {
                 continue;
@@ -72,12 +73,13 @@
         share
     }
 
-    /// The replicas' share of all declared reads; none without reads.
+    /// Returns the fraction of all declared reads served by replicas, or `None` without reads.
     pub fn of_all(&self) -> Option<f64> {
         (self.reads > 0).then(|| self.at_replicas as f64 / self.reads as f64)
     }
 
-    /// The replicas' share of the reads that a replica was fit to serve; none without such reads.
+    /// Returns reads served by replicas divided by reads that a replica was eligible to serve, or `None`
+    /// without eligible reads.
     pub fn of_eligible(&self) -> Option<f64> {
         (self.eligible > 0).then(|| self.at_replicas as f64 / self.eligible as f64)
     }
--- a/crates/bench/src/experiment/report.rs
+++ b/crates/bench/src/experiment/report.rs
@@ -1,4 +1,4 @@
-//! A result as Markdown.
+//! Formats an experiment result as Markdown.
 
 use std::fmt::Write;
 
@@ -8,7 +8,7 @@
 
 const US_PER_MS: f64 = 1000.0;
 
-/// Writes a result as Markdown. `plot` is the name of the picture beside it.
+/// Formats a result as Markdown. `plot` is the path of the plot image to link, relative to the report.
 pub fn markdown(lines: &[Line], plot: &str) -> String {
     let mut text = String::new();
     for line in lines {
@@ -104,7 +104,7 @@
     each.join(", ")
 }
 
-/// A share in percent, or a dash.
+/// Formats a fraction in percent, or `None` as a dash.
 pub fn percent(share: Option<f64>) -> String {
     share.map_or("-".to_owned(), |share| format!("{:.2}%", share * 100.0))
 }
--- a/crates/bench/src/experiment/result.rs
+++ b/crates/bench/src/experiment/result.rs
@@ -1,4 +1,4 @@
-//! What a run of an experiment gives, as JSON lines.
+//! The result of an experiment run, stored as JSON lines.
 
 use std::collections::BTreeMap;
 
@@ -10,44 +10,44 @@
 use crate::load::series::OperationSummary;
 use crate::load::series::Second;
 
-/// What became of one phase.
+/// The figures of one load phase.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct PhaseResult {
-    /// The phase's place, from 1.
+    /// The position of the phase in the experiment, from 1.
     pub phase: usize,
-    /// Operations offered a second.
+    /// The offered rate, in operations per second.
     pub per_s: f64,
-    /// Whether it is a surge.
+    /// Whether the phase is a surge.
     pub surge: bool,
-    /// Each operation.
+    /// The figures of each operation in the mix.
     pub operations: Vec<OperationSummary>,
     /// Where declared reads were served.
     pub reads: ReplicaShare,
 }
 
-/// The reads and refusals of one second.
+/// The declared reads of one second.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct ReadSecond {
-    /// The second since the load began.
+    /// The index of the second since the start of the load, from 0.
     pub second: u64,
     /// Where declared reads were served.
     pub reads: ReplicaShare,
 }
 
-/// The checker's verdict in numbers.
+/// The counts of the consistency checker's verdict.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct VerdictSummary {
-    /// Operations checked.
+    /// The number of checked operations.
     pub operations: usize,
-    /// Acknowledged writes among them.
+    /// The number of acknowledged writes.
     pub acknowledged: usize,
-    /// Reads of sessions that had written before.
+    /// The number of answered reads of sessions with an earlier acknowledged write.
     pub reads_after_write: usize,
-    /// Writes refused as not run.
+    /// The number of writes refused with the outcome "not run".
     pub not_run: usize,
-    /// Writes of unknown outcome.
+    /// The number of writes with an unknown outcome.
     pub unknown: usize,
-    /// Violations by kind.
+    /// The number of violations by the name of their kind.
     pub violations: BTreeMap<String, u64>,
 }
 
@@ -55,31 +55,31 @@
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 #[serde(tag = "line", rename_all = "snake_case")]
 pub enum Line {
-    /// What ran.
+    /// The experiment and the conditions of the run.
     Experiment {
-        /// The name.
+        /// The name of the experiment.
         name: String,
-        /// The seed.
+        /// The seed of arrivals and roaming.
         seed: u64,
-        /// The machine's load average before the run.
+        /// The load average of the host before the run.
         load_average: String,
     },
-    /// A phase.
+    /// The figures of a phase.
     Phase(PhaseResult),
-    /// A second of one operation.
+    /// The figures of one operation in one second.
     Second(Second),
-    /// A second's reads.
+    /// The declared reads of one second.
     Reads(ReadSecond),
-    /// What the proxies counted over the whole load.
+    /// The increase of the proxies' counters over the whole load.
     Counters {
-        /// Growth by name, without those that did not grow.
+        /// The increase by counter name, without counters that didn't increase.
         counters: CounterSums,
     },
     /// The checker's verdict.
     Verdict(VerdictSummary),
 }
 
-/// Writes a result as JSON lines.
+/// Serialises a result as JSON lines.
 pub fn to_text(lines: &[Line]) -> Result<String, serde_json::Error> {
     let mut text = String::new();
     for line in lines {
@@ -89,7 +89,7 @@
     Ok(text)
 }
 
-/// Reads a result from JSON lines.
+/// Parses a result from JSON lines. Empty lines are ignored.
 pub fn from_text(text: &str) -> Result<Vec<Line>, serde_json::Error> {
     text.lines().filter(|line| !line.is_empty()).map(serde_json::from_str).collect()
 }
--- a/crates/bench/src/experiment/runner.rs
+++ b/crates/bench/src/experiment/runner.rs
@@ -36,7 +36,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 const US_PER_MS: u64 = 1000;
 
-/// Why an experiment gave no result.
+/// The reason why an experiment failed to give a result.
 #[derive(Debug)]
 pub struct RunnerError(String);
 
@@ -53,7 +53,9 @@
     RunnerError(error.to_string())
 }
 
-/// Runs an experiment and gives its result.
+/// Runs an experiment on a fresh embedded deployment and returns the lines of its result.
+///
+/// The run ends all faults before it reads the final rows for the consistency check.
 pub async fn run(
     experiment: &Experiment,
     settings: &DeploymentSettings,
@@ -122,7 +124,7 @@
     in_time.map_err(|_| RunnerError("the proxies did not become ready in time".to_owned()))
 }
 
-/// The proxies' counters at each second of the load, the first before it.
+/// Samples the proxies' counters at the start of the load and after each second of it.
 async fn sample(controls: &[SocketAddr], total_ms: u64) -> Vec<CounterSums> {
     let start = Instant::now();
     let mut samples = vec![reads::counters(controls).await];
