--- a/crates/bench/src/connection_cache/report.rs
+++ b/crates/bench/src/connection_cache/report.rs
@@ -62,13 +62,13 @@
 pub fn draw(setup: &Setup, seeds: u64, path: &Path) -> Result<(), Box<dyn Error>> {
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
-    let most = f64::from(PLOTTED_CONNECTIONS[PLOTTED_CONNECTIONS.len() - 1]);
+    let max_connections = f64::from(PLOTTED_CONNECTIONS[PLOTTED_CONNECTIONS.len() - 1]);
     let mut chart = ChartBuilder::on(&root)
         .caption("statements without a connection of their organisation, percent, over connections of a target", CAPTION)
         .margin(MARGIN)
         .x_label_area_size(LABEL_AREA / 2)
         .y_label_area_size(LABEL_AREA)
-        .build_cartesian_2d(0.0..most, 0.0..100.0)?;
+        .build_cartesian_2d(0.0..max_connections, 0.0..100.0)?;
     chart.configure_mesh().disable_x_mesh().draw()?;
     for (index, strategy) in STRATEGIES.into_iter().enumerate() {
         let points = PLOTTED_CONNECTIONS.map(|connections| {
--- a/crates/bench/src/connection_cache/simulation.rs
+++ b/crates/bench/src/connection_cache/simulation.rs
@@ -30,7 +30,7 @@
 const TARGETS: usize = 3;
 
 /// The interval of pool maintenance, in microseconds.
-const MAINTENANCE_US: u64 = 100_000;
+const MAINTENANCE_INTERVAL_US: u64 = 100_000;
 
 /// The warm-up, which fills the pools and isn't counted, takes this fraction (1/n) of the run.
 const WARM_UP_DIVISOR: u64 = 4;
@@ -118,7 +118,7 @@
 pub fn run(setup: &Setup, strategy: Strategy, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(setup, strategy, seed);
     simulation.schedule(0, Event::Arrival);
-    simulation.schedule(MAINTENANCE_US, Event::Maintenance);
+    simulation.schedule(MAINTENANCE_INTERVAL_US, Event::Maintenance);
     let warm_up_us = setup.span_us / WARM_UP_DIVISOR;
     let mut is_warm = false;
     while let Some(Reverse((now_us, _, event))) = simulation.events.pop() {
@@ -199,7 +199,7 @@
             }
             Event::Maintenance => {
                 self.maintain(now_us);
-                self.schedule(now_us + MAINTENANCE_US, Event::Maintenance);
+                self.schedule(now_us + MAINTENANCE_INTERVAL_US, Event::Maintenance);
             }
             Event::Ended(job) => self.finish_job(job, now_us),
         }
@@ -207,18 +207,20 @@
 
     fn arrive(&mut self, now_us: u64) {
         let organisation = self.draw_organisation();
-        let draw =
-            self.rng.random_range(0..STATEMENT_KINDS.iter().map(|work| work.weight).sum::<u32>());
+        let draw = self.rng.random_range(
+            0..STATEMENT_KINDS.iter().map(|statement_kind| statement_kind.weight).sum::<u32>(),
+        );
         let mut cumulative_weight = 0;
-        let work = STATEMENT_KINDS.iter().find(|work| {
-            cumulative_weight += work.weight;
+        let statement_kind = STATEMENT_KINDS.iter().find(|statement_kind| {
+            cumulative_weight += statement_kind.weight;
             draw < cumulative_weight
         });
-        let work = work.expect("the draw is below the sum of weights");
+        let statement_kind = statement_kind.expect("the draw is below the sum of weights");
         let vm = self.rng.random_range(0..self.setup.vms);
-        let target = if work.at_primary { 0 } else { self.replica_for(organisation) };
+        let target = if statement_kind.at_primary { 0 } else { self.replica_for(organisation) };
         let holder = self.holder_for(target, organisation, vm);
-        let statement = PendingStatement { organisation, arrived_us: now_us, run_us: work.run_us };
+        let statement =
+            PendingStatement { organisation, arrived_us: now_us, run_us: statement_kind.run_us };
         let mut actions = Actions::default();
         let found = self.pools[target][holder].statement_arrived(statement, now_us, &mut actions);
         self.counts.statements += 1;
--- a/crates/bench/src/experiment/runner.rs
+++ b/crates/bench/src/experiment/runner.rs
@@ -141,10 +141,10 @@
 ) -> Result<(), RunnerError> {
     let start = Instant::now();
     let mut timeline = timeline.to_vec();
-    timeline.sort_by_key(|entry| entry.at_ms);
-    for entry in &timeline {
-        time::sleep_until(start + Duration::from_millis(entry.at_ms)).await;
-        match &entry.event {
+    timeline.sort_by_key(|scheduled| scheduled.at_ms);
+    for scheduled in &timeline {
+        time::sleep_until(start + Duration::from_millis(scheduled.at_ms)).await;
+        match &scheduled.event {
             TimelineEvent::Fault(fault) => {
                 embedded.deployment().inject(fault).await.map_err(runner_error)?
             }
--- a/crates/bench/src/surge/simulation.rs
+++ b/crates/bench/src/surge/simulation.rs
@@ -39,7 +39,7 @@
 const THINK_US: u64 = 2_000;
 
 /// The interval of the checks for expired requests, in microseconds.
-const EXPIRY_US: u64 = 10_000;
+const EXPIRY_CHECK_INTERVAL_US: u64 = 10_000;
 
 /// The parameters that vary between runs besides the strategy.
 #[derive(Clone, Copy, Debug)]
@@ -139,7 +139,7 @@
 {
     fn run(&mut self) {
         self.arrive_next(0);
-        self.schedule(EXPIRY_US, Event::Expiry);
+        self.schedule(EXPIRY_CHECK_INTERVAL_US, Event::Expiry);
         while let Some(cmp::Reverse((now_us, _, event))) = self.events.pop() {
             self.handle(event, now_us);
         }
@@ -271,7 +271,7 @@
             self.timed_out(ticket);
         }
         if !self.events.is_empty() {
-            self.schedule(now_us + EXPIRY_US, Event::Expiry);
+            self.schedule(now_us + EXPIRY_CHECK_INTERVAL_US, Event::Expiry);
         }
     }
 
