--- a/crates/bench/src/experiment/reads.rs
+++ b/crates/bench/src/experiment/reads.rs
@@ -41,7 +41,7 @@
         .collect()
 }
 
-/// The declared reads by the place where they were served.
+/// Declared reads by whether a replica served them or could have.
 #[derive(Clone, PartialEq, Debug, Default, Serialize, Deserialize)]
 pub struct ReplicaShare {
     /// The number of declared reads with a final routing decision.
--- a/crates/bench/src/experiment/result.rs
+++ b/crates/bench/src/experiment/result.rs
@@ -21,7 +21,7 @@
     pub surge: bool,
     /// The figures of each operation in the mix.
     pub operations: Vec<OperationSummary>,
-    /// Where declared reads were served.
+    /// The declared reads by where they were served.
     pub reads: ReplicaShare,
 }
 
@@ -30,7 +30,7 @@
 pub struct ReadSecond {
     /// The index of the second since the start of the load, from 0.
     pub second: u64,
-    /// Where declared reads were served.
+    /// The declared reads by where they were served.
     pub reads: ReplicaShare,
 }
 
--- a/crates/bench/src/gap/scenario.rs
+++ b/crates/bench/src/gap/scenario.rs
@@ -28,7 +28,7 @@
         Scenario::PlannedMove,
     ];
 
-    /// The name on the command line and in reports.
+    /// Returns the name on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Scenario::Killed => "killed",
--- a/crates/bench/src/surge/trace.rs
+++ b/crates/bench/src/surge/trace.rs
@@ -94,7 +94,7 @@
     /// All scenarios.
     pub const ALL: [Scenario; 3] = [Scenario::Lookups, Scenario::Everything, Scenario::OneCaller];
 
-    /// The name in the results.
+    /// Returns the name in the results.
     pub fn name(self) -> &'static str {
         match self {
             Scenario::Lookups => "lookups",
@@ -127,7 +127,7 @@
     /// All phases in order of time.
     pub const ALL: [Phase; 3] = [Phase::Before, Phase::Surge, Phase::After];
 
-    /// The name in the results.
+    /// Returns the name in the results.
     pub fn name(self) -> &'static str {
         match self {
             Phase::Before => "before",
