--- a/crates/bench/src/connection_cache/pool.rs
+++ b/crates/bench/src/connection_cache/pool.rs
@@ -1,4 +1,7 @@
-//! The connections of one process to one target, kept and opened as the proxies' pools do.
+//! A model of the connection pool that one process keeps for one target.
+//!
+//! A connection serves a single organisation. The proxy's [`ConnectionBudget`] decides when connections are
+//! opened and when idle ones are evicted.
 
 use std::collections::VecDeque;
 
@@ -6,43 +9,43 @@
 use skylark_core::process::connection_budget::ConnectionBudget;
 use skylark_proxy::sessions::process::limits;
 
-/// The number of an organisation.
+/// The index of an organisation, in descending order of its statement rate.
 pub type OrganisationId = usize;
 
-/// A statement that waits for a connection.
+/// A statement that needs a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Waiting {
-    /// Whose it is.
+pub struct PendingStatement {
+    /// The organisation that sent the statement.
     pub organisation: OrganisationId,
-    /// When it came.
-    pub came_us: u64,
-    /// How long it will occupy a slot.
+    /// The arrival time, in microseconds of virtual time.
+    pub arrived_us: u64,
+    /// The time that the statement occupies a slot of the target, in microseconds.
     pub run_us: u64,
 }
 
-/// What is to be done after a change.
+/// The work that follows from a change of a pool, carried out by the simulation.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Actions {
-    /// Statements that got a connection.
-    pub run: Vec<Waiting>,
-    /// For whom connections are to be opened.
+    /// Statements that were assigned a connection and have to run.
+    pub run: Vec<PendingStatement>,
+    /// The organisations to open connections for, one entry per connection.
     pub open: Vec<OrganisationId>,
-    /// How many idle connections were evicted for other organisations.
+    /// The number of idle connections evicted to make room for other organisations.
     pub replaced: u32,
 }
 
-/// One pool.
+/// The simulated pool of one process for one target.
 #[derive(Debug)]
 pub struct SimulatedPool {
     budget: ConnectionBudget,
-    /// Idle connections, the least recently used first.
+    /// The organisations of idle connections, least recently used first.
     idle: Vec<OrganisationId>,
-    waiting: VecDeque<Waiting>,
+    waiting: VecDeque<PendingStatement>,
     opening: Vec<OrganisationId>,
 }
 
 impl SimulatedPool {
-    /// An empty pool of at most `share` connections.
+    /// Creates an empty pool of at most `share` connections.
     pub fn new(share: u32, seed: u64) -> SimulatedPool {
         SimulatedPool {
             budget: ConnectionBudget::new(limits::ORGANISATIONS_POLICY, share, seed, 0),
@@ -52,11 +55,18 @@
         }
     }
 
-    /// A statement comes. Returns whether an idle connection of its organisation was there.
-    pub fn arrive(&mut self, statement: Waiting, now_us: u64, actions: &mut Actions) -> bool {
+    /// Assigns an idle connection of the organisation to the statement or queues the statement.
+    ///
+    /// Returns whether an idle connection was available.
+    pub fn statement_arrived(
+        &mut self,
+        statement: PendingStatement,
+        now_us: u64,
+        actions: &mut Actions,
+    ) -> bool {
         let found = self.idle.iter().rposition(|it| *it == statement.organisation);
-        if let Some(place) = found {
-            self.idle.remove(place);
+        if let Some(index) = found {
+            self.idle.remove(index);
             self.budget.take(now_us);
             actions.run.push(statement);
             return true;
@@ -66,22 +76,32 @@
         false
     }
 
-    /// A connection was opened.
-    pub fn opened(&mut self, organisation: OrganisationId, now_us: u64, actions: &mut Actions) {
-        if let Some(place) = self.opening.iter().position(|it| *it == organisation) {
-            self.opening.swap_remove(place);
+    /// Adds an opened connection and assigns it to a waiting statement, if any.
+    pub fn connection_opened(
+        &mut self,
+        organisation: OrganisationId,
+        now_us: u64,
+        actions: &mut Actions,
+    ) {
+        if let Some(index) = self.opening.iter().position(|it| *it == organisation) {
+            self.opening.swap_remove(index);
         }
         self.budget.opened();
-        self.hand_over(organisation, now_us, actions);
+        self.serve_or_idle(organisation, now_us, actions);
     }
 
-    /// A statement ended.
-    pub fn gave_back(&mut self, organisation: OrganisationId, now_us: u64, actions: &mut Actions) {
+    /// Returns the connection of an ended statement to the pool or assigns it to a waiting statement.
+    pub fn statement_ended(
+        &mut self,
+        organisation: OrganisationId,
+        now_us: u64,
+        actions: &mut Actions,
+    ) {
         self.budget.returned();
-        self.hand_over(organisation, now_us, actions);
+        self.serve_or_idle(organisation, now_us, actions);
     }
 
-    /// Opens connections for those who wait, in place of others where there is no room.
+    /// Requests connections for waiting statements, evicting idle ones if the pool has reached its limit.
     pub fn maintain(&mut self, now_us: u64, actions: &mut Actions) {
         let waiting = self.waiting.iter().map(|statement| &statement.organisation);
         let missing = connection_budget::missing_users(waiting, &self.opening);
@@ -94,16 +114,16 @@
         actions.replaced += plan.replaced;
     }
 
-    /// Gives up statements that came before a moment, and returns how many.
-    pub fn give_up(&mut self, before_us: u64) -> usize {
+    /// Removes waiting statements that arrived before `before_us` and returns their number.
+    pub fn expire(&mut self, before_us: u64) -> usize {
         let count = self.waiting.len();
-        self.waiting.retain(|statement| statement.came_us >= before_us);
+        self.waiting.retain(|statement| statement.arrived_us >= before_us);
         count - self.waiting.len()
     }
 
-    fn hand_over(&mut self, organisation: OrganisationId, now_us: u64, actions: &mut Actions) {
-        let place = self.waiting.iter().position(|it| it.organisation == organisation);
-        if let Some(statement) = place.and_then(|place| self.waiting.remove(place)) {
+    fn serve_or_idle(&mut self, organisation: OrganisationId, now_us: u64, actions: &mut Actions) {
+        let index = self.waiting.iter().position(|it| it.organisation == organisation);
+        if let Some(statement) = index.and_then(|index| self.waiting.remove(index)) {
             self.budget.take(now_us);
             actions.run.push(statement);
             return;
--- a/crates/bench/src/gap/trial.rs
+++ b/crates/bench/src/gap/trial.rs
@@ -1,4 +1,4 @@
-//! One run: a deployment of its own, a probe writer, other callers, a fault, and the checker.
+//! One run: a fresh deployment, a probe writer, background load, a fault, and the history checker.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -33,70 +33,72 @@
 use crate::load::run::RunPlan;
 use crate::load::session::Roaming;
 
-/// When the fault comes, after the load began.
+/// The delay from the start of the load to the fault, without the jitter.
 const FAULT_AT_MS: u64 = 700;
 
-/// How long the load goes on after the fault.
+/// The time that the load continues after [`FAULT_AT_MS`].
 const AFTER_FAULT_MS: u64 = 2_300;
 
-/// The probe's writes a second: one each five milliseconds.
+/// The probe's write rate per second: one write every five milliseconds.
 const PROBES_PER_S: f64 = 200.0;
 
-/// The other callers' operations a second.
-const OTHERS_PER_S: f64 = 200.0;
+/// The rate of background operations per second.
+const BACKGROUND_PER_S: f64 = 200.0;
 
-/// Sessions of the probe: enough that those that wait in a gap don't keep the next ones back.
+/// The number of probe sessions, high enough that sessions blocked during a gap don't delay the next probes.
 const PROBE_SESSIONS: u32 = 400;
 
-/// Sessions of the other callers.
-const OTHER_SESSIONS: u32 = 60;
+/// The number of background sessions.
+const BACKGROUND_SESSIONS: u32 = 60;
 
-/// When a caller gives up waiting.
-const CALLER_LIMIT_MS: u64 = 10_000;
+/// The time after which a caller abandons a request.
+const CALLER_TIMEOUT_MS: u64 = 10_000;
 
-/// How long the deployment may take to start, and to settle after the fault has ended.
-const SETTLE_LIMIT: Duration = Duration::from_secs(20);
+/// The limit for the start of the deployment, for a driver to reach the step at which it is killed, and for
+/// the members to agree after the faults ended.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What one run gave.
+/// The result of one run.
 #[derive(Clone, Debug)]
 pub struct Trial {
-    /// The time between the last write that the old primary acknowledged to the probe and the first
-    /// one of the new primary, in microseconds.
+    /// The time from the last probe write acknowledged before the primary changed to the first one
+    /// acknowledged in the new term, in microseconds. Equals [`Trial::longest_us`] if the
+    /// probes show no change of term.
     pub gap_us: u64,
-    /// The longest time from the fault on in which no probe was acknowledged, in microseconds.
+    /// The longest time without an acknowledged probe that ends after the fault, in microseconds.
     pub longest_us: u64,
-    /// Where the time went, where the decisions show it.
+    /// The phases of the gap, if the logged decisions contain a completed change of primary.
     pub phases: Option<Phases>,
-    /// The checker's verdict on all callers.
+    /// The checker's verdict on the histories of the probe and the background load.
     pub verdict: Verdict,
-    /// The step that the driver had reached when it was killed.
+    /// The step that the driver had reached when it was killed, in [`Scenario::DriverKilled`] only.
     pub killed_at: Option<String>,
 }
 
-/// A run's figures, as they are written.
+/// The figures of a run as a line of the result file.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct TrialLine {
     /// The scenario's name.
     pub scenario: String,
-    /// The run's seed.
+    /// The seed of the load, of the fault's jitter and of the step at which a driver is killed.
     pub seed: u64,
-    /// The time between the last write of the old primary and the first one of the new.
+    /// [`Trial::gap_us`], in microseconds.
     pub gap_us: u64,
-    /// The longest time from the fault on in which no probe was acknowledged.
+    /// [`Trial::longest_us`], in microseconds.
     pub longest_us: u64,
-    /// The phases.
+    /// [`Trial::phases`].
     pub phases: Option<Phases>,
-    /// Operations checked.
+    /// The number of checked operations.
     pub checked: usize,
-    /// Violations found, in words.
+    /// The violations found by the checker, as text.
     pub violations: Vec<String>,
-    /// The step that the driver had reached when it was killed.
+    /// [`Trial::killed_at`].
     pub killed_at: Option<String>,
 }
 
-/// Why a run gave no figures.
+/// The reason why a run failed to give figures.
 #[derive(Debug)]
 pub struct TrialError(String);
 
@@ -106,14 +108,14 @@
     }
 }
 
-fn failed<E>(error: E) -> TrialError
+fn trial_error<E>(error: E) -> TrialError
 where
     E: fmt::Display,
 {
     TrialError(error.to_string())
 }
 
-/// Runs one scenario on a fresh deployment; the first group loses its primary.
+/// Runs one scenario on a fresh deployment. The first group loses its primary.
 pub async fn run(
     settings: &DeploymentSettings,
     options: &ProxyOptions,
@@ -122,47 +124,47 @@
 ) -> Result<Trial, TrialError> {
     let clock = Clock::start();
     let mut embedded =
-        Embedded::start(settings, options, Ports::Free, clock).await.map_err(failed)?;
-    wait_until(|| embedded.ready(), "the proxies are not ready").await?;
-    let site = Site::of(settings, &embedded, scenario);
-    let (probe, others) = plans(&site, seed);
-    run::prepare(&others).await.map_err(failed)?;
+        Embedded::start(settings, options, Ports::Free, clock).await.map_err(trial_error)?;
+    wait_until(|| embedded.ready(), "timed out waiting for the proxies to become ready").await?;
+    let setup = TrialSetup::of(settings, &embedded, scenario);
+    let (probe, background) = plans(&setup, seed);
+    run::prepare(&background).await.map_err(trial_error)?;
 
-    let load = async { tokio::join!(run::offer(&probe, clock), run::offer(&others, clock)) };
-    let fault = cause(&mut embedded, &site, scenario, seed, clock);
-    let ((probe_records, other_records), caused) = tokio::join!(load, fault);
-    let caused = caused?;
+    let load = async { tokio::join!(run::offer(&probe, clock), run::offer(&background, clock)) };
+    let fault = inject_scenario(&mut embedded, &setup, scenario, seed, clock);
+    let ((probe_records, background_records), injected) = tokio::join!(load, fault);
+    let injected = injected?;
 
     end_faults(&mut embedded, settings).await?;
-    settle(&embedded, &site.group).await?;
-    let rows = run::final_rows(&others).await.map_err(failed)?;
-    let longest = longest_gap(&probe_records, caused.at_us);
-    let change = change_gap(&probe_records, caused.at_us);
-    let decisions = embedded.decisions().about(&site.group, caused.at_us);
-    let records: Vec<Record> = probe_records.into_iter().chain(other_records).collect();
+    wait_until_settled(&embedded, &setup.group).await?;
+    let rows = run::final_rows(&background).await.map_err(trial_error)?;
+    let longest = longest_gap(&probe_records, injected.at_us);
+    let failover = failover_gap(&probe_records, injected.at_us);
+    let decisions = embedded.decisions().about(&setup.group, injected.at_us);
+    let records: Vec<Record> = probe_records.into_iter().chain(background_records).collect();
     Ok(Trial {
-        gap_us: change.unwrap_or(longest).lasts_us(),
-        longest_us: longest.lasts_us(),
-        phases: change.and_then(|gap| phases::split(&decisions, caused.at_us, gap.to_us)),
+        gap_us: failover.unwrap_or(longest).duration_us(),
+        longest_us: longest.duration_us(),
+        phases: failover.and_then(|gap| phases::split(&decisions, injected.at_us, gap.to_us)),
         verdict: checker::check(&records, &rows),
-        killed_at: caused.killed_at,
+        killed_at: injected.killed_at,
     })
 }
 
-/// Where a run takes place.
-struct Site {
+/// The group under test and the proxies that receive the load.
+struct TrialSetup {
     group: String,
     primary: String,
     primary_zone: String,
     successor: String,
-    /// The proxies of zones that stay connected: those that the balancer sends callers to.
+    /// The proxies that a load balancer would use: all except those in the isolated zone.
     probe_entries: Vec<SocketAddr>,
     all_entries: Vec<SocketAddr>,
     read_kind: String,
 }
 
-impl Site {
-    fn of(settings: &DeploymentSettings, embedded: &Embedded, scenario: Scenario) -> Site {
+impl TrialSetup {
+    fn of(settings: &DeploymentSettings, embedded: &Embedded, scenario: Scenario) -> TrialSetup {
         let group = &settings.groups[0];
         let primary = &group.members[0];
         let all_entries = embedded.addresses();
@@ -175,7 +177,7 @@
             .collect();
         let kinds = settings.services.iter().find(|service| service.name == group.service);
         let read_kind = kinds.and_then(|service| service.read_kinds.first());
-        Site {
+        TrialSetup {
             group: group.name.clone(),
             primary: primary.target.clone(),
             primary_zone: primary.zone.clone(),
@@ -198,65 +200,65 @@
     }
 }
 
-fn plans(site: &Site, seed: u64) -> (RunPlan, RunPlan) {
+fn plans(setup: &TrialSetup, seed: u64) -> (RunPlan, RunPlan) {
     let for_ms = FAULT_AT_MS + AFTER_FAULT_MS;
     let probe = RunPlan {
         seed,
         phases: vec![Phase { for_ms, per_s: PROBES_PER_S, surge: false, even: true }],
         mix: vec![operation("probe", Action::Write, "", 1)],
-        groups: vec![site.group.clone()],
-        entries: site.probe_entries.clone(),
+        groups: vec![setup.group.clone()],
+        entries: setup.probe_entries.clone(),
         first_session: 0,
         sessions_per_group: PROBE_SESSIONS,
         roaming: vec![Roaming::Stay],
         roam_every: 1,
-        limit_ms: CALLER_LIMIT_MS,
+        limit_ms: CALLER_TIMEOUT_MS,
     };
-    let others = RunPlan {
-        phases: vec![Phase { for_ms, per_s: OTHERS_PER_S, surge: false, even: false }],
+    let background = RunPlan {
+        phases: vec![Phase { for_ms, per_s: BACKGROUND_PER_S, surge: false, even: false }],
         mix: vec![
             operation("write", Action::Write, "", 2),
             operation("transaction", Action::Transaction, "", 1),
             operation("read", Action::Read, "", 1),
-            operation("aged read", Action::Read, &site.read_kind, 4),
+            operation("aged read", Action::Read, &setup.read_kind, 4),
         ],
-        entries: site.all_entries.clone(),
+        entries: setup.all_entries.clone(),
         first_session: PROBE_SESSIONS,
-        sessions_per_group: OTHER_SESSIONS,
+        sessions_per_group: BACKGROUND_SESSIONS,
         roaming: vec![Roaming::Token, Roaming::Identity, Roaming::Stay],
         roam_every: 2,
         ..probe.clone()
     };
-    (probe, others)
+    (probe, background)
 }
 
-/// What was brought about.
-struct Caused {
+/// The fault that was injected.
+struct InjectedFault {
     at_us: u64,
     killed_at: Option<String>,
 }
 
-async fn cause(
+async fn inject_scenario(
     embedded: &mut Embedded,
-    site: &Site,
+    setup: &TrialSetup,
     scenario: Scenario,
     seed: u64,
     clock: Clock,
-) -> Result<Caused, TrialError> {
-    // Not in step with probes and timers.
-    let late_ms = seed.wrapping_mul(37) % 100;
-    time::sleep(Duration::from_millis(FAULT_AT_MS + late_ms)).await;
+) -> Result<InjectedFault, TrialError> {
+    // The jitter avoids a fixed phase relation between the fault and the probes and timers.
+    let jitter_ms = seed.wrapping_mul(37) % 100;
+    time::sleep(Duration::from_millis(FAULT_AT_MS + jitter_ms)).await;
     let at_us = clock.now_us();
-    let kill = Fault::KillTarget { target: site.primary.clone(), on: true };
+    let kill = Fault::KillTarget { target: setup.primary.clone(), on: true };
     let mut killed_at = None;
     match scenario {
         Scenario::Killed => inject(embedded, &kill).await?,
         Scenario::Isolated => {
-            let zone = site.primary_zone.clone();
+            let zone = setup.primary_zone.clone();
             inject(embedded, &Fault::IsolateZone { zone, on: true }).await?;
         }
         Scenario::Paused => {
-            let target = site.primary.clone();
+            let target = setup.primary.clone();
             inject(embedded, &Fault::PauseTarget { target, on: true }).await?;
         }
         Scenario::PlatformDown => {
@@ -265,18 +267,22 @@
         }
         Scenario::DriverKilled => {
             inject(embedded, &kill).await?;
-            killed_at = Some(kill_driver(embedded, &site.group, at_us, seed).await?);
+            killed_at = Some(kill_driver(embedded, &setup.group, at_us, seed).await?);
         }
         Scenario::PlannedMove => {
             let platform = embedded.deployment().settings().platform_address.to_string();
-            let store = HttpStore::new(&platform, &site.primary_zone);
-            operator::want_primary(&store, &site.group, &site.successor).await.map_err(failed)?;
+            let store = HttpStore::new(&platform, &setup.primary_zone);
+            operator::want_primary(&store, &setup.group, &setup.successor)
+                .await
+                .map_err(trial_error)?;
         }
     }
-    Ok(Caused { at_us, killed_at })
+    Ok(InjectedFault { at_us, killed_at })
 }
 
-/// Kills the proxy that drives the change when it reaches a step, which changes from run to run.
+/// Kills the proxy that drives the failover when it reaches a step, and returns the step.
+///
+/// The seed selects the step, so consecutive seeds cover all steps.
 async fn kill_driver(
     embedded: &mut Embedded,
     group: &str,
@@ -287,25 +293,25 @@
     let step = STEPS[seed as usize % STEPS.len()];
     let reached = |it: &Decision| phases::step_of(it).is_some_and(|(_, of)| of == step);
     let decisions = embedded.decisions().clone();
-    let waited = time::timeout(SETTLE_LIMIT, decisions.wait_for(group, from_us, reached)).await;
-    let decision = waited.map_err(|_| TrialError(format!("no driver reached `{step}`")))?;
-    embedded.kill_vm(&decision.vm).map_err(failed)?;
+    let waited = time::timeout(SETTLE_TIMEOUT, decisions.wait_for(group, from_us, reached)).await;
+    let decision = waited.map_err(|_| TrialError(format!("no driver reached `{step}` in time")))?;
+    embedded.kill_vm(&decision.vm).map_err(trial_error)?;
     Ok(step.to_owned())
 }
 
 async fn inject(embedded: &Embedded, fault: &Fault) -> Result<(), TrialError> {
-    embedded.deployment().inject(fault).await.map_err(failed)
+    embedded.deployment().inject(fault).await.map_err(trial_error)
 }
 
 async fn end_faults(
     embedded: &mut Embedded,
     settings: &DeploymentSettings,
 ) -> Result<(), TrialError> {
-    embedded.heal(settings).await.map_err(failed)
+    embedded.heal(settings).await.map_err(trial_error)
 }
 
-/// Waits until one member leads and all hold the same log.
-async fn settle(embedded: &Embedded, group: &str) -> Result<(), TrialError> {
+/// Waits until exactly one member is the primary and all members have applied the same log position.
+async fn wait_until_settled(embedded: &Embedded, group: &str) -> Result<(), TrialError> {
     let settled = || {
         let statuses: Vec<_> = embedded
             .deployment()
@@ -316,22 +322,22 @@
         let leaders = statuses.iter().filter(|status| status.role == Role::Primary).count();
         leaders == 1 && statuses.windows(2).all(|pair| pair[0].applied == pair[1].applied)
     };
-    wait_until(settled, "the members do not agree after the faults ended").await
+    wait_until(settled, "timed out waiting for the members to agree after the faults ended").await
 }
 
-async fn wait_until<F>(holds: F, otherwise: &str) -> Result<(), TrialError>
+async fn wait_until<F>(holds: F, timeout_message: &str) -> Result<(), TrialError>
 where
     F: Fn() -> bool,
 {
     let waiting = async {
         while !holds() {
-            time::sleep(POLL).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     };
-    time::timeout(SETTLE_LIMIT, waiting).await.map_err(|_| TrialError(otherwise.to_owned()))
+    time::timeout(SETTLE_TIMEOUT, waiting).await.map_err(|_| TrialError(timeout_message.to_owned()))
 }
 
-/// A time between two acknowledgements of probes that follow each other.
+/// The interval between two consecutive probe acknowledgements.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 struct Gap {
     from_us: u64,
@@ -339,14 +345,16 @@
 }
 
 impl Gap {
-    fn lasts_us(self) -> u64 {
+    fn duration_us(self) -> u64 {
         self.to_us.saturating_sub(self.from_us)
     }
 }
 
-/// The time between the last acknowledgement of the old primary and the first one of a newer term,
-/// in the order of acknowledgements. `None` if no newer term acknowledged a probe.
-fn change_gap(probes: &[Record], fault_us: u64) -> Option<Gap> {
+/// Returns the interval from the last probe acknowledgement before the first one of a newer term to that one.
+///
+/// The old term is the highest one acknowledged before the fault. Returns `None` if no probe was acknowledged
+/// before the fault or in a newer term.
+fn failover_gap(probes: &[Record], fault_us: u64) -> Option<Gap> {
     let acknowledged = |record: &Record| match record.ending {
         Ending::Acknowledged { position: Some(position) } => Some((record.ended_us, position.term)),
         _ => None,
@@ -359,8 +367,9 @@
     Some(Gap { from_us, to_us: ends[first_new].0 })
 }
 
-/// The longest time between two acknowledgements that ends after the fault. One that lasts until
-/// the last probe was sent counts until then.
+/// Returns the longest interval between two probe acknowledgements that ends after the fault.
+///
+/// An interval that is still open when the last probe is due ends at that time.
 fn longest_gap(probes: &[Record], fault_us: u64) -> Gap {
     let acknowledged = |record: &&Record| matches!(record.ending, Ending::Acknowledged { .. });
     let last_us = probes.iter().map(|it| it.intended_us).max().unwrap_or(fault_us);
@@ -370,12 +379,12 @@
     ends.sort_unstable();
     let gaps = ends.windows(2).map(|pair| Gap { from_us: pair[0], to_us: pair[1] });
     gaps.filter(|gap| gap.to_us >= fault_us)
-        .max_by_key(|gap| gap.lasts_us())
+        .max_by_key(|gap| gap.duration_us())
         .unwrap_or(Gap { from_us: fault_us, to_us: fault_us })
 }
 
 impl Trial {
-    /// The run's figures, as they are written.
+    /// Returns the run's figures as a line of the result file.
     pub fn line(&self, scenario: Scenario, seed: u64) -> TrialLine {
         TrialLine {
             scenario: scenario.name().to_owned(),
--- a/crates/bench/src/surge/simulation.rs
+++ b/crates/bench/src/surge/simulation.rs
@@ -1,8 +1,8 @@
-//! One run: the product's queue in front of a modelled target, in virtual time.
+//! A discrete-event simulation of one run: the proxy's target queue in front of a modelled target.
 //!
-//! The target runs as many statements at once as it has slots and keeps the others in arrival order,
-//! as `docs/INTERFACES.md` says. Connections are open already; a statement and its answer take the
-//! time of the way within a zone.
+//! The target runs as many statements concurrently as it has slots and queues the others in arrival order,
+//! as specified in `docs/INTERFACES.md`. Connections are already open. A statement and its response each
+//! take the one-way network delay within an availability zone.
 
 use std::cmp;
 use std::collections;
@@ -25,77 +25,77 @@
 use crate::surge::trace::CLASSES;
 use crate::surge::trace::Weights;
 
-/// Statements that the target runs at once.
+/// The number of statements that the target runs concurrently.
 const SLOTS: usize = 2;
 
-/// Connections that the target accepts.
+/// The connection limit of the target.
 const CONNECTIONS: u32 = 16;
 
-/// The way from the home to the target, or back.
-const WAY_US: u64 = 200;
+/// The network delay between the home and the target in one direction, in microseconds.
+const ONE_WAY_DELAY_US: u64 = 200;
 
-/// The time between the answer to a statement and the caller's next one: the way to the caller
-/// and back.
+/// The time between the response to a statement and the arrival of the transaction's next statement at the
+/// home, in microseconds: the network round trip to the caller.
 const THINK_US: u64 = 2_000;
 
-/// How often expired requests are looked for.
-const EXPIRY_US: u64 = 10_000;
+/// The interval of the checks for expired requests, in microseconds.
+const EXPIRY_CHECK_INTERVAL_US: u64 = 10_000;
 
-/// What is varied between runs besides the strategy.
+/// The parameters that vary between runs besides the strategy.
 #[derive(Clone, Copy, Debug)]
 pub struct Setup {
-    /// The bounds of the queue.
+    /// The limits of the queue.
     pub limits: QueueLimits,
     /// The weights of the classes.
     pub weights: Weights,
 }
 
 impl Setup {
-    /// The queue's defaults with these weights and this many statements running at once.
+    /// Returns the default queue limits with the given weights and at most `running` concurrent statements.
     pub fn new(weights: Weights, running: u32) -> Setup {
         let limits = QueueLimits { running, connections: CONNECTIONS, ..QueueLimits::default() };
         Setup { limits, weights }
     }
 
-    /// Without the refusals that keep the wait of an overloaded class near its goal.
+    /// Disables the refusals that keep the wait of an overloaded class near its goal.
     pub fn without_standing_rule(mut self) -> Setup {
         self.limits.standing_us = NEVER_US;
         self
     }
 }
 
-/// A time that no run reaches.
+/// A time beyond the end of every run, in microseconds.
 const NEVER_US: u64 = 1_000_000_000_000;
 
-/// What happens at a time.
+/// An event of the simulation.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 enum Event {
     /// A request arrives at the home.
     Arrives(usize),
     /// A request's next statement arrives at the target.
     Reaches(usize),
-    /// A slot has run the statement of a request.
+    /// The target finishes the statement of a request.
     Ran(usize),
-    /// The answer to a statement is back at the home.
+    /// The response to a statement arrives at the home.
     Answered(usize),
-    /// The caller sends the next statement of its transaction.
+    /// The next statement of a request's transaction arrives at the home.
     Continues(usize),
-    /// Expired requests are looked for.
+    /// The queue is checked for expired requests.
     Expiry,
 }
 
-/// Where a request stands.
+/// The progress of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 struct Progress {
     granted_us: u64,
     predicted_us: u64,
     sent_us: u64,
     statement: usize,
-    /// What the home sees of its statements: from sending each one to its answer.
+    /// The sum of the statements' times from sending to response, as the home measures them.
     run_us: u64,
 }
 
-/// A run under way.
+/// The state of a run.
 struct Simulation<'a, S> {
     arrivals: &'a [Arrival],
     events: collections::BinaryHeap<cmp::Reverse<(u64, u64, Event)>>,
@@ -104,11 +104,15 @@
     tickets: FastMap<Ticket, usize>,
     progress: Vec<Progress>,
     free_slots: usize,
-    inside_target: collections::VecDeque<usize>,
+    target_queue: collections::VecDeque<usize>,
     outcome: RunOutcome,
 }
 
-/// Runs the recorded arrivals through a queue with the strategy `S`.
+/// Simulates the arrivals with a queue that uses the sharing strategy `S`.
+///
+/// # Panics
+///
+/// Panics if the queue is inconsistent or holds connections at the end of the run.
 pub fn run<S>(arrivals: &[Arrival], setup: &Setup) -> RunOutcome
 where
     S: SharingStrategy,
@@ -122,7 +126,7 @@
         tickets: FastMap::default(),
         progress: vec![Progress::default(); arrivals.len()],
         free_slots: SLOTS,
-        inside_target: collections::VecDeque::new(),
+        target_queue: collections::VecDeque::new(),
         outcome: RunOutcome::default(),
     };
     simulation.run();
@@ -135,41 +139,41 @@
 {
     fn run(&mut self) {
         self.arrive_next(0);
-        self.at(EXPIRY_US, Event::Expiry);
+        self.schedule(EXPIRY_CHECK_INTERVAL_US, Event::Expiry);
         while let Some(cmp::Reverse((now_us, _, event))) = self.events.pop() {
-            self.happen(event, now_us);
+            self.handle(event, now_us);
         }
-        assert_eq!(self.queue.verify(), Vec::<String>::new(), "the queue is sound at the end");
-        assert_eq!(self.queue.connections(), 0, "every connection came back");
+        assert_eq!(self.queue.verify(), Vec::<String>::new(), "the queue is consistent at the end");
+        assert_eq!(self.queue.connections(), 0, "every connection was released");
     }
 
-    fn at(&mut self, time_us: u64, event: Event) {
+    fn schedule(&mut self, time_us: u64, event: Event) {
         self.sequence += 1;
         self.events.push(cmp::Reverse((time_us, self.sequence, event)));
     }
 
     fn arrive_next(&mut self, request: usize) {
         if let Some(arrival) = self.arrivals.get(request) {
-            self.at(arrival.at_us, Event::Arrives(request));
+            self.schedule(arrival.at_us, Event::Arrives(request));
         }
     }
 
-    fn happen(&mut self, event: Event, now_us: u64) {
+    fn handle(&mut self, event: Event, now_us: u64) {
         match event {
             Event::Arrives(request) => {
-                self.arrives(request, now_us);
+                self.handle_arrival(request, now_us);
                 self.arrive_next(request + 1);
             }
             Event::Reaches(request) => {
-                self.inside_target.push_back(request);
+                self.target_queue.push_back(request);
                 self.fill_slots(now_us);
             }
             Event::Ran(request) => {
                 self.free_slots += 1;
                 self.fill_slots(now_us);
-                self.at(now_us + WAY_US, Event::Answered(request));
+                self.schedule(now_us + ONE_WAY_DELAY_US, Event::Answered(request));
             }
-            Event::Answered(request) => self.answered(request, now_us),
+            Event::Answered(request) => self.handle_answer(request, now_us),
             Event::Continues(request) => {
                 self.queue.statement_started();
                 self.send(request, now_us);
@@ -178,65 +182,69 @@
         }
     }
 
-    fn count(&mut self, request: usize) -> &mut ClassOutcome {
+    fn class_outcome(&mut self, request: usize) -> &mut ClassOutcome {
         let arrival = &self.arrivals[request];
         self.outcome.of(arrival.class, arrival.phase())
     }
 
-    fn arrives(&mut self, request: usize, now_us: u64) {
+    fn handle_arrival(&mut self, request: usize, now_us: u64) {
         let arrival = &self.arrivals[request];
-        self.count(request).offered(arrival);
+        self.class_outcome(request).record_offered(arrival);
         let class = ClassId(arrival.class as u32);
         let deadline_us = now_us + CLASSES[arrival.class].deadline_us;
         match self.queue.arrive(class, CallerId(arrival.caller), deadline_us, now_us) {
-            Admission::Granted => self.start(request, now_us),
+            Admission::Granted => self.start_request(request, now_us),
             Admission::Queued { ticket, predicted_wait_us } => {
                 self.progress[request].predicted_us = predicted_wait_us;
                 self.tickets.insert(ticket, request);
             }
             Admission::Refused { kind: ErrorKind::QueueFull, .. } => {
-                self.count(request).refused_full += 1;
+                self.class_outcome(request).refused_full += 1;
             }
-            Admission::Refused { .. } => self.count(request).refused_deadline += 1,
+            Admission::Refused { .. } => self.class_outcome(request).refused_deadline += 1,
         }
     }
 
-    fn start(&mut self, request: usize, now_us: u64) {
+    fn start_request(&mut self, request: usize, now_us: u64) {
         self.progress[request].granted_us = now_us;
         let waited_us = now_us - self.arrivals[request].at_us;
         let predicted_us = self.progress[request].predicted_us;
-        self.count(request).predicted(predicted_us, waited_us);
+        self.class_outcome(request).record_prediction(predicted_us, waited_us);
         self.send(request, now_us);
     }
 
     fn send(&mut self, request: usize, now_us: u64) {
         self.progress[request].sent_us = now_us;
-        self.at(now_us + WAY_US, Event::Reaches(request));
+        self.schedule(now_us + ONE_WAY_DELAY_US, Event::Reaches(request));
     }
 
     fn fill_slots(&mut self, now_us: u64) {
         while self.free_slots > 0 {
-            let Some(request) = self.inside_target.pop_front() else { return };
+            let Some(request) = self.target_queue.pop_front() else { return };
             self.free_slots -= 1;
             let statement = self.progress[request].statement;
             let run_us = self.arrivals[request].runs_us[statement];
-            self.at(now_us + run_us, Event::Ran(request));
+            self.schedule(now_us + run_us, Event::Ran(request));
         }
     }
 
-    fn answered(&mut self, request: usize, now_us: u64) {
+    fn handle_answer(&mut self, request: usize, now_us: u64) {
         let arrival = &self.arrivals[request];
         let progress = &mut self.progress[request];
         progress.run_us += now_us - progress.sent_us;
         progress.statement += 1;
         self.queue.statement_ended();
         if progress.statement < arrival.runs_us.len() {
-            self.at(now_us + THINK_US, Event::Continues(request));
+            self.schedule(now_us + THINK_US, Event::Continues(request));
         } else {
             let held_us = now_us - progress.granted_us;
             self.queue.released(ClassId(arrival.class as u32), progress.run_us, held_us);
             let response_us = now_us - arrival.at_us;
-            self.count(request).served(&CLASSES[arrival.class], arrival, response_us);
+            self.class_outcome(request).record_served(
+                &CLASSES[arrival.class],
+                arrival,
+                response_us,
+            );
         }
         self.take_turns(now_us);
     }
@@ -245,8 +253,11 @@
         while let Some(turn) = self.queue.next_turn(now_us) {
             match turn {
                 Turn::Granted(grant) => {
-                    let request = self.tickets.remove(&grant.ticket).expect("the ticket waited");
-                    self.start(request, now_us);
+                    let request = self
+                        .tickets
+                        .remove(&grant.ticket)
+                        .expect("the ticket belongs to a queued request");
+                    self.start_request(request, now_us);
                 }
                 Turn::TimedOut(ticket) => self.timed_out(ticket),
             }
@@ -260,12 +271,12 @@
             self.timed_out(ticket);
         }
         if !self.events.is_empty() {
-            self.at(now_us + EXPIRY_US, Event::Expiry);
+            self.schedule(now_us + EXPIRY_CHECK_INTERVAL_US, Event::Expiry);
         }
     }
 
     fn timed_out(&mut self, ticket: Ticket) {
-        let request = self.tickets.remove(&ticket).expect("the ticket waited");
-        self.count(request).timed_out += 1;
+        let request = self.tickets.remove(&ticket).expect("the ticket belongs to a queued request");
+        self.class_outcome(request).timed_out += 1;
     }
 }
