--- a/crates/core/src/request/lead_proof.rs
+++ b/crates/core/src/request/lead_proof.rs
@@ -91,12 +91,12 @@
 
 /// The latest reports of the members of one group.
 #[derive(Clone, Debug, Default)]
-pub struct LeadWords {
+pub struct LeadReports {
     reports: FastMap<Arc<str>, LeadReport>,
     last_proof: Option<Proof>,
 }
 
-impl LeadWords {
+impl LeadReports {
     /// Records a report of a member, unless a report that was requested later is already recorded. Reports may
     /// arrive out of order.
     pub fn record(&mut self, member: &Arc<str>, report: LeadReport) {
@@ -130,8 +130,10 @@
         let Some(own) = self.reports.get(target).copied().filter(|own| own.leads) else {
             return LeadVerdict::TermUnknown;
         };
-        if let Some(later) =
-            received_reports.iter().filter(|report| report.term > own.term).max_by_key(|w| w.term)
+        if let Some(later) = received_reports
+            .iter()
+            .filter(|report| report.term > own.term)
+            .max_by_key(|report| report.term)
         {
             // If its own report is older, the target may have been promoted again in the meantime.
             return match own.asked_us >= later.asked_us {
--- a/crates/core/src/request/primary_positions.rs
+++ b/crates/core/src/request/primary_positions.rs
@@ -65,7 +65,7 @@
     /// # Errors
     ///
     /// Returns [`PositionError::BeforeClock`] for a position from before the clock started.
-    pub fn told(
+    pub fn record_from_peer(
         &mut self,
         asked_us: u64,
         age_us: u64,
--- a/crates/core/tests/lead_proof.rs
+++ b/crates/core/tests/lead_proof.rs
@@ -6,8 +6,8 @@
 use skylark_core::log_position::LogPosition;
 use skylark_core::request::lead_proof::GroupView;
 use skylark_core::request::lead_proof::LeadReport;
+use skylark_core::request::lead_proof::LeadReports;
 use skylark_core::request::lead_proof::LeadVerdict;
-use skylark_core::request::lead_proof::LeadWords;
 
 macro_rules! cases {
     ($($(#[$doc:meta])* $name:ident $body:block)*) => {
@@ -31,8 +31,8 @@
 }
 
 /// Reports of a group whose target `old` reported early that it leads term 1.
-fn reports() -> LeadWords {
-    let mut reports = LeadWords::default();
+fn reports() -> LeadReports {
+    let mut reports = LeadReports::default();
     reports.record(&id("old"), LeadReport { leads: true, ..report(0, 1) });
     reports
 }
--- a/crates/core/tests/primary_positions.rs
+++ b/crates/core/tests/primary_positions.rs
@@ -56,7 +56,10 @@
 fn a_position_from_before_the_clock_started_is_rejected() {
     let mut positions = PrimaryPositions::default();
     let (asked_us, age_us) = (2_000_000, 3_500_000);
-    assert_eq!(positions.told(asked_us, age_us, at(1)), Err(PositionError::BeforeClock));
+    assert_eq!(
+        positions.record_from_peer(asked_us, age_us, at(1)),
+        Err(PositionError::BeforeClock)
+    );
     assert_eq!(positions.covering(0), None);
     assert_eq!(positions.newest(), None);
 }
@@ -64,7 +67,7 @@
 #[test]
 fn a_position_of_another_process_has_the_reported_age() {
     let mut positions = PrimaryPositions::default();
-    assert_eq!(positions.told(5_000_000, 3_500_000, at(1)), Ok(()));
+    assert_eq!(positions.record_from_peer(5_000_000, 3_500_000, at(1)), Ok(()));
     assert_eq!(positions.covering(1_500_000), Some(at(1)));
     assert_eq!(positions.covering(1_500_001), None);
 }
--- a/crates/proxy/src/sessions/process/lead.rs
+++ b/crates/proxy/src/sessions/process/lead.rs
@@ -125,9 +125,10 @@
     ///
     /// # Errors
     ///
-    /// Those of [`PrimaryPositions::told`].
+    /// Those of [`PrimaryPositions::record_from_peer`].
     ///
-    /// [`PrimaryPositions::told`]: skylark_core::request::primary_positions::PrimaryPositions::told
+    /// [`PrimaryPositions::record_from_peer`]:
+    /// skylark_core::request::primary_positions::PrimaryPositions::record_from_peer
     pub fn record_position(
         &self,
         service: &Arc<str>,
@@ -136,7 +137,7 @@
         position: LogPosition,
     ) -> Result<(), PositionError> {
         let state = self.service(service);
-        state.positions.lock().told(asked_us, age_us, position)?;
+        state.positions.lock().record_from_peer(asked_us, age_us, position)?;
         state.sampling_flight.notify();
         Ok(())
     }
--- a/crates/proxy/src/sessions/process/services.rs
+++ b/crates/proxy/src/sessions/process/services.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use skylark_core::process::departures::Departures;
 use skylark_core::request::lead_proof::LeadReport;
-use skylark_core::request::lead_proof::LeadWords;
+use skylark_core::request::lead_proof::LeadReports;
 use skylark_core::request::position_demand::PositionDemand;
 use skylark_core::request::primary_positions::PrimaryPositions;
 
@@ -25,7 +25,7 @@
     /// The presumed primary.
     pub leader: Mutex<LeaderBelief>,
     /// What the members reported about their role and term.
-    pub lead_reports: Mutex<LeadWords>,
+    pub lead_reports: Mutex<LeadReports>,
     /// Number of departed members that a promotion still depends on.
     departed: AtomicUsize,
     /// Whether no departure that still matters can predate this process's knowledge of the service.
--- a/crates/proxy/src/sessions/request/prove.rs
+++ b/crates/proxy/src/sessions/request/prove.rs
@@ -134,8 +134,10 @@
         LeadVerdict::Missing(missing) => missing,
         LeadVerdict::TermUnknown => {
             // Reports of other members can't be evaluated before the target's term is known.
-            let Some(word) = fetch_word(gateway, target, until_us).await else { return Ok(false) };
-            if !word.leads {
+            let Some(report) = fetch_report(gateway, target, until_us).await else {
+                return Ok(false);
+            };
+            if !report.leads {
                 gateway.record_not_primary(target);
                 return Err(Unproved::Superseded);
             }
@@ -150,12 +152,12 @@
     };
     let mut others =
         other_members(gateway, target).into_iter().filter(|member| !has_reported(member));
-    let ask = async |member: Arc<TargetState<C>>| fetch_word(gateway, &member, until_us).await;
+    let ask = async |member: Arc<TargetState<C>>| fetch_report(gateway, &member, until_us).await;
     let mut asked: FuturesUnordered<_> = others.by_ref().take(missing).map(ask).collect();
     let mut is_answered = false;
     while missing > 0 && !asked.is_empty() {
         match time::timeout(HEDGE_DELAY, asked.next()).await {
-            Ok(Some(word)) if word.is_some() => {
+            Ok(Some(report)) if report.is_some() => {
                 missing -= 1;
                 is_answered = true;
             }
@@ -216,12 +218,12 @@
     let asked_us = gateway.clock.now_us();
     let until = gateway.clock.instant_at(asked_us + limits::STATUS_TIMEOUT_US);
     let reply = link.ask(&Query::ImmediateStatus, until).await?;
-    record_word(gateway, target, asked_us, &reply);
+    record_status_report(gateway, target, asked_us, &reply);
     Ok(())
 }
 
 /// Records the status that a member reported.
-fn record_word<C>(
+fn record_status_report<C>(
     gateway: &Gateway<C>,
     member: &TargetState<C>,
     asked_us: u64,
@@ -232,14 +234,14 @@
 {
     let End::Complete { .. } = reply.end else { return None };
     let status = C::decode_status(&reply.first_row).ok()?;
-    let word = LeadReport {
+    let report = LeadReport {
         asked_us,
         leads: status.is_primary,
         term: status.term,
         received: status.received,
     };
-    gateway.service(&member.record.service).record_report(&member.record.id, word);
-    Some(word)
+    gateway.service(&member.record.service).record_report(&member.record.id, report);
+    Some(report)
 }
 
 /// Returns the other members, in the order in which they are expected to reply.
@@ -256,7 +258,7 @@
 }
 
 /// Queries a member's status and records it.
-async fn fetch_word<C>(
+async fn fetch_report<C>(
     gateway: &Gateway<C>,
     member: &TargetState<C>,
     until_us: u64,
@@ -266,7 +268,7 @@
 {
     let asked_us = gateway.clock.now_us();
     let reply = request_status(gateway, member, until_us).await.ok()?;
-    record_word(gateway, member, asked_us, &reply)
+    record_status_report(gateway, member, asked_us, &reply)
 }
 
 /// Queries a member's status, bypassing the admission queue because the query takes no execution slot.
--- a/crates/spec/src/lead/mod.rs
+++ b/crates/spec/src/lead/mod.rs
@@ -3,7 +3,7 @@
 //! The old primary goes on in its term. A successor leads a later one and acknowledges a commit once a
 //! replica holds it. Members start again with nothing, leave, and a fourth one comes. The read's process
 //! asks members at any time, answers are under way for any time, and the core's
-//! [`LeadWords`](skylark_core::request::lead_proof::LeadWords) decide.
+//! [`LeadReports`](skylark_core::request::lead_proof::LeadReports) decide.
 //!
 //! Explored: no read is served that misses a commit which was acknowledged before the read came.
 
--- a/crates/spec/src/lead/model.rs
+++ b/crates/spec/src/lead/model.rs
@@ -6,8 +6,8 @@
 use skylark_core::log_position::LogPosition;
 use skylark_core::request::lead_proof::GroupView;
 use skylark_core::request::lead_proof::LeadReport;
+use skylark_core::request::lead_proof::LeadReports;
 use skylark_core::request::lead_proof::LeadVerdict;
-use skylark_core::request::lead_proof::LeadWords;
 
 use super::Safeguard;
 use crate::explore::Model;
@@ -134,23 +134,23 @@
 
     /// Whether the core lets the read be served.
     fn serves(&self, state: &State) -> bool {
-        let mut words = LeadWords::default();
+        let mut reports = LeadReports::default();
         let received = |holds_floor: bool| if holds_floor { FLOOR } else { LogPosition::default() };
         let own = LeadReport { asked_us: BEFORE_US, leads: true, term: OLD_TERM, received: FLOOR };
-        words.record(&Arc::from(TARGET), own);
+        reports.record(&Arc::from(TARGET), own);
         for (name, member) in OTHERS.iter().zip(&state.members) {
             let Some(heard) = member.heard else { continue };
             let counts = heard.after_read || !self.has(Safeguard::FreshWord);
-            let word = LeadReport {
+            let report = LeadReport {
                 asked_us: if counts { MOMENT_US } else { BEFORE_US },
                 leads: false,
                 term: if heard.knows_new_term { NEW_TERM } else { OLD_TERM },
                 received: received(heard.holds_floor),
             };
-            words.record(&Arc::from(*name), word);
+            reports.record(&Arc::from(*name), report);
         }
         // The target is asked again once a later term was heard, and still says that it leads its own.
-        words.record(&Arc::from(TARGET), LeadReport { asked_us: MOMENT_US, ..own });
+        reports.record(&Arc::from(TARGET), LeadReport { asked_us: MOMENT_US, ..own });
         let listed = OTHERS.iter().zip(&state.members).filter(|(_, member)| member.listed);
         let others: Vec<&str> = listed.map(|(name, _)| *name).collect();
         let departed = state.members.iter().filter(|member| member.left).count();
@@ -163,7 +163,7 @@
             is_complete: is_complete || !self.has(Safeguard::CompleteList),
             floor: received(self.has(Safeguard::KeptLog)),
         };
-        words.verdict(&Arc::from(TARGET), MOMENT_US, &group) == LeadVerdict::Proved
+        reports.verdict(&Arc::from(TARGET), MOMENT_US, &group) == LeadVerdict::Proved
     }
 
     fn steps_of(&self, state: &State, member: usize, next: &mut Vec<(Step, State)>) {
