--- a/crates/core/tests/store_calls.rs
+++ b/crates/core/tests/store_calls.rs
@@ -138,7 +138,7 @@
         let vm = &mut self.vms[index];
         let was_via_peer =
             store_calls::store_access(polls_store, vm.peer_status) == StoreAccess::ViaPeer;
-        vm.peer_status = peer_status.map(|(news, _)| news);
+        vm.peer_status = peer_status.map(|(store_status, _)| store_status);
         if let Some((StoreStatus::Answers | StoreStatus::Relayed, version_us)) = peer_status {
             vm.version_us = vm.version_us.max(version_us);
             (vm.answers, vm.failing_since_us) =
--- a/crates/proxy/src/sessions/process/cluster_state.rs
+++ b/crates/proxy/src/sessions/process/cluster_state.rs
@@ -247,13 +247,14 @@
         if !is_current && !known.targets.is_empty() {
             self.update_feed(&known);
         }
-        let (news, is_settled) = (self.store_news(&known), self.is_settled(&known));
+        let (store_status, is_settled) =
+            (self.store_status_for_peers(&known), self.is_settled(&known));
         let zone_is_cut = self.gateway.zone_is_cut();
         self.gateway.outbox.feed_state.send_if_modified(|feed_state| {
-            let changes = feed_state.news != news
+            let changes = feed_state.store_status != store_status
                 || feed_state.is_settled != is_settled
                 || feed_state.zone_is_cut != zone_is_cut;
-            feed_state.news = news;
+            feed_state.store_status = store_status;
             feed_state.zone_is_cut = zone_is_cut;
             feed_state.is_settled = is_settled;
             changes
--- a/crates/proxy/src/sessions/process/feed/outbox.rs
+++ b/crates/proxy/src/sessions/process/feed/outbox.rs
@@ -44,7 +44,7 @@
     /// The targets; empty before the first list.
     pub targets: Arc<TargetList>,
     /// Whether the store answers this process, or the process that it subscribes to.
-    pub news: StoreStatus,
+    pub store_status: StoreStatus,
     /// Whether every target that is missing from the list is gone.
     pub is_settled: bool,
     /// Whether this process's availability zone is partitioned from the others.
@@ -59,7 +59,7 @@
             number: 0,
             version: 0,
             targets: Arc::default(),
-            news: StoreStatus::Unavailable,
+            store_status: StoreStatus::Unavailable,
             is_settled: false,
             zone_is_cut: false,
             vms: Arc::default(),
@@ -70,8 +70,8 @@
 impl FeedState {
     /// Returns the heartbeat for this state.
     pub(super) fn heartbeat(&self) -> Message {
-        let FeedState { version, news, is_settled, zone_is_cut, .. } = *self;
-        let (store_answers, relayed) = match news {
+        let FeedState { version, store_status, is_settled, zone_is_cut, .. } = *self;
+        let (store_answers, relayed) = match store_status {
             StoreStatus::Answers => (true, false),
             StoreStatus::Relayed => (true, true),
             StoreStatus::Unavailable => (false, false),
--- a/crates/proxy/src/sessions/process/feed/subscriber.rs
+++ b/crates/proxy/src/sessions/process/feed/subscriber.rs
@@ -124,7 +124,7 @@
 {
     let mut backoff = MIN_BACKOFF;
     loop {
-        let had_feed = match gateway.store_access.standing() {
+        let had_feed = match gateway.store_access.access() {
             StoreAccess::Direct => follow_helpers(&watcher).await,
             StoreAccess::ViaPeer | StoreAccess::ViaPeerUnavailable | StoreAccess::NoPeer => {
                 follow_watchers(&watcher).await
@@ -145,9 +145,9 @@
     let gateway = &watcher.gateway;
     let (mut had_feed, mut is_reached) = (false, false);
     for vm in rotated(gateway, gateway.watchers(), usize::MAX) {
-        let best_standing = follow_publisher(watcher, &vm, FeedSource::Watcher).await;
-        had_feed |= best_standing == Some(StoreAccess::ViaPeer);
-        is_reached |= best_standing.is_some();
+        let best_access = follow_publisher(watcher, &vm, FeedSource::Watcher).await;
+        had_feed |= best_access == Some(StoreAccess::ViaPeer);
+        is_reached |= best_access.is_some();
     }
     if had_feed {
         return true;
@@ -155,9 +155,9 @@
     // The watchers of this zone relay what they receive from other zones, so one further watcher is enough.
     let count = if is_reached { 1 } else { MAX_FAR_WATCHERS };
     for vm in rotated(gateway, gateway.far_watchers(), count) {
-        let best_standing = follow_publisher(watcher, &vm, FeedSource::FarWatcher).await;
-        had_feed |= best_standing == Some(StoreAccess::ViaPeer);
-        is_reached |= best_standing.is_some();
+        let best_access = follow_publisher(watcher, &vm, FeedSource::FarWatcher).await;
+        had_feed |= best_access == Some(StoreAccess::ViaPeer);
+        is_reached |= best_access.is_some();
     }
     if !is_reached {
         watcher.set_feed_status(None);
@@ -177,8 +177,8 @@
     let gateway = &watcher.gateway;
     let mut had_feed = false;
     for vm in rotated(gateway, gateway.helpers(), MAX_HELPERS) {
-        let best_standing = follow_publisher(watcher, &vm, FeedSource::Helper).await;
-        had_feed |= best_standing == Some(StoreAccess::ViaPeer);
+        let best_access = follow_publisher(watcher, &vm, FeedSource::Helper).await;
+        had_feed |= best_access == Some(StoreAccess::ViaPeer);
     }
     had_feed
 }
@@ -200,7 +200,7 @@
     vms
 }
 
-/// Follows one publisher until the subscription ends. Returns the best standing with the store that it
+/// Follows one publisher until the subscription ends. Returns the best access to the store that it
 /// provided; `None` if it was unreachable.
 async fn follow_publisher<C, S>(
     watcher: &Watcher<C, S>,
@@ -222,7 +222,7 @@
     slog::info!(gateway.log, "not told by a watcher";
         "watcher" => &*vm.name, "as" => ?source, "reason" => reason.to_string(),
         "unfinished_bytes" => feed.input.len(), "version" => watcher.version());
-    feed.best_standing
+    feed.best_access
 }
 
 async fn subscribe<C, S>(watcher: &Watcher<C, S>, vm: &VmAddress) -> io::Result<TcpStream>
@@ -248,9 +248,9 @@
     began: Instant,
     /// Received bytes that are not a complete message yet.
     input: BytesMut,
-    /// The best standing that the publisher provided: whether it ever had an answering store; `None` before
+    /// The best access that the publisher provided: whether it ever had an answering store; `None` before
     /// its first report.
-    best_standing: Option<StoreAccess>,
+    best_access: Option<StoreAccess>,
     /// The publisher's list of VMs.
     vms: Arc<VmList>,
     /// The publisher's list of targets.
@@ -276,7 +276,7 @@
             source,
             began: Instant::now(),
             input: BytesMut::new(),
-            best_standing: None,
+            best_access: None,
             vms: Arc::default(),
             targets: TargetList::default(),
             is_settled: false,
@@ -363,7 +363,7 @@
         let is_current = self.announced.is_some_and(|version| version <= self.watcher.version());
         if is_current && self.away_since.is_none() {
             self.late_at = None;
-            self.report_news(StoreStatus::Answers);
+            self.report_store_status(StoreStatus::Answers);
         }
         Ok(())
     }
@@ -373,19 +373,19 @@
     fn handle_store_away(&mut self) -> Result<(), CloseReason> {
         let away_since = *self.away_since.get_or_insert_with(Instant::now);
         (self.announced, self.late_at) = (None, None);
-        self.report_news(StoreStatus::Unavailable);
+        self.report_store_status(StoreStatus::Unavailable);
         match self.source == FeedSource::Helper || away_since.elapsed() >= STORE_AWAY_LIMIT {
             true => Err(CloseReason::StoreUnavailable),
             false => Ok(()),
         }
     }
 
-    fn report_news(&mut self, news: StoreStatus) {
-        let feed_status = FeedStatus { news, is_settled: self.is_settled };
+    fn report_store_status(&mut self, store_status: StoreStatus) {
+        let feed_status = FeedStatus { store_status, is_settled: self.is_settled };
         self.watcher.set_feed_status(Some(feed_status));
-        let standing = store_calls::store_access(false, Some(news));
-        if self.best_standing != Some(StoreAccess::ViaPeer) {
-            self.best_standing = Some(standing);
+        let access = store_calls::store_access(false, Some(store_status));
+        if self.best_access != Some(StoreAccess::ViaPeer) {
+            self.best_access = Some(access);
         }
     }
 
--- a/crates/proxy/src/sessions/process/fleet.rs
+++ b/crates/proxy/src/sessions/process/fleet.rs
@@ -103,7 +103,7 @@
 
     /// Whether this process gets the store's state from another VM, which the store answers.
     pub fn has_feed(&self) -> bool {
-        self.store_access.standing() == StoreAccess::ViaPeer
+        self.store_access.access() == StoreAccess::ViaPeer
     }
 
     /// The VMs that this one may subscribe to while the store refuses it.
--- a/crates/proxy/src/sessions/process/store_access.rs
+++ b/crates/proxy/src/sessions/process/store_access.rs
@@ -29,7 +29,7 @@
     /// Whether this process watches the store for itself or as a watcher.
     has_direct_access: bool,
     /// What the followed feed reports about the store; `None` without a feed.
-    feed_news: Option<StoreStatus>,
+    feed_status: Option<StoreStatus>,
     /// Since when this process has had no feed with an answering store, in microseconds.
     no_feed_since_us: u64,
     /// Whether the store did not answer this process's last probe.
@@ -39,16 +39,16 @@
 }
 
 impl State {
-    fn standing(&self) -> StoreAccess {
-        store_calls::store_access(self.has_direct_access, self.feed_news)
+    fn access(&self) -> StoreAccess {
+        store_calls::store_access(self.has_direct_access, self.feed_status)
     }
 
     fn has_feed(&self) -> bool {
-        self.standing() == StoreAccess::ViaPeer
+        self.access() == StoreAccess::ViaPeer
     }
 
     fn may_answer(&self) -> bool {
-        !self.is_away && self.feed_news != Some(StoreStatus::Unavailable)
+        !self.is_away && self.feed_status != Some(StoreStatus::Unavailable)
     }
 }
 
@@ -73,7 +73,7 @@
         let state = State {
             vm_count: 0,
             has_direct_access: false,
-            feed_news: None,
+            feed_status: None,
             no_feed_since_us,
             is_away: false,
             feed_is_late: false,
@@ -89,8 +89,8 @@
     }
 
     /// How this process gets the store's state.
-    pub fn standing(&self) -> StoreAccess {
-        self.state.borrow().standing()
+    pub fn access(&self) -> StoreAccess {
+        self.state.borrow().access()
     }
 
     /// Whether this process has no feed with an answering store, so that it has to call the store itself.
@@ -106,14 +106,14 @@
     }
 
     /// Sets what the followed feed reports about the store; `None` if no feed is followed.
-    pub fn set_feed_status(&self, feed_news: Option<StoreStatus>) {
-        self.change(|state| (state.feed_news, state.feed_is_late) = (feed_news, false));
+    pub fn set_feed_status(&self, feed_status: Option<StoreStatus>) {
+        self.change(|state| (state.feed_status, state.feed_is_late) = (feed_status, false));
     }
 
     /// Records that an announced version is overdue, so that the store is called immediately. The delays for
     /// a process without a feed could put the version into force too late.
     pub fn mark_feed_late(&self) {
-        self.change(|state| (state.feed_news, state.feed_is_late) = (None, true));
+        self.change(|state| (state.feed_status, state.feed_is_late) = (None, true));
     }
 
     fn change<F>(&self, change: F)
@@ -144,18 +144,17 @@
         let _ = time::timeout(VM_LIST_TIMEOUT, states.wait_for(|state| state.vm_count > 0)).await;
         loop {
             let state = *states.borrow_and_update();
-            let standing = state.standing();
-            if standing == StoreAccess::ViaPeer {
+            let access = state.access();
+            if access == StoreAccess::ViaPeer {
                 had_feed = true;
                 // The sender is a field of `self`, so this does not fail.
                 let _ = states.changed().await;
                 continue;
             }
-            if standing == StoreAccess::Direct || state.feed_is_late {
+            if access == StoreAccess::Direct || state.feed_is_late {
                 return had_feed;
             }
-            let patience_us =
-                store_calls::direct_call_delay_us(standing, state.vm_count, self.seed);
+            let patience_us = store_calls::direct_call_delay_us(access, state.vm_count, self.seed);
             let left_us =
                 (state.no_feed_since_us + patience_us).saturating_sub(self.clock.now_us());
             if left_us > 0 {
@@ -193,7 +192,7 @@
             let state = *states.borrow();
             let failures = self.failures.fetch_add(1, Ordering::Relaxed) + 1;
             let pause_us =
-                store_calls::retry_pause_us(state.standing(), state.vm_count, failures, self.seed);
+                store_calls::retry_pause_us(state.access(), state.vm_count, failures, self.seed);
             let feed = states.wait_for(State::has_feed);
             if time::timeout(Duration::from_micros(pause_us), feed).await.is_ok() {
                 return false;
--- a/crates/proxy/src/sessions/process/watch.rs
+++ b/crates/proxy/src/sessions/process/watch.rs
@@ -113,7 +113,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FeedStatus {
     /// Whether the store answers the publisher.
-    pub news: StoreStatus,
+    pub store_status: StoreStatus,
     /// Whether every target that is missing from the publisher's list is gone.
     pub is_settled: bool,
 }
@@ -187,15 +187,15 @@
         if known.health.answers_targets() {
             return self.gateway.clock.now_us() >= known.store_recovered_us + REREGISTRATION_US;
         }
-        let feed = known.feed.filter(|feed| feed.news != StoreStatus::Unavailable);
+        let feed = known.feed.filter(|feed| feed.store_status != StoreStatus::Unavailable);
         feed.is_some_and(|feed| feed.is_settled)
     }
 
     /// What this process publishes about the store. A subscriber has no answers of its own to report; one
     /// that watches the store itself also reports what another VM supplies meanwhile.
-    pub(super) fn store_news(&self, known: &ClusterState) -> StoreStatus {
-        let has_direct_access = self.gateway.store_access.standing() == StoreAccess::Direct;
-        let helper = known.feed.filter(|_| has_direct_access).map(|feed| feed.news);
+    pub(super) fn store_status_for_peers(&self, known: &ClusterState) -> StoreStatus {
+        let has_direct_access = self.gateway.store_access.access() == StoreAccess::Direct;
+        let helper = known.feed.filter(|_| has_direct_access).map(|feed| feed.store_status);
         store_calls::status_for_peers(known.health.answers(), helper)
     }
 
@@ -203,9 +203,9 @@
     pub fn set_feed_status(&self, feed: Option<FeedStatus>) {
         let mut known = self.known.lock();
         known.feed = feed;
-        known.was_away |= feed.is_some_and(|feed| feed.news == StoreStatus::Unavailable);
+        known.was_away |= feed.is_some_and(|feed| feed.store_status == StoreStatus::Unavailable);
         drop(known);
-        self.gateway.store_access.set_feed_status(feed.map(|feed| feed.news));
+        self.gateway.store_access.set_feed_status(feed.map(|feed| feed.store_status));
     }
 
     /// Stops relying on the feed because an announced version is overdue, so that the store is called.
