--- a/crates/core/src/request/read_choice.rs
+++ b/crates/core/src/request/read_choice.rs
@@ -25,7 +25,7 @@
     /// Whether it is the primary.
     pub is_primary: bool,
     /// The average latency of its answers, in microseconds.
-    pub usual_us: u64,
+    pub average_answer_us: u64,
     /// The number of statements of this process that are queued for it or running at it.
     pub outstanding: u32,
     /// Whether it is the preferred member for reads of the same organisation.
@@ -42,7 +42,10 @@
         let zone_us = if self.same_zone { 0 } else { OTHER_ZONE_COST_US };
         let primary_us = if self.is_primary { PRIMARY_COST_US } else { 0 };
         let organisation_us = if self.is_preferred { 0 } else { NOT_PREFERRED_COST_US };
-        self.usual_us * u64::from(1 + self.outstanding) + zone_us + primary_us + organisation_us
+        self.average_answer_us * u64::from(1 + self.outstanding)
+            + zone_us
+            + primary_us
+            + organisation_us
     }
 }
 
--- a/crates/core/tests/read_choice.rs
+++ b/crates/core/tests/read_choice.rs
@@ -7,7 +7,7 @@
     ReadCandidate {
         same_zone: true,
         is_primary: false,
-        usual_us: 10_000,
+        average_answer_us: 10_000,
         outstanding: 0,
         is_preferred: true,
         is_lagging: false,
--- a/crates/proxy/src/sessions/process/metrics_text.rs
+++ b/crates/proxy/src/sessions/process/metrics_text.rs
@@ -88,7 +88,7 @@
         let health = target.health();
         let labels =
             format!("{{service=\"{}\",target=\"{}\"}}", target.record.service, target.record.id);
-        line(out, Metric::TargetUsualAnswer.name(), &labels, health.usual_us);
+        line(out, Metric::TargetUsualAnswer.name(), &labels, health.average_answer_us);
         line(out, Metric::TargetConnections.name(), &labels, u64::from(target.connections()));
     }
 }
--- a/crates/proxy/src/sessions/process/targets.rs
+++ b/crates/proxy/src/sessions/process/targets.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Health {
     /// Moving average of the answer time, in microseconds.
-    pub usual_us: u64,
+    pub average_answer_us: u64,
     /// Number of statements that wait for admission or for a connection.
     pub queued: u32,
     /// Number of statements that were sent and not answered yet.
@@ -120,7 +120,7 @@
         let path = parts.path(None, record, false);
         let queue = AdmissionQueue::new(QueueLimits::default(), &class_shares(), clock);
         let health = Health {
-            usual_us: INITIAL_ANSWER_US,
+            average_answer_us: INITIAL_ANSWER_US,
             queued: 0,
             in_flight: 0,
             unanswered_since_us: None,
@@ -378,8 +378,8 @@
         health.path_failed_since_us = None;
         health.unanswered_since_us = (health.in_flight > 0).then_some(now_us);
         if let Some(took_us) = took_us {
-            let kept_us = health.usual_us - health.usual_us / AVERAGE_DIVISOR;
-            health.usual_us = kept_us + took_us / AVERAGE_DIVISOR;
+            let kept_us = health.average_answer_us - health.average_answer_us / AVERAGE_DIVISOR;
+            health.average_answer_us = kept_us + took_us / AVERAGE_DIVISOR;
         }
     }
 
--- a/crates/proxy/src/sessions/request/read.rs
+++ b/crates/proxy/src/sessions/request/read.rs
@@ -149,7 +149,7 @@
                 same_zone: member.record.zone == call.gateway.zone,
                 is_primary: call.gateway.is_primary(member),
                 is_preferred: preferred.is_none_or(|preferred| Arc::ptr_eq(preferred, member)),
-                usual_us: health.usual_us,
+                average_answer_us: health.average_answer_us,
                 outstanding: health.queued + health.in_flight,
                 is_lagging: health.lagged_us > 0
                     && now_us < health.lagged_us + limits::LAGGING_MEMBER_EJECTION_US,
