--- a/crates/core/src/request/routing/mod.rs
+++ b/crates/core/src/request/routing/mod.rs
@@ -80,7 +80,7 @@
     /// The time that this read has already waited for a replica; zero before the first verdict.
     pub waited_us: u64,
     /// Selects among members with equal rank, for instance a count of requests.
-    pub spread: u32,
+    pub tie_breaker: u32,
 }
 
 /// The costs and limits that routing uses.
--- a/crates/core/src/request/routing/survey.rs
+++ b/crates/core/src/request/routing/survey.rs
@@ -118,7 +118,7 @@
             self.ties = 1;
         } else if candidate.rank() == best.rank() {
             self.ties += 1;
-            if request.spread.is_multiple_of(self.ties) {
+            if request.tie_breaker.is_multiple_of(self.ties) {
                 self.replica = Some(candidate);
             }
         }
--- a/crates/core/tests/routing.rs
+++ b/crates/core/tests/routing.rs
@@ -72,7 +72,7 @@
         max_age_us: 1_000_000,
         deadline_us: (NOW_MS + 1_000) * 1_000,
         waited_us: 0,
-        spread: 0,
+        tie_breaker: 0,
     };
     for (key, value) in pairs(fields) {
         match key {
@@ -81,7 +81,7 @@
             "max_age" => request.max_age_us = us(value),
             "left" => request.deadline_us = NOW_MS * 1_000 + us(value),
             "waited" => request.waited_us = us(value),
-            "spread" => request.spread = value.parse().expect("a number"),
+            "spread" => request.tie_breaker = value.parse().expect("a number"),
             other => panic!("unknown key {other}"),
         }
     }
--- a/crates/proxy/src/request/route.rs
+++ b/crates/proxy/src/request/route.rs
@@ -140,7 +140,7 @@
     context: &'a RequestContext,
     retry_state: &'a RetryState,
     waiting_since: Option<Instant>,
-    spread: u32,
+    tie_breaker: u32,
     counted_wait: bool,
 }
 
@@ -155,7 +155,7 @@
             context,
             retry_state,
             waiting_since: None,
-            spread: traffic.next_spread(),
+            tie_breaker: traffic.next_spread(),
             counted_wait: false,
         }
     }
@@ -255,7 +255,7 @@
             max_age_us: self.context.max_age_us.unwrap_or(routing::NO_AGE_BOUND),
             deadline_us: self.context.deadline_us,
             waited_us: self.waited().as_micros() as u64,
-            spread: self.spread,
+            tie_breaker: self.tie_breaker,
         }
     }
 
