--- a/crates/core/src/request/error_kind.rs
+++ b/crates/core/src/request/error_kind.rs
@@ -42,12 +42,12 @@
     /// estimate; zero where a retry can't help.
     pub retry_after_ms: u64,
     /// Whether the connection is closed after this answer.
-    pub closes: bool,
+    pub closes_connection: bool,
 }
 
 macro_rules! error_kinds {
     ($($(#[$doc:meta])* $kind:ident = $name:literal, $sqlstate:literal, $outcome:ident,
-       $retry_after_ms:literal, $closes:literal, $message:literal;)*) => {
+       $retry_after_ms:literal, $closes_connection:literal, $message:literal;)*) => {
         /// The reason why a request was refused or aborted.
         #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
         pub enum ErrorKind {
@@ -67,7 +67,7 @@
                         outcome: Outcome::$outcome,
                         name: $name,
                         retry_after_ms: $retry_after_ms,
-                        closes: $closes,
+                        closes_connection: $closes_connection,
                     },)*
                 }
             }
--- a/crates/ctl/tests/pages.rs
+++ b/crates/ctl/tests/pages.rs
@@ -55,7 +55,7 @@
         format!("`{}`", answer.sqlstate),
         answer.outcome.description().to_owned(),
         retry,
-        if answer.closes { "yes" } else { "no" }.to_owned(),
+        if answer.closes_connection { "yes" } else { "no" }.to_owned(),
         answer.message.to_owned(),
     ]
 }
--- a/crates/proxy/src/request/refusal.rs
+++ b/crates/proxy/src/request/refusal.rs
@@ -36,7 +36,7 @@
 
     /// Returns whether the caller's connection is closed after this answer.
     pub fn closes_connection(&self) -> bool {
-        self.kind.answer().closes
+        self.kind.answer().closes_connection
     }
 
     /// Appends the ErrorResponse to `out`.
@@ -52,7 +52,7 @@
             retry_after_ms => format!("retry after {retry_after_ms} ms"),
         };
         let fields = ErrorFields {
-            severity: if answer.closes { "FATAL" } else { "ERROR" },
+            severity: if answer.closes_connection { "FATAL" } else { "ERROR" },
             sqlstate: answer.sqlstate,
             message: &message,
             detail: answer.outcome.description(),
