--- a/crates/core/src/request/retry.rs
+++ b/crates/core/src/request/retry.rs
@@ -143,7 +143,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum RetryVerdict {
     /// Select a member again and retry.
-    Again,
+    Retry,
     /// Answer the caller with this kind of error.
     Answer(ErrorKind),
     /// Relay the target's answer to the caller unchanged.
@@ -186,7 +186,7 @@
 /// Decides whether a failed attempt is retried. `deadline_left_us` is the time until the request's deadline,
 /// in microseconds.
 ///
-/// Takes a retry from the budget only if the verdict is [`RetryVerdict::Again`].
+/// Takes a retry from the budget only if the verdict is [`RetryVerdict::Retry`].
 pub fn decide(attempt: &Attempt, budget: &RetryBudget, deadline_left_us: u64) -> RetryVerdict {
     let outcome = outcome_of(attempt);
     if outcome == Outcome::Ran || is_overload(attempt.failure) {
@@ -199,7 +199,7 @@
         return RetryVerdict::Answer(timed_out_kind(outcome));
     }
     if budget.try_spend() {
-        return RetryVerdict::Again;
+        return RetryVerdict::Retry;
     }
     match outcome {
         Outcome::NotRun => RetryVerdict::Answer(ErrorKind::RetryBudgetSpent),
--- a/crates/core/tests/retry.rs
+++ b/crates/core/tests/retry.rs
@@ -51,9 +51,9 @@
 }
 
 verdicts! {
-    write_not_sent: Write, NothingSent, false, Failure::Broken => RetryVerdict::Again;
-    write_partly_sent: Write, PartlySent, false, Failure::Broken => RetryVerdict::Again;
-    write_connect_refused: Write, Connecting, false, Failure::Broken => RetryVerdict::Again;
+    write_not_sent: Write, NothingSent, false, Failure::Broken => RetryVerdict::Retry;
+    write_partly_sent: Write, PartlySent, false, Failure::Broken => RetryVerdict::Retry;
+    write_connect_refused: Write, Connecting, false, Failure::Broken => RetryVerdict::Retry;
     // A retry would book twice: the first attempt ran and its answer was lost.
     write_sent: Write, Sent, false, Failure::Broken => RetryVerdict::Answer(ErrorKind::AnswerLost);
     write_sent_and_late: Write, Sent, false, Failure::TimedOut
@@ -62,8 +62,8 @@
         => RetryVerdict::Answer(ErrorKind::AnswerLost);
     commit_not_sent: Commit, NothingSent, true, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
-    read_sent: Read, Sent, false, Failure::Broken => RetryVerdict::Again;
-    read_answer_started: Read, AnswerStarted, false, Failure::Broken => RetryVerdict::Again;
+    read_sent: Read, Sent, false, Failure::Broken => RetryVerdict::Retry;
+    read_answer_started: Read, AnswerStarted, false, Failure::Broken => RetryVerdict::Retry;
     // The caller has some of the rows: a retry would mix the rows of two runs.
     read_answer_relayed: Read, AnswerRelayed, false, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::AnswerLost);
@@ -71,14 +71,14 @@
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
     write_in_transaction: Write, Sent, true, Failure::Broken
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
-    not_primary: Write, Sent, false, reported("25006") => RetryVerdict::Again;
+    not_primary: Write, Sent, false, reported("25006") => RetryVerdict::Retry;
     fenced_at_commit: Commit, Sent, true, reported("25006")
         => RetryVerdict::Answer(ErrorKind::TransactionLost);
-    leaving: Write, Sent, false, reported("57P01") => RetryVerdict::Again;
-    leaving_at_connect: Write, Connecting, false, reported("57P01") => RetryVerdict::Again;
+    leaving: Write, Sent, false, reported("57P01") => RetryVerdict::Retry;
+    leaving_at_connect: Write, Connecting, false, reported("57P01") => RetryVerdict::Retry;
     cut_off_at_commit: Commit, Sent, true, reported("57P01")
         => RetryVerdict::Answer(ErrorKind::AnswerLost);
-    too_many_connections: Write, Connecting, false, reported("53300") => RetryVerdict::Again;
+    too_many_connections: Write, Connecting, false, reported("53300") => RetryVerdict::Retry;
     duplicate_key: Write, Sent, false, reported("23505") => RetryVerdict::PassThrough;
     serialization_failure: Commit, Sent, true, reported("40001") => RetryVerdict::PassThrough;
     home_is_overloaded: Read, Sent, false,
@@ -86,7 +86,7 @@
         => RetryVerdict::PassThrough;
     home_did_not_run_it: Write, Sent, false,
         Failure::Said { sqlstate: *b"57P03", claimed: Some(Outcome::NotRun) }
-        => RetryVerdict::Again;
+        => RetryVerdict::Retry;
     home_does_not_know: Write, Sent, false,
         Failure::Said { sqlstate: *b"08007", claimed: Some(Outcome::Unknown) }
         => RetryVerdict::PassThrough;
@@ -116,7 +116,7 @@
 fn only_reads_are_retried_if_they_may_have_run() {
     let mut again = 0;
     for attempt in all_attempts() {
-        if decide(&attempt) != RetryVerdict::Again {
+        if decide(&attempt) != RetryVerdict::Retry {
             continue;
         }
         again += 1;
@@ -164,7 +164,7 @@
     let mut again = 0;
     for _ in 0..1_000 {
         budget.request_started();
-        again += u32::from(retry::decide(&failed, &budget, REMAINING_US) == RetryVerdict::Again);
+        again += u32::from(retry::decide(&failed, &budget, REMAINING_US) == RetryVerdict::Retry);
     }
     // The burst of 20, and a tenth of the thousand requests. The budget is full at the first request.
     assert_eq!(again, 119);
--- a/crates/proxy/src/request/execute.rs
+++ b/crates/proxy/src/request/execute.rs
@@ -318,7 +318,7 @@
 
 fn attempt_result(failed: FailedAttempt) -> AttemptResult {
     match failed.verdict {
-        RetryVerdict::Again => AttemptResult::Retry(failed),
+        RetryVerdict::Retry => AttemptResult::Retry(failed),
         RetryVerdict::Answer(kind) => AttemptResult::Refused(kind.into()),
         // The target refused the connection, which is not an answer to the request.
         RetryVerdict::PassThrough => AttemptResult::Refused(ErrorKind::TargetUnreachable.into()),
--- a/crates/spec/src/repetition/model.rs
+++ b/crates/spec/src/repetition/model.rs
@@ -134,8 +134,8 @@
         let verdict = retry::decide(&attempt, &budget, TIME_LEFT_US);
         let last = sender.attempt() + 1 == self.tries;
         sender.told = match (verdict, failure) {
-            (RetryVerdict::Again, _) if !last => None,
-            (RetryVerdict::Again, _) => Some(self.given_up(&attempt)),
+            (RetryVerdict::Retry, _) if !last => None,
+            (RetryVerdict::Retry, _) => Some(self.given_up(&attempt)),
             (RetryVerdict::Answer(kind), _) => {
                 let answer = kind.answer();
                 Some(told(answer.sqlstate, Some(answer.outcome)))
