--- a/crates/proxy/src/sessions/connection/caller.rs
+++ b/crates/proxy/src/sessions/connection/caller.rs
@@ -126,7 +126,7 @@
         let (key, route) = (KeyDigest::of(key), self.gateway.route(database));
         // The key is checked first, so that a caller without a valid key can't find out which databases
         // exist.
-        if let Err(kind) = self.gateway.holder(key, route.as_deref()) {
+        if let Err(kind) = self.gateway.principal(key, route.as_deref()) {
             return self.reject(kind).await;
         }
         if route.is_none() {
--- a/crates/proxy/src/sessions/process/gateway.rs
+++ b/crates/proxy/src/sessions/process/gateway.rs
@@ -155,7 +155,7 @@
     ///
     /// `UnknownKey` if no organisation has the key and the route requires one, `NotReady` without a
     /// configuration.
-    pub fn holder(&self, key: KeyDigest, route: Option<&Route>) -> Result<Principal, ErrorKind> {
+    pub fn principal(&self, key: KeyDigest, route: Option<&Route>) -> Result<Principal, ErrorKind> {
         let view = self.view.load();
         let routes = view.routes.as_ref().ok_or(ErrorKind::NotReady)?;
         let Some(organisations) = &routes.organisations else { return Ok(Principal::NotNeeded) };
@@ -168,7 +168,7 @@
 
     /// Whether a session's key is still valid.
     pub fn knows_key(&self, session: &Session<C>) -> bool {
-        self.holder(session.key, self.route(&session.database).as_deref()).is_ok()
+        self.principal(session.key, self.route(&session.database).as_deref()).is_ok()
     }
 
     /// Whether the configuration has organisations.
--- a/crates/proxy/src/sessions/request/execute.rs
+++ b/crates/proxy/src/sessions/request/execute.rs
@@ -91,7 +91,7 @@
     }
     let route = route(gateway, session)?;
     let transaction = Transaction {
-        principal: gateway.holder(session.key, Some(&route))?,
+        principal: gateway.principal(session.key, Some(&route))?,
         route,
         is_charged: false,
         read_only,
@@ -196,7 +196,7 @@
                 return Err(ErrorKind::ProtocolViolation.into());
             }
             let route = route(gateway, session)?;
-            let principal = gateway.holder(session.key, Some(&route))?;
+            let principal = gateway.principal(session.key, Some(&route))?;
             let call = Call {
                 gateway,
                 id,
@@ -235,7 +235,7 @@
 where
     C: Codec,
 {
-    match gateway.holder(session.key, Some(&open.route)) {
+    match gateway.principal(session.key, Some(&open.route)) {
         Ok(principal) if principal.is_same_user(&open.principal) => Ok(principal),
         _ => Err(ErrorKind::TransactionLost.into()),
     }
