--- a/crates/core/src/process/membership.rs
+++ b/crates/core/src/process/membership.rs
@@ -28,7 +28,7 @@
 
 /// Whether a VM or a target receives work, or the reason why not.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-pub enum Standing {
+pub enum Usability {
     /// It receives work.
     Usable,
     /// It is leaving according to the list, or an operator drains it.
@@ -41,10 +41,10 @@
     Unknown,
 }
 
-impl Standing {
+impl Usability {
     /// Returns whether new work may be sent to it.
     pub fn is_usable(self) -> bool {
-        self == Standing::Usable
+        self == Usability::Usable
     }
 }
 
@@ -131,13 +131,13 @@
         Membership { policy, ..Membership::default() }
     }
 
-    /// Records evidence about a VM. Returns whether its standing may have changed.
+    /// Records evidence about a VM. Returns whether its usability may have changed.
     pub fn record_vm_evidence(&mut self, vm: &str, evidence: Evidence, now_us: u64) -> bool {
         let policy = self.policy;
         apply_evidence(&mut self.vms, &policy, vm, evidence, now_us)
     }
 
-    /// Records evidence about a target. Returns whether its standing may have changed.
+    /// Records evidence about a target. Returns whether its usability may have changed.
     pub fn record_target_evidence(
         &mut self,
         target: &str,
@@ -148,31 +148,31 @@
         apply_evidence(&mut self.targets, &policy, target, evidence, now_us)
     }
 
-    /// Returns the standing of a listed VM.
-    pub fn vm_standing(&self, vm: &Vm, now_us: u64) -> Standing {
-        self.standing(self.vms.get(&vm.name), vm.leaving, now_us)
+    /// Returns the usability of a listed VM.
+    pub fn vm_usability(&self, vm: &Vm, now_us: u64) -> Usability {
+        self.usability(self.vms.get(&vm.name), vm.leaving, now_us)
     }
 
-    /// Returns the standing of a VM by name; [`Standing::Unknown`] if the version doesn't list it.
-    pub fn vm_standing_by_name(&self, topology: &Topology, vm: &str, now_us: u64) -> Standing {
+    /// Returns the usability of a VM by name; [`Usability::Unknown`] if the version doesn't list it.
+    pub fn vm_usability_by_name(&self, topology: &Topology, vm: &str, now_us: u64) -> Usability {
         match topology.vm_id(vm) {
-            Some(id) => self.vm_standing(topology.vm(id), now_us),
-            None => Standing::Unknown,
+            Some(id) => self.vm_usability(topology.vm(id), now_us),
+            None => Usability::Unknown,
         }
     }
 
-    /// Returns the standing of a target.
-    pub fn target_standing(&self, target: &Target, now_us: u64) -> Standing {
-        self.standing(self.targets.get(&target.name), target.drain, now_us)
+    /// Returns the usability of a target.
+    pub fn target_usability(&self, target: &Target, now_us: u64) -> Usability {
+        self.usability(self.targets.get(&target.name), target.drain, now_us)
     }
 
     /// Fills `usable` with one entry for each VM of the version, the input of `process/homes.rs`.
     pub fn usable_vms(&self, topology: &Topology, now_us: u64, usable: &mut Vec<bool>) {
         usable.clear();
-        usable.extend(topology.vms.iter().map(|vm| self.vm_standing(vm, now_us).is_usable()));
+        usable.extend(topology.vms.iter().map(|vm| self.vm_usability(vm, now_us).is_usable()));
     }
 
-    /// Drops expired evidence and returns when the next evidence expires. A standing can change at
+    /// Drops expired evidence and returns when the next evidence expires. The usability can change at
     /// that time without any event.
     pub fn expire(&mut self, now_us: u64) -> Option<u64> {
         self.vms.retain(|_, record| record.expires_us() > now_us);
@@ -206,14 +206,14 @@
         problems
     }
 
-    fn standing(&self, record: Option<&Record>, listed_leaving: bool, now_us: u64) -> Standing {
+    fn usability(&self, record: Option<&Record>, listed_leaving: bool, now_us: u64) -> Usability {
         if listed_leaving {
-            return Standing::ListedLeaving;
+            return Usability::ListedLeaving;
         }
         match record {
-            Some(record) if record.is_leaving(now_us) => Standing::ReportedLeaving,
-            Some(record) if record.is_unreachable(&self.policy, now_us) => Standing::Unreachable,
-            _ => Standing::Usable,
+            Some(record) if record.is_leaving(now_us) => Usability::ReportedLeaving,
+            Some(record) if record.is_unreachable(&self.policy, now_us) => Usability::Unreachable,
+            _ => Usability::Usable,
         }
     }
 }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -3,7 +3,7 @@
 use skylark_core::process::membership::Evidence;
 use skylark_core::process::membership::Membership;
 use skylark_core::process::membership::MembershipPolicy;
-use skylark_core::process::membership::Standing;
+use skylark_core::process::membership::Usability;
 use skylark_core::version::objects::Snapshot;
 use skylark_core::version::objects::VmRecord;
 use skylark_core::version::objects::VmState;
@@ -27,8 +27,8 @@
     topology(&[("a", VmState::Live), ("b", VmState::Live), ("c", VmState::Leaving)])
 }
 
-/// Returns the standing of a VM shortly after the last of a series of observations, one per second.
-fn standing_after(vm: &str, seen: &[Evidence]) -> Standing {
+/// Returns the usability of a VM shortly after the last of a series of observations, one per second.
+fn usability_after(vm: &str, seen: &[Evidence]) -> Usability {
     let mut membership = Membership::new(MembershipPolicy::default());
     let mut now_us = SECOND_US;
     for evidence in seen {
@@ -36,20 +36,20 @@
         membership.record_vm_evidence(vm, *evidence, now_us);
     }
     assert_eq!(membership.verify(), Vec::<String>::new());
-    membership.vm_standing_by_name(&listed(), vm, now_us + 1)
+    membership.vm_usability_by_name(&listed(), vm, now_us + 1)
 }
 
-macro_rules! standings {
-    ($($name:ident: $vm:literal, [$($evidence:ident),*] => $standing:ident;)+) => {
+macro_rules! usability_cases {
+    ($($name:ident: $vm:literal, [$($evidence:ident),*] => $usability:ident;)+) => {
         $(#[test]
         fn $name() {
             let seen = [$(Evidence::$evidence),*];
-            assert_eq!(standing_after($vm, &seen), Standing::$standing);
+            assert_eq!(usability_after($vm, &seen), Usability::$usability);
         })+
     };
 }
 
-standings! {
+usability_cases! {
     listed_as_live: "a", [] => Usable;
     listed_as_leaving: "c", [] => ListedLeaving;
     not_listed: "z", [] => Unknown;
@@ -73,7 +73,7 @@
     let topology = listed();
     assert!(
         membership.record_vm_evidence("a", Evidence::Leaving, SECOND_US),
-        "the standing changed"
+        "the usability changed"
     );
     let mut usable = Vec::new();
     for after_s in [0, 1, 30, 60] {
@@ -91,10 +91,10 @@
     membership.record_vm_evidence("a", Evidence::Refused, SECOND_US);
     membership.record_vm_evidence("a", Evidence::Refused, SECOND_US);
     let expires_us = membership.expire(SECOND_US).expect("something expires");
-    let standing =
-        |membership: &Membership, now_us| membership.vm_standing_by_name(&topology, "a", now_us);
-    assert_eq!(standing(&membership, expires_us - 1), Standing::Unreachable);
-    assert_eq!(standing(&membership, expires_us), Standing::Usable);
+    let usability =
+        |membership: &Membership, now_us| membership.vm_usability_by_name(&topology, "a", now_us);
+    assert_eq!(usability(&membership, expires_us - 1), Usability::Unreachable);
+    assert_eq!(usability(&membership, expires_us), Usability::Usable);
     assert_eq!(membership.expire(expires_us), None);
     assert!(membership.is_empty());
 }
@@ -105,14 +105,14 @@
     let mut membership = Membership::new(MembershipPolicy::default());
     membership.record_vm_evidence("a", Evidence::Refused, SECOND_US);
     membership.record_vm_evidence("a", Evidence::Refused, 100 * SECOND_US);
-    let standing = membership.vm_standing_by_name(&listed(), "a", 100 * SECOND_US);
-    assert_eq!(standing, Standing::Usable);
+    let usability = membership.vm_usability_by_name(&listed(), "a", 100 * SECOND_US);
+    assert_eq!(usability, Usability::Usable);
 }
 
 #[test]
 fn targets_and_vms_of_one_name_are_distinct() {
     let mut membership = Membership::new(MembershipPolicy::default());
     membership.record_target_evidence("a", Evidence::Leaving, SECOND_US);
-    assert_eq!(membership.vm_standing_by_name(&listed(), "a", SECOND_US), Standing::Usable);
+    assert_eq!(membership.vm_usability_by_name(&listed(), "a", SECOND_US), Usability::Usable);
     assert_eq!(membership.len(), 1);
 }
--- a/crates/proxy/src/process/control/align.rs
+++ b/crates/proxy/src/process/control/align.rs
@@ -296,10 +296,10 @@
             let Some(group) = self.groups.get_mut(spec.name.as_str()) else { continue };
             for (place, &target) in spec.members.iter().enumerate() {
                 let target = topology.target(target);
-                let standing = self.membership.target_standing(target, now_us);
+                let usability = self.membership.target_usability(target, now_us);
                 let kept_out = matches!(
-                    standing,
-                    membership::Standing::ListedLeaving | membership::Standing::ReportedLeaving
+                    usability,
+                    membership::Usability::ListedLeaving | membership::Usability::ReportedLeaving
                 );
                 group.keep_out(now_us, place, &target.name, kept_out);
             }
