--- a/crates/bench/src/load/session.rs
+++ b/crates/bench/src/load/session.rs
@@ -236,7 +236,7 @@
 
     fn after_refusal(&mut self, refusal: &Refusal) {
         let over = match &refusal.reason {
-            Reason::Kind(kind) => kind.answer().closes,
+            Reason::Kind(kind) => kind.answer().closes_connection,
             Reason::Foreign(_) => false,
             Reason::ConnectFailed | Reason::ClosedBefore | Reason::Broken | Reason::GaveUp => true,
         };
