--- a/crates/proxy/src/process/counters.rs
+++ b/crates/proxy/src/process/counters.rs
@@ -93,7 +93,7 @@
         /// Operations that were granted without asking another VM.
         LimitsGrantedHere = "limits.granted_here",
         /// Questions to another VM whether an organisation's limit has room.
-        LimitsAsked = "limits.asked",
+        GrantsRequested = "limits.asked",
         /// Such questions that brought no answer in time.
         LimitsUnanswered = "limits.unanswered",
         /// Sessions that ended because their key was withdrawn.
@@ -109,15 +109,15 @@
         /// Requests that waited for a primary that moves or changes.
         PrimaryWaits = "waits.primary",
         /// Members asked how they stand.
-        WordsAsked = "words.asked",
+        StatusRequested = "words.asked",
         /// Homes asked for a position of a primary.
-        PositionsAsked = "positions.asked",
+        PositionsRequested = "positions.asked",
         /// Checks of the paths to a target.
         PathsChecked = "paths.checked",
         /// Times that the paths to a target were set anew.
-        PathsSet = "paths.set",
+        PathsReplaced = "paths.set",
         /// Targets of other availability zones asked, since no VM there answered.
-        OtherZonesAsked = "zones.targets_asked",
+        OtherZoneTargetsProbed = "zones.targets_asked",
         /// Leads that other members' words proved.
         LeadsProved = "leads.proved",
         /// Leads that too few words could be had for.
@@ -129,7 +129,7 @@
         /// Bytes that a watcher sent to those that it tells.
         FeedBytes = "feed.bytes_sent",
         /// Watchers that were given up by those that they told, or should have told.
-        FeedsGivenUp = "feed.given_up",
+        FeedsAbandoned = "feed.given_up",
     }
 }
 
--- a/crates/proxy/src/sessions/process/feed/subscriber.rs
+++ b/crates/proxy/src/sessions/process/feed/subscriber.rs
@@ -218,7 +218,7 @@
         watcher.set_feed_status(None);
     }
     let gateway = &watcher.gateway;
-    gateway.counters.event(Event::FeedsGivenUp);
+    gateway.counters.event(Event::FeedsAbandoned);
     slog::info!(gateway.log, "not told by a watcher";
         "watcher" => &*vm.name, "as" => ?source, "reason" => reason.to_string(),
         "unfinished_bytes" => feed.input.len(), "version" => watcher.version());
--- a/crates/proxy/src/sessions/process/fleet.rs
+++ b/crates/proxy/src/sessions/process/fleet.rs
@@ -48,7 +48,7 @@
             let inputs = PathInputs { demand, is_primary: self.is_primary(target) };
             let is_unchanged = target.paths_unchanged(inputs) && !checks_all;
             if !is_unchanged && !target.refuses_work(now_us) {
-                self.counters.event(Event::PathsSet);
+                self.counters.event(Event::PathsReplaced);
                 peer_routes.update_path(target, inputs, now_us);
             }
             target.maintain();
--- a/crates/proxy/src/sessions/process/quota/ask.rs
+++ b/crates/proxy/src/sessions/process/quota/ask.rs
@@ -67,7 +67,7 @@
 
     /// Asks a VM to grant one operation.
     pub async fn ask(&self, vm: &VmAddress, organisation: &Arc<str>) -> Answer {
-        self.counters.event(Event::LimitsAsked);
+        self.counters.event(Event::GrantsRequested);
         let (answer, answered) = oneshot::channel();
         let request = GrantRequest { organisation: Arc::clone(organisation), answer };
         // A full queue counts as a missing answer: dropping the request also drops the sender of its answer.
--- a/crates/proxy/src/sessions/process/zone_reach.rs
+++ b/crates/proxy/src/sessions/process/zone_reach.rs
@@ -193,7 +193,7 @@
     }
     for (zone, records) in by_zone {
         let record = Arc::clone(&records[next_index % records.len()]);
-        gateway.counters.event(Event::OtherZonesAsked);
+        gateway.counters.event(Event::OtherZoneTargetsProbed);
         let gateway = Arc::clone(gateway);
         tokio::spawn(async move {
             let vm = &gateway.vm;
--- a/crates/proxy/src/sessions/request/prove.rs
+++ b/crates/proxy/src/sessions/request/prove.rs
@@ -214,7 +214,7 @@
     if gateway.lead_verdict(target, as_of_us) != LeadVerdict::TermUnknown {
         return Ok(());
     }
-    gateway.counters.event(Event::WordsAsked);
+    gateway.counters.event(Event::StatusRequested);
     let asked_us = gateway.clock.now_us();
     let until = gateway.clock.instant_at(asked_us + limits::STATUS_TIMEOUT_US);
     let reply = link.ask(&Query::ImmediateStatus, until).await?;
@@ -280,7 +280,7 @@
 where
     C: Codec,
 {
-    gateway.counters.event(Event::WordsAsked);
+    gateway.counters.event(Event::StatusRequested);
     let now_us = gateway.clock.now_us();
     let until = gateway.clock.instant_at(until_us.min(now_us + limits::STATUS_TIMEOUT_US));
     let path = member.path();
--- a/crates/proxy/src/sessions/request/sample.rs
+++ b/crates/proxy/src/sessions/request/sample.rs
@@ -99,7 +99,7 @@
 where
     C: Codec,
 {
-    gateway.counters.event(Event::PositionsAsked);
+    gateway.counters.event(Event::PositionsRequested);
     let sent_us = gateway.clock.now_us();
     let until = gateway.clock.instant_at(sent_us + TIMEOUT_US);
     let reply = lease.connection().ask(&Query::Position { max_age_us }, until).await.ok()?;
