--- a/crates/core/src/process/connection_budget.rs
+++ b/crates/core/src/process/connection_budget.rs
@@ -337,9 +337,9 @@
     }
 
     fn refill(&mut self, now_us: u64) {
-        let passed_us = now_us.saturating_sub(self.refilled_us);
+        let elapsed_us = now_us.saturating_sub(self.refilled_us);
         let rate_milli = u64::from(self.policy.attempts_per_second) * ATTEMPT_COST_MILLI;
-        let earned = passed_us.saturating_mul(rate_milli) / SECOND_US;
+        let earned = elapsed_us.saturating_mul(rate_milli) / SECOND_US;
         if earned == 0 {
             return;
         }
--- a/crates/core/src/process/failover/campaign.rs
+++ b/crates/core/src/process/failover/campaign.rs
@@ -106,10 +106,10 @@
         if cause == Cause::Wanted && !self.wanted_answered(since_us) {
             return true;
         }
-        let all = self.responding_members(since_us).count() == self.members().count();
+        let all_responded = self.responding_members(since_us).count() == self.members().count();
         let until_us =
             since_us.saturating_add(QUORUM_CHECK_ROUNDS * self.settings.resend_interval_us);
-        let waits = cause != Cause::Suspected && !all && now_us < until_us;
+        let waits = cause != Cause::Suspected && !all_responded && now_us < until_us;
         if waits {
             self.wake_at(until_us);
         }
--- a/crates/core/src/process/failover/claim.rs
+++ b/crates/core/src/process/failover/claim.rs
@@ -41,7 +41,7 @@
             Self::trace(Step::Claimed, term, actions);
             return Some(self.after_claim(now_us, cause, term));
         }
-        if self.overtaken(term) || self.leader_reached_term(term) {
+        if self.is_superseded(term) || self.leader_reached_term(term) {
             return Some(self.lose_change(now_us, term, actions));
         }
         if now_us >= deadline_us {
@@ -87,7 +87,7 @@
 
     /// Returns whether the record names another driver for this term or a higher one, or for a term
     /// that it has not opened yet.
-    pub(super) fn overtaken(&self, term: Term) -> bool {
+    pub(super) fn is_superseded(&self, term: Term) -> bool {
         let Some(record) = self.record() else { return false };
         record.driver != self.name && record.term >= term
     }
--- a/crates/core/src/process/failover/fence.rs
+++ b/crates/core/src/process/failover/fence.rs
@@ -49,7 +49,7 @@
                 Phase::Promoting { term, member, since_us: now_us }
             });
         }
-        if self.refused(term) || self.overtaken(term) {
+        if self.refused(term) || self.is_superseded(term) {
             return Some(self.lose_change(now_us, term, actions));
         }
         if now_us >= since_us.saturating_add(self.settings.driver_timeout_us) {
--- a/crates/core/src/process/failover/planned_move.rs
+++ b/crates/core/src/process/failover/planned_move.rs
@@ -55,7 +55,7 @@
         let Some(leader) = self.leader.filter(|leader| leader.term < term) else {
             return Some(self.lose_change(now_us, term, actions));
         };
-        if self.overtaken(term) {
+        if self.is_superseded(term) {
             return Some(self.lose_change(now_us, term, actions));
         }
         if self.suspected == Some(leader.term) {
--- a/crates/core/src/process/sharing/queue.rs
+++ b/crates/core/src/process/sharing/queue.rs
@@ -352,11 +352,11 @@
             return Some(ErrorKind::DeadlineUnreachable);
         }
         let queue = &self.queues[class];
-        let full = queue.len() >= self.limits.queued_per_class
+        let is_full = queue.len() >= self.limits.queued_per_class
             || self.exceeds_caller_limit(class, caller)
             || self.is_standing(class, caller, predicted_wait_us, now_us)
             || !self.has_queue_space(class);
-        full.then_some(ErrorKind::QueueFull)
+        is_full.then_some(ErrorKind::QueueFull)
     }
 
     /// Returns whether the caller has reached its limit of waiting requests in the class.
--- a/crates/core/src/process/takeover.rs
+++ b/crates/core/src/process/takeover.rs
@@ -129,6 +129,6 @@
 }
 
 fn longest(replicas: &[ReplicaView]) -> usize {
-    let ends = replicas.iter().enumerate().map(|(index, replica)| (replica.received, index));
-    ends.max().map_or(0, |(_, index)| index)
+    let log_ends = replicas.iter().enumerate().map(|(index, replica)| (replica.received, index));
+    log_ends.max().map_or(0, |(_, index)| index)
 }
--- a/crates/proxy/src/request/context.rs
+++ b/crates/proxy/src/request/context.rs
@@ -151,11 +151,11 @@
         max_hops: u8,
     ) -> Result<Forward, Refusal> {
         let left = self.deadline.saturating_duration_since(Instant::now());
-        let left_us = left.as_micros() as u64;
+        let remaining_us = left.as_micros() as u64;
         let reserve_us =
-            (left_us / HOP_RESERVE_DIVISOR).clamp(MIN_HOP_RESERVE_US, MAX_HOP_RESERVE_US);
+            (remaining_us / HOP_RESERVE_DIVISOR).clamp(MIN_HOP_RESERVE_US, MAX_HOP_RESERVE_US);
         let deadline_ms =
-            retry::hop_deadline_ms(left_us, reserve_us).ok_or(ErrorKind::WaitTimedOut)?;
+            retry::hop_deadline_ms(remaining_us, reserve_us).ok_or(ErrorKind::WaitTimedOut)?;
         if self.hops >= max_hops {
             return Err(ErrorKind::TooManyHops.into());
         }
--- a/crates/proxy/src/sessions/connection/caller.rs
+++ b/crates/proxy/src/sessions/connection/caller.rs
@@ -186,7 +186,7 @@
                 return wake;
             }
         }
-        match time::timeout(limits::SLOW_SENDER, self.read_message_len()).await {
+        match time::timeout(limits::SLOW_SENDER_TIMEOUT, self.read_message_len()).await {
             Ok(Ok(Some(length))) => Wake::Message(length),
             Ok(Ok(None)) => Wake::End,
             Ok(Err(kind)) => Wake::Broken(kind),
@@ -305,7 +305,8 @@
     }
 
     async fn flush(&mut self) -> bool {
-        let written = socket::write_all(&self.stream, &self.output, limits::SLOW_READER).await;
+        let written =
+            socket::write_all(&self.stream, &self.output, limits::SLOW_READER_TIMEOUT).await;
         self.output.clear();
         written.is_ok()
     }
--- a/crates/proxy/src/sessions/connection/peer.rs
+++ b/crates/proxy/src/sessions/connection/peer.rs
@@ -118,7 +118,7 @@
     let Some(target) = known.filter(|target| gateway.connects_directly(target)) else {
         push_refusal::<C>(&Refusal::from(ErrorKind::TargetUnreachable), &mut output);
         // If the refusal can't be sent, the other proxy handles the broken connection in the same way.
-        let _ = socket::write_all(&stream, &output, limits::SLOW_READER).await;
+        let _ = socket::write_all(&stream, &output, limits::SLOW_READER_TIMEOUT).await;
         return;
     };
     let route = Route {
@@ -409,7 +409,8 @@
     }
 
     async fn flush(&mut self) -> bool {
-        let written = socket::write_all(&self.stream, &self.output, limits::SLOW_READER).await;
+        let written =
+            socket::write_all(&self.stream, &self.output, limits::SLOW_READER_TIMEOUT).await;
         self.output.clear();
         written.is_ok()
     }
--- a/crates/proxy/src/sessions/process/claims.rs
+++ b/crates/proxy/src/sessions/process/claims.rs
@@ -61,7 +61,7 @@
     pub async fn acquire<F>(
         &self,
         service: &Arc<str>,
-        wanted_us: u64,
+        needed_since_us: u64,
         is_needed: F,
     ) -> Option<HeldClaim>
     where
@@ -95,7 +95,7 @@
             }
             let now_us = self.gateway.clock.now_us();
             let vm = &*self.gateway.vm;
-            match takeover_claim::next_claim(seen.as_ref(), vm, wanted_us, now_us) {
+            match takeover_claim::next_claim(seen.as_ref(), vm, needed_since_us, now_us) {
                 ClaimStep::Write { token } => {
                     let previous = seen.as_ref();
                     let claim = Claim::next(previous.map(|seen| &seen.claim), vm, token);
--- a/crates/proxy/src/sessions/process/limits.rs
+++ b/crates/proxy/src/sessions/process/limits.rs
@@ -11,10 +11,10 @@
 pub const STARTUP_LIMIT: Duration = Duration::from_millis(2_000);
 
 /// How long a caller may send no more of a message that it began.
-pub const SLOW_SENDER: Duration = Duration::from_millis(5_000);
+pub const SLOW_SENDER_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 /// How long a caller may read nothing of an answer.
-pub const SLOW_READER: Duration = Duration::from_millis(5_000);
+pub const SLOW_READER_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 /// Timeout for opening a connection to a target, in milliseconds. The connection waits in the target's queue,
 /// and a silent target has to be noticed.
--- a/crates/proxy/src/sessions/process/replicas.rs
+++ b/crates/proxy/src/sessions/process/replicas.rs
@@ -70,9 +70,9 @@
 
 /// Returns those of the targets in `back` that are not in `listed`.
 pub fn unlisted(
-    back: &[Arc<TargetRecord>],
+    returned: &[Arc<TargetRecord>],
     listed: &[Arc<TargetRecord>],
 ) -> Vec<Arc<TargetRecord>> {
     let is_listed = |target: &&Arc<TargetRecord>| listed.iter().any(|known| known.id == target.id);
-    back.iter().filter(|target| !is_listed(target)).cloned().collect()
+    returned.iter().filter(|target| !is_listed(target)).cloned().collect()
 }
--- a/crates/proxy/src/sessions/request/acquire.rs
+++ b/crates/proxy/src/sessions/request/acquire.rs
@@ -80,9 +80,9 @@
 {
     let (class, caller) = (call.class(), call.caller());
     let request = AdmissionRequest { class, caller, deadline_us: until_us };
-    let turn = target.queue.admit(&request).await.map_err(AcquireError::Queue)?;
+    let permit = target.queue.admit(&request).await.map_err(AcquireError::Queue)?;
     let until = call.gateway.clock.instant_at(until_us);
-    let taken = pool.take(call.user, Some(turn), until).await;
+    let taken = pool.take(call.user, Some(permit), until).await;
     let mut lease = taken.map_err(AcquireError::NotConnected)?;
     lease.connection().set_user(call.user);
     Ok(lease)
@@ -122,20 +122,20 @@
 pub async fn exchange_all<C>(
     call: &Call<'_, C>,
     link: &mut StatementLink<C>,
-    answers: u32,
+    reply_count: u32,
     until_us: u64,
 ) -> Result<Option<Reply>, LostReply>
 where
     C: Codec,
 {
-    if answers == 0 {
+    if reply_count == 0 {
         return Ok(None);
     }
     let until = call.gateway.clock.instant_at(until_us);
     link.send().await?;
     let mut last = None;
     let mut refused = None;
-    for _ in 0..answers {
+    for _ in 0..reply_count {
         let reply = link.next_reply(until).await?;
         if reply.error().is_some() {
             refused.get_or_insert_with(|| reply.clone());
--- a/crates/proxy/src/sessions/request/at_primary.rs
+++ b/crates/proxy/src/sessions/request/at_primary.rs
@@ -396,10 +396,10 @@
 }
 
 /// Returns the refusal after the last attempt: the target's own reason if it has one, otherwise `otherwise`.
-fn final_refusal(reply: &Reply, otherwise: Refusal) -> Refusal {
+fn final_refusal(reply: &Reply, default_refusal: Refusal) -> Refusal {
     match reply.error() {
         Some(TargetError::Busy) => ErrorKind::TargetBusy.into(),
         Some(TargetError::Lagging) => ErrorKind::TooOld.into(),
-        _ => otherwise,
+        _ => default_refusal,
     }
 }
