--- a/crates/core/src/process/connection_plan.rs
+++ b/crates/core/src/process/connection_plan.rs
@@ -51,7 +51,7 @@
 /// 100 because the VMs do not use all their connections at the same time.
 const OVERSUBSCRIBED_PERCENT: u32 = 125;
 
-/// The way in which VMs connect to a target.
+/// How VMs connect to a target.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ConnectionPlan {
     /// Every VM connects directly.
--- a/crates/core/src/process/failover/campaign.rs
+++ b/crates/core/src/process/failover/campaign.rs
@@ -57,8 +57,9 @@
         may_start_us.max(self.not_before_us).max(self.rival_deadline_us(cause))
     }
 
-    /// Returns when a rival that was seen at work counts as failed. A rival that performs a move
-    /// requested by an operator also has the time of the hold, unless the primary fails meanwhile.
+    /// Returns when a rival driver that was observed to be active counts as failed. A rival that
+    /// performs a move requested by an operator also gets the maximum time for which it may hold
+    /// writes back, unless the primary fails in the meantime.
     fn rival_deadline_us(&self, cause: Cause) -> u64 {
         let rival_claim_us = self.lead.rival_claim_us(&self.name, self.leader_term());
         let Some(seen_us) = self.rival_seen_us.max(rival_claim_us) else { return 0 };
@@ -100,8 +101,8 @@
     }
 
     /// Returns whether the quorum check waits for members beyond the quorum. A process that starts,
-    /// or that sees a detached member, may hear from the replicas before the primary that leads
-    /// them; a suspected primary has already had its time.
+    /// or that sees a detached member, may receive the replicas' answers before that of the primary that
+    /// leads them; a suspected primary has already had time to answer.
     fn awaits_more_answers(&mut self, now_us: u64, cause: Cause, since_us: u64) -> bool {
         if cause == Cause::Wanted && !self.wanted_answered(since_us) {
             return true;
--- a/crates/core/src/process/failover/claim.rs
+++ b/crates/core/src/process/failover/claim.rs
@@ -138,7 +138,7 @@
         call
     }
 
-    /// Handles an answer of the platform. An answer to a call that was given up is ignored; a
+    /// Handles an answer of the platform. An answer to an abandoned call is ignored; a
     /// change that it made shows as a version conflict.
     pub(super) fn handle_platform_answer(
         &mut self,
--- a/crates/core/src/process/failover/event.rs
+++ b/crates/core/src/process/failover/event.rs
@@ -59,7 +59,7 @@
     NoAnswer,
 }
 
-/// The number of a call to the platform, by which a late answer is told from the answer to a later
+/// The number of a call to the platform, which distinguishes a late answer from the answer to a later
 /// call.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct PlatformCall(pub u64);
--- a/crates/core/src/process/failover/maintenance.rs
+++ b/crates/core/src/process/failover/maintenance.rs
@@ -121,8 +121,8 @@
         self.awaits_platform(now_us);
     }
 
-    /// Returns whether a call to the platform is in progress. A call that takes too long is given
-    /// up.
+    /// Returns whether a call to the platform is in progress. A call that takes too long is
+    /// abandoned.
     fn awaits_platform(&mut self, now_us: u64) -> bool {
         let Some(open) = &self.lead.open else { return false };
         let until_us = open.sent_us.saturating_add(self.settings.claim_timeout_us);
@@ -147,7 +147,7 @@
         let expected = LeadRecord { term: leader.term, driver, primary, wanted, plan };
         let Some(record) = known else { return Some(expected) };
         if record.term > leader.term && !abandoned {
-            // A claim in progress must not be overwritten; one that had no effect for long is dead.
+            // A claim in progress must not be overwritten; one that had no effect for long has failed.
             let claim_expires_us = self
                 .lead
                 .seen_us()
--- a/crates/core/src/process/homes.rs
+++ b/crates/core/src/process/homes.rs
@@ -79,8 +79,8 @@
 }
 
 impl Homes {
-    /// Ranks the VMs of a version for every target. `usable` says for each VM, indexed by [`VmId`],
-    /// whether it may receive work; see `process/membership.rs`.
+    /// Ranks the VMs of a version for every target. `usable` gives for each VM, indexed by
+    /// [`VmId`], whether it may receive work; see `process/membership.rs`.
     pub fn build(topology: &Topology, usable: &[bool], homes_per_target: usize) -> Homes {
         let zones = topology.zones.len();
         let mut homes = Homes {
--- a/crates/core/src/process/isolation.rs
+++ b/crates/core/src/process/isolation.rs
@@ -11,7 +11,7 @@
 //! In a fleet of many VMs each one sends statements to other zones only rarely, and would notice
 //! the isolation late or never. The balancer sends callers to other zones only if no VM of this
 //! zone accepts any, so it is not sufficient that a few VMs notice. So the VMs that watch the store
-//! for a zone also probe VMs of the other zones, and tell the VMs of their own zone when no other
+//! for a zone also probe VMs of the other zones, and notify the VMs of their own zone when no other
 //! zone answers any more.
 
 use std::sync::Arc;
--- a/crates/core/src/process/sharing/queue.rs
+++ b/crates/core/src/process/sharing/queue.rs
@@ -29,7 +29,7 @@
 /// The divisor of the moving averages: a new observation has the weight 1/16.
 const AVERAGE_DIVISOR: u64 = 16;
 
-/// The shortest time after which a refused caller is told to retry, in microseconds.
+/// The shortest time after which a refused caller is advised to retry, in microseconds.
 const MIN_RETRY_AFTER_US: u64 = 20_000;
 
 /// The minimum wait that counts as a standing queue, in microseconds.
@@ -374,7 +374,7 @@
         queue.queued_of(caller) >= bound
     }
 
-    /// Updates the time since which the wait has been standing. The wait counts as short again only
+    /// Updates the time since which the queue has been a standing queue. The wait counts as short again only
     /// well below the bounds: while requests are refused, it stays close to the bounds, and this
     /// must not end the refusals.
     fn track_standing_wait(&mut self, class: usize, predicted_wait_us: u64, now_us: u64) {
--- a/crates/core/src/process/store_calls.rs
+++ b/crates/core/src/process/store_calls.rs
@@ -15,8 +15,8 @@
 //!
 //! A VM that is served by a peer passes nothing on, except for a polling VM that the store refuses
 //! and that a peer serves meanwhile. Such a VM is served only by VMs that the store itself answers.
-//! So information passes through at most two VMs, and no two VMs that lost the store can tell each
-//! other that it answers.
+//! So information passes through at most two VMs, and no two VMs that lost the store can report to
+//! each other that it answers.
 
 use crate::process::jitter;
 
@@ -55,7 +55,7 @@
 /// microseconds. A start of all VMs, or the loss of a peer that served many VMs, is over by then.
 const PEER_SEARCH_US: u64 = 600_000;
 
-/// The way in which a VM receives the contents of the store.
+/// How a VM receives the contents of the store.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StoreAccess {
     /// It polls the store, for itself and for the VMs that it serves.
--- a/crates/core/src/process/takeover.rs
+++ b/crates/core/src/process/takeover.rs
@@ -9,7 +9,7 @@
 //! a paused replica receives nothing, so each commit that is acknowledged from then on was received
 //! by the remaining replica. Once that one has received at least what each paused one holds, it
 //! stays ahead, however long the old primary keeps acknowledging until the promotion takes effect.
-//! A planned move in this way hardly interrupts writes, because the old primary leads until the new
+//! A planned move of this kind hardly interrupts writes, because the old primary leads until the new
 //! one does.
 //!
 //! A replica that doesn't answer may be the only one that holds a commit, so nothing is promoted
--- a/crates/core/src/request/read_choice.rs
+++ b/crates/core/src/request/read_choice.rs
@@ -6,7 +6,7 @@
 //! did not answer, rank after all others and are used only as a last resort.
 
 /// The penalty for a member in another availability zone, in microseconds. A read across zones costs
-/// about 1% of its revenue, so it is worthwhile only if the answer arrives clearly sooner.
+/// about 1% of its revenue, so it is worthwhile only if the answer arrives clearly earlier.
 pub const OTHER_ZONE_COST_US: u64 = 15_000;
 
 /// The penalty for a read at the primary, in microseconds: only the primary's slots can run writes.
--- a/crates/core/src/version/plan/call.rs
+++ b/crates/core/src/version/plan/call.rs
@@ -79,8 +79,8 @@
         /// A description of the conflicting change.
         cause: String,
     },
-    /// The object is changed, and it is unknown whether this plan or another change removed it
-    /// before.
+    /// An object that the plan removes has changed since, and it is unknown whether this plan or another
+    /// change removed it before.
     Unknown {
         /// A description of the state of the object.
         cause: String,
--- a/crates/proxy/src/request/exchange.rs
+++ b/crates/proxy/src/request/exchange.rs
@@ -37,7 +37,7 @@
 pub struct EncodedRequest {
     /// The bytes to send, with the proxy's own requests (the prelude) first.
     pub bytes: Bytes,
-    /// The length of the prelude.
+    /// The length of the prelude, in bytes.
     pub prelude_bytes: usize,
     /// The number of ReadyForQuery messages that answer the prelude.
     pub prelude_ready: u32,
--- a/crates/proxy/src/sessions/process/claims.rs
+++ b/crates/proxy/src/sessions/process/claims.rs
@@ -56,7 +56,8 @@
         Claims { gateway: Arc::clone(gateway), store }
     }
 
-    /// Acquires the claim of a service. `wanted_us` is the time since when the takeover has been needed.
+    /// Acquires the claim of a service. `needed_since_us` is the time since when the takeover has been
+    /// needed.
     /// Returns `None` if `is_needed` becomes false first.
     pub async fn acquire<F>(
         &self,
@@ -138,8 +139,8 @@
         self.write(service, claim, Some(held.revision), held.unsettled_since_us).await
     }
 
-    /// Releases a claim. Returns whether the store accepted it; otherwise the next driver takes the claim
-    /// over as it stands.
+    /// Releases a claim. Returns whether the store accepted it; otherwise the next driver takes over
+    /// the claim unchanged.
     pub async fn release(&self, service: &Arc<str>, held: HeldClaim) -> bool {
         let claim = Claim { state: ClaimState::Settled, ..held.claim };
         self.store.write_claim(service, &claim, Some(held.revision)).await.is_ok()
--- a/crates/proxy/src/sessions/process/cluster_state.rs
+++ b/crates/proxy/src/sessions/process/cluster_state.rs
@@ -178,8 +178,8 @@
     }
 
     /// Handles a target that is no longer listed. If its entry may have expired only because the store was
-    /// unavailable, the target is kept until the list is settled: live targets register again within 2 s, and
-    /// without them all requests of their services would be refused until then.
+    /// unavailable, the target is kept until the list is settled: running targets register again within 2 s,
+    /// and without them all requests of their services would be refused until then.
     fn handle_unlisted(&self, known: &mut ClusterState, member: Member) {
         let may_return = !member.record.leaving && !self.is_settled(known);
         if may_return {
--- a/crates/proxy/src/sessions/process/feed/mod.rs
+++ b/crates/proxy/src/sessions/process/feed/mod.rs
@@ -3,7 +3,7 @@
 //! Each change wakes every watch at the store, and each answer is billed. In a large fleet only a few VMs of
 //! each availability zone, the watchers, therefore watch the store, and publish what they receive to the
 //! other VMs of their zone ([`publisher`]). They also report whether the store is available, so that the
-//! others need not probe it. A subscriber that hears nothing for a while turns to the next watcher, then to
+//! others need not probe it. A subscriber that receives nothing for a while tries the next watcher, then
 //! those of other zones, and watches the store itself while it finds none ([`subscriber`]).
 //!
 //! A watcher has the same bandwidth as its subscribers, and its link also carries its own callers and
--- a/crates/proxy/src/sessions/process/lead.rs
+++ b/crates/proxy/src/sessions/process/lead.rs
@@ -105,7 +105,7 @@
     }
 
     /// Handles evidence that a target was replaced: another member knows a later term than the target's. The
-    /// target is told to step down.
+    /// target is requested to step down.
     pub fn superseded(&self, target: &TargetState<C>, term: u64) {
         let record = &target.record;
         let state = self.service(&record.service);
--- a/crates/proxy/src/sessions/process/limits.rs
+++ b/crates/proxy/src/sessions/process/limits.rs
@@ -10,10 +10,10 @@
 /// Timeout for the first message of a connection. Callers give up after 2 s without an answer.
 pub const STARTUP_LIMIT: Duration = Duration::from_millis(2_000);
 
-/// How long a caller may send no more of a message that it began.
+/// Timeout for receiving the rest of a message that a caller began.
 pub const SLOW_SENDER_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-/// How long a caller may read nothing of an answer.
+/// Maximum time that a write to a caller or proxy may make no progress because the peer does not read.
 pub const SLOW_READER_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 /// Timeout for opening a connection to a target, in milliseconds. The connection waits in the target's queue,
@@ -50,7 +50,7 @@
 pub const HOME_EJECTION_US: u64 = 30_000_000;
 
 /// For how long a VM acts as a fallback for a target's homes, in microseconds: longer than the homes'
-/// ejection, whose end would make it a fallback again at once.
+/// ejection, whose end would make it a fallback again immediately.
 pub const FALLBACK_US: u64 = 4 * LEAST_HOME_EJECTION_US;
 
 /// Maximum queue length per target. Longer queues only add requests that miss their latency objective.
--- a/crates/proxy/src/sessions/process/metrics_text.rs
+++ b/crates/proxy/src/sessions/process/metrics_text.rs
@@ -14,7 +14,7 @@
         ConfigurationVersion = "skylark_configuration_version",
         /// Open sessions of callers.
         Sessions = "skylark_sessions",
-        /// Whether the balancer is told that this VM accepts callers.
+        /// Whether this VM reports to the balancer that it accepts callers.
         Ready = "skylark_ready",
         /// VMs that subscribe to this VM's feed.
         FeedSubscribers = "skylark_feed_subscribers",
--- a/crates/proxy/src/sessions/process/quota/answer.rs
+++ b/crates/proxy/src/sessions/process/quota/answer.rs
@@ -1,8 +1,8 @@
 //! The allocator's side of quotas: grants operations to other VMs.
 //!
 //! A request is a line with the command `GRANT` and one organisation's name for each operation. The answer
-//! has one word for each of them: `1` for a grant, `0:` with the number of microseconds after which to ask
-//! again, or `-` if this VM is no allocator of the organisation.
+//! has one field for each of them, separated by white space: `1` for a grant, `0:` with the number of
+//! microseconds after which to ask again, or `-` if this VM is no allocator of the organisation.
 
 use std::fmt::Write;
 use std::io;
@@ -56,10 +56,10 @@
 /// Decodes an answer, in the order of the request.
 pub fn decode_answers(line: &[u8]) -> impl Iterator<Item = Answer> {
     let text = std::str::from_utf8(line).unwrap_or_default();
-    text.split_whitespace().map(|word| match word {
+    text.split_whitespace().map(|field| match field {
         NOT_HERE => Answer::NotHere,
         "1" => Answer::Grant(Grant { granted: 1, retry_after_us: 0 }),
-        _ => match word.strip_prefix("0:").and_then(|after| after.parse().ok()) {
+        _ => match field.strip_prefix("0:").and_then(|after| after.parse().ok()) {
             Some(retry_after_us) => Answer::Grant(Grant { granted: 0, retry_after_us }),
             None => Answer::Nothing,
         },
--- a/crates/proxy/src/sessions/process/quota/ask.rs
+++ b/crates/proxy/src/sessions/process/quota/ask.rs
@@ -113,7 +113,7 @@
         let answered = time::timeout(ANSWER_TIMEOUT, exchange(&stream, &mut input, &message)).await;
         let Ok(Ok(line)) = answered else { return };
         for (request, answer) in batch.drain(..).zip(answer::decode_answers(&line)) {
-            // The requester may have timed out, in which case it has given up the operation.
+            // The requester may have timed out, in which case it has abandoned the operation.
             let _ = request.answer.send(answer);
         }
     }
--- a/crates/proxy/src/sessions/process/replicas.rs
+++ b/crates/proxy/src/sessions/process/replicas.rs
@@ -12,8 +12,8 @@
 use crate::sessions::process::target_calls;
 use crate::sessions::process::target_calls::CallReply;
 
-/// How long a target that left the list has to show that it is back. A live one answers within some 20 ms,
-/// and a lost one must not delay a takeover for long.
+/// How long a target that left the list has to report that it is running again. A running one answers within
+/// some 20 ms, and a lost one must not delay a takeover for long.
 const RETURN_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Returns the targets that report their status.
@@ -68,7 +68,7 @@
     }
 }
 
-/// Returns those of the targets in `back` that are not in `listed`.
+/// Returns the targets in `returned` that are not in `listed`.
 pub fn unlisted(
     returned: &[Arc<TargetRecord>],
     listed: &[Arc<TargetRecord>],
--- a/crates/proxy/src/sessions/process/services.rs
+++ b/crates/proxy/src/sessions/process/services.rs
@@ -1,4 +1,4 @@
-//! What requests and status queries showed of one service.
+//! The state of one service, as observed by requests and status queries.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -17,7 +17,7 @@
 use crate::sessions::process::limits;
 use crate::sessions::process::single_flight::SingleFlight;
 
-/// What requests and status queries showed of one service.
+/// The state of one service, as observed by requests and status queries.
 #[derive(Debug, Default)]
 pub struct ServiceState {
     /// Known positions of the primary.
@@ -35,7 +35,7 @@
     /// When the last round of status queries without any answer ended, in microseconds; zero if an answer
     /// came since.
     unanswered_round_us: AtomicU64,
-    /// Who needs positions of the primary, and how often.
+    /// The demand of reads and peers for positions of the primary.
     pub demand: Mutex<PositionDemand>,
     /// The sampling of the primary's position. One sample serves all reads.
     pub sampling_flight: SingleFlight,
--- a/crates/proxy/src/sessions/process/step_down.rs
+++ b/crates/proxy/src/sessions/process/step_down.rs
@@ -1,8 +1,9 @@
-//! Tells a primary that was replaced to step down.
+//! Requests that a replaced primary steps down.
 //!
 //! A primary that was partitioned during the promotion of its successor stays primary until it reaches that
 //! one. Callers that reach only the old primary are refused, since it can't prove its role. The driver of the
-//! takeover often can't reach it either, so every process that finds it replaced tells it until it answers.
+//! takeover often can't reach it either, so every process that finds it replaced repeats the request until it
+//! answers.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/proxy/src/sessions/process/takeover/drive.rs
+++ b/crates/proxy/src/sessions/process/takeover/drive.rs
@@ -36,7 +36,7 @@
     /// The end of the log of a leaving primary that answered; the lowest position otherwise.
     pub(super) leaving_log_end: LogPosition,
     pub(super) claim: HeldClaim,
-    /// Whether the old primary was told to step down.
+    /// Whether the old primary was requested to step down.
     pub(super) stepped_down: bool,
     /// Whether the departed members have to be queried again, since some may be back.
     pub(super) checks_departed: bool,
--- a/crates/proxy/src/sessions/process/takeover/mod.rs
+++ b/crates/proxy/src/sessions/process/takeover/mod.rs
@@ -159,8 +159,8 @@
             "settled" => settled);
     }
 
-    /// Tells a primary that was replaced to step down. If it is unreachable, processes that find it replaced
-    /// tell it later.
+    /// Requests that a replaced primary steps down. If it is unreachable, processes that find it replaced
+    /// repeat the request later.
     async fn notify_old_primary(&self, service: &Arc<str>, old_primary: Option<Arc<TargetRecord>>) {
         let leader = self.last_leader(service);
         let Some(old_primary) =
--- a/crates/proxy/src/sessions/process/takeover/steps.rs
+++ b/crates/proxy/src/sessions/process/takeover/steps.rs
@@ -99,7 +99,7 @@
         }
         replicas.extend(replicas::unlisted(&drive.returned, &replicas));
         let (mut views, term) = replicas::ask_all::<C>(&self.gateway.vm, &replicas).await;
-        // These stand for departed members whose logs are lost. Only a position of the primary from after
+        // These represent departed members whose logs are lost. Only a position of the primary from after
         // their departure shows that no commit was lost with them. Otherwise a replica that lacked a commit
         // could be promoted, based on the answer of a member that had restarted with an empty log.
         views.extend(iter::repeat_n(ReplicaView::default(), departed.lost));
--- a/crates/proxy/src/sessions/process/targets.rs
+++ b/crates/proxy/src/sessions/process/targets.rs
@@ -170,7 +170,7 @@
         paths.iter().max_by_key(score).cloned().unwrap_or_else(|| self.path())
     }
 
-    /// Divides users among these VMs, where `None` stands for this process. With fewer than two all users
+    /// Divides users among these VMs, where `None` is this process. With fewer than two all users
     /// share one path.
     pub fn divide_users(&self, vms: &[Option<&VmAddress>]) {
         let known = self.user_paths.load_full();
--- a/crates/proxy/src/sessions/request/at_primary.rs
+++ b/crates/proxy/src/sessions/request/at_primary.rs
@@ -395,7 +395,8 @@
     }
 }
 
-/// Returns the refusal after the last attempt: the target's own reason if it has one, otherwise `otherwise`.
+/// Returns the refusal after the last attempt: the target's own reason if it has one, otherwise
+/// `default_refusal`.
 fn final_refusal(reply: &Reply, default_refusal: Refusal) -> Refusal {
     match reply.error() {
         Some(TargetError::Busy) => ErrorKind::TargetBusy.into(),
