--- a/crates/core/src/process/connection_budget.rs
+++ b/crates/core/src/process/connection_budget.rs
@@ -8,7 +8,7 @@
 //! its homes: failed attempts are spaced by an exponential back-off, with jitter from a seed of
 //! this process. A pool has to grow by many connections: attempts are limited by a token bucket.
 //! Two proxies disagree about which VMs are home to a target, so that their shares together exceed
-//! the target's connection limit and the target answers one with `53300`: that one caps its pool at
+//! the target's connection limit and the target refuses one proxy with `53300`: that proxy caps its pool at
 //! the present size, and raises the cap by one connection at a time until the proxies agree.
 
 use crate::process::jitter;
--- a/crates/core/src/process/failover/mod.rs
+++ b/crates/core/src/process/failover/mod.rs
@@ -4,7 +4,7 @@
 //! which the embedder carries out. A change of primary has these steps:
 //!
 //! 1. *Quorum check.* The driver starts when it has a [`Cause`] and its turn has come: candidates
-//!    wait according to their rank, and longer after another driver was seen at work. A quorum of
+//!    wait according to their rank, and longer if another driver was recently active. A quorum of
 //!    members must answer first, so that a process without a path to a quorum does not raise terms
 //!    on the few members that it reaches.
 //! 2. *Claim.* A conditional update of the group's lead record names the driver. This prevents
--- a/crates/proxy/src/sessions/codec.rs
+++ b/crates/proxy/src/sessions/codec.rs
@@ -53,7 +53,7 @@
     Ready {
         /// The connection's transaction status after the statement.
         status: TransactionStatus,
-        /// The end of the target's log; none if the target reports no position.
+        /// The end of the target's log; `None` if the target reports no position.
         position: Option<LogPosition>,
     },
     /// One result row.
@@ -77,7 +77,7 @@
 pub enum Query<'a> {
     /// A statement to run.
     Statement {
-        /// The caller's identifier of this attempt; none for a statement issued by the proxy itself.
+        /// The caller's identifier of this attempt; `None` for a statement issued by the proxy itself.
         id: Option<&'a str>,
         /// The target refuses the statement if its log ends before this position.
         at_least: Option<LogPosition>,
@@ -152,7 +152,7 @@
 
 /// A wire protocol of typed statements.
 pub trait Codec: Debug + Copy + Send + Sync + 'static {
-    /// Returns the length in bytes of the first message in `input`, including its framing; none if the
+    /// Returns the length in bytes of the first message in `input`, including its framing; `None` if the
     /// message is incomplete.
     ///
     /// # Errors
--- a/crates/proxy/src/sessions/connection/caller.rs
+++ b/crates/proxy/src/sessions/connection/caller.rs
@@ -63,7 +63,7 @@
     keys_withdrawn: watch::Receiver<u64>,
 }
 
-/// Returns when a connection that runs no statement is closed; none while the process serves.
+/// Returns when a connection that runs no statement is closed; `None` while the process serves.
 ///
 /// Outside a transaction the time is measured from the start of closing or of the session, whichever is
 /// later, and not from the last request: a caller that is never idle for long would otherwise stay connected
--- a/crates/proxy/src/sessions/connection/link.rs
+++ b/crates/proxy/src/sessions/connection/link.rs
@@ -202,7 +202,7 @@
         self.push_statement(None, None, statement);
     }
 
-    /// Returns the name of a prepared statement on this connection; none if it is not prepared here.
+    /// Returns the name of a prepared statement on this connection; `None` if it is not prepared here.
     pub fn prepared_name(&self, prepared: &Prepared) -> Option<String> {
         let number = self.prepared.get(prepared)?;
         Some(codec::shared_name(prepared.as_shape(), *number))
--- a/crates/proxy/src/sessions/connection/peer.rs
+++ b/crates/proxy/src/sessions/connection/peer.rs
@@ -75,7 +75,7 @@
     number: u64,
     route: Arc<Route>,
     target: Arc<TargetState<C>>,
-    /// The user that the other proxy set for its statements; none if it set none.
+    /// The user that the other proxy set for its statements; `None` if it set none.
     user: Option<Arc<str>>,
     values: Vec<(Box<str>, Box<str>)>,
     prepared: FastMap<Box<str>, Prepared>,
--- a/crates/proxy/src/sessions/connection/reply.rs
+++ b/crates/proxy/src/sessions/connection/reply.rs
@@ -38,7 +38,7 @@
     pub end: End,
     /// The transaction status after the statement.
     pub status: TransactionStatus,
-    /// The end of the target's log; none if the target reports no position.
+    /// The end of the target's log; `None` if the target reports no position.
     pub position: Option<LogPosition>,
 }
 
--- a/crates/proxy/src/sessions/connection/session.rs
+++ b/crates/proxy/src/sessions/connection/session.rs
@@ -39,7 +39,7 @@
     pub began_us: u64,
     /// Whether the transaction has written data.
     pub wrote: bool,
-    /// The connection that the transaction is bound to; none before its first statement, so that a caller
+    /// The connection that the transaction is bound to; `None` before its first statement, so that a caller
     /// that is idle after `BEGIN` holds no connection.
     pub pinned: Option<PinnedConnection<C>>,
 }
@@ -161,7 +161,7 @@
         };
     }
 
-    /// Returns the position that the session's reads of a service must see; none if it made no commit to the
+    /// Returns the position that the session's reads of a service must see; `None` if it made no commit to the
     /// service.
     pub fn floor_of(&self, service: &str) -> Option<LogPosition> {
         self.floor.as_ref().filter(|(known, _)| &**known == service).map(|(_, floor)| *floor)
--- a/crates/proxy/src/sessions/process/lead.rs
+++ b/crates/proxy/src/sessions/process/lead.rs
@@ -23,8 +23,8 @@
 where
     C: Codec,
 {
-    /// Records that a target answered as primary. A primary that was replaced does so as well, so this is no
-    /// proof.
+    /// Records that a target answered as primary. A replaced primary also answers as primary, so this is
+    /// no proof.
     pub fn answered_as_primary(&self, target: &TargetState<C>) {
         let state = self.service(&target.record.service);
         let is_news = state.leader.lock().answered(&target.record.id);
--- a/crates/proxy/src/sessions/process/peer_routes.rs
+++ b/crates/proxy/src/sessions/process/peer_routes.rs
@@ -227,7 +227,7 @@
     }
 
     /// Whether this VM has had no working path to a target for so long that it has to connect directly. It
-    /// then does so for [`limits::FALLBACK_US`].
+    /// then connects directly for [`limits::FALLBACK_US`].
     fn connects_as_last_resort<C>(
         &self,
         target: &TargetState<C>,
--- a/crates/proxy/src/sessions/process/watch.rs
+++ b/crates/proxy/src/sessions/process/watch.rs
@@ -299,7 +299,7 @@
         Ok(found.revision)
     }
 
-    /// Whether another change of targets came shortly before this one.
+    /// Whether the previous change of targets was shortly before this one.
     fn is_change_burst(&self) -> bool {
         let now_us = self.gateway.clock.now_us();
         let before_us = std::mem::replace(&mut self.known.lock().targets_changed_us, now_us);
--- a/crates/proxy/src/sessions/request/call.rs
+++ b/crates/proxy/src/sessions/request/call.rs
@@ -90,7 +90,7 @@
     pub id: &'a str,
     /// The session's number.
     pub session: u64,
-    /// The user name at targets; none if callers are not identified.
+    /// The user name at targets; `None` if callers are not identified.
     pub user: Option<&'a Arc<str>>,
     /// The route of the caller's database.
     pub route: &'a Arc<Route>,
--- a/crates/proxy/src/sessions/request/read.rs
+++ b/crates/proxy/src/sessions/request/read.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// Returns the position that the read must see; none if no sufficiently recent position can be obtained.
+/// Returns the position that the read must see; `None` if no sufficiently recent position can be obtained.
 ///
 /// If there is none, one request samples the primary's position while the others wait. Sampling by all of
 /// them, as after a start of all processes, would overload the primary's few connections.
--- a/crates/proxy/src/sessions/store.rs
+++ b/crates/proxy/src/sessions/store.rs
@@ -89,12 +89,13 @@
 
 /// The platform's store, which persists the configuration, the targets, the VMs and the takeover claims.
 pub trait StateStore: Clone + Send + Sync + 'static {
-    /// Reads the configuration; none if none was written yet.
+    /// Reads the configuration; `None` if there is none yet.
     fn configuration(
         &self,
     ) -> impl Future<Output = Result<AtRevision<Option<RouteTable>>, StoreError>> + Send;
 
-    /// Waits for a configuration newer than `revision`. The value is none if none appears within `wait`.
+    /// Waits for a configuration newer than `revision`. The value is `None` if no newer one appears within
+    /// `wait`.
     fn watch_configuration(
         &self,
         revision: u64,
@@ -125,7 +126,7 @@
     /// Checks that the store replies, with the cheapest call available.
     fn probe(&self, vm: &str) -> impl Future<Output = Result<(), StoreError>> + Send;
 
-    /// Reads the takeover claim of a service with its revision; none if the service was never claimed.
+    /// Reads the takeover claim of a service with its revision; `None` if the service was never claimed.
     fn claim(
         &self,
         service: &str,
--- a/crates/proxy/src/sessions/version/principal.rs
+++ b/crates/proxy/src/sessions/version/principal.rs
@@ -16,7 +16,7 @@
 }
 
 impl Principal {
-    /// Returns the user name under which connections to targets are opened; none if callers are not
+    /// Returns the user name under which connections to targets are opened; `None` if callers are not
     /// identified. Statements without an organisation run under the VM's name, because they must not run on
     /// an organisation's connection.
     pub fn user<'a>(&'a self, vm: &'a Arc<str>) -> Option<&'a Arc<str>> {
--- a/crates/proxy/src/sessions/version/view.rs
+++ b/crates/proxy/src/sessions/version/view.rs
@@ -33,7 +33,7 @@
 pub struct View {
     /// The number of the snapshot, increased with each publication in this process.
     pub number: u64,
-    /// The configuration; none before the first one was read.
+    /// The configuration; `None` before the first one was read.
     pub routes: Option<Arc<RouteTable>>,
     /// The targets of each service, ordered by id.
     pub services: FastMap<Arc<str>, Vec<Member>>,
@@ -45,7 +45,7 @@
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns the organisations; none if callers need no key, or before the first configuration was read.
+    /// Returns the organisations; `None` if callers need no key, or before the first configuration was read.
     pub fn organisations(&self) -> Option<&Organisations> {
         self.routes.as_ref()?.organisations.as_ref()
     }
