--- a/crates/core/src/process/failover/maintenance.rs
+++ b/crates/core/src/process/failover/maintenance.rs
@@ -69,8 +69,8 @@
     /// answer, so that calls to a failed member do not accumulate on its connection.
     fn follow_every_us(&self, member: usize) -> u64 {
         let sent_us = self.sent[member].map(|sent| sent.sent_us);
-        let heard_us = self.reports.latest(member).map(|(at_us, _)| at_us);
-        match heard_us >= sent_us {
+        let reported_us = self.reports.latest(member).map(|(at_us, _)| at_us);
+        match reported_us >= sent_us {
             true => self.settings.maintenance_interval_us,
             false => self.settings.maintenance_interval_us.saturating_mul(SILENT_BACKOFF_FACTOR),
         }
--- a/crates/core/src/process/failover/view.rs
+++ b/crates/core/src/process/failover/view.rs
@@ -14,9 +14,9 @@
         }
         let raised_before = self.status(member).map(|known| known.raised_term);
         self.reports.report(now_us, member, status);
-        let raised_now = self.status(member).map(|known| known.raised_term);
+        let raised_after = self.status(member).map(|known| known.raised_term);
         // The first report of a member shows its state, not that it was raised just now.
-        let raised = raised_before.is_some() && raised_now > raised_before;
+        let raised = raised_before.is_some() && raised_after > raised_before;
         if raised && status.raised_by != self.name && status.role != Role::Primary {
             self.rival_seen_us = Some(now_us);
         }
--- a/crates/proxy/src/sessions/connection/caller.rs
+++ b/crates/proxy/src/sessions/connection/caller.rs
@@ -279,8 +279,9 @@
         };
         let answer = execute::run(&self.gateway, session, id, statement, arrived_us).await;
         self.push_answer(&answer);
-        let is_over = matches!(&answer, Answer::Refused(it) if it.kind == ErrorKind::UnknownKey);
-        if is_over {
+        let is_key_revoked =
+            matches!(&answer, Answer::Refused(it) if it.kind == ErrorKind::UnknownKey);
+        if is_key_revoked {
             if self.flush().await {
                 socket::linger(&mut self.stream).await;
             }
--- a/crates/proxy/src/sessions/process/claims.rs
+++ b/crates/proxy/src/sessions/process/claims.rs
@@ -31,7 +31,7 @@
 
 /// How long to wait for a store that is known to be unavailable before it is called anyway. Other tasks probe
 /// the store and end the wait when it answers.
-const STORE_AWAY_LIMIT: Duration = Duration::from_millis(2_500);
+const STORE_UNAVAILABLE_LIMIT: Duration = Duration::from_millis(2_500);
 
 /// Maximum delay before a claim that another VM holds is read again.
 const MAX_POLL_PAUSE: Duration = Duration::from_millis(300);
@@ -71,7 +71,7 @@
         let mut seen: Option<SeenClaim> = None;
         let mut failures = 0;
         loop {
-            self.gateway.store_access.wait_while_away(STORE_AWAY_LIMIT).await;
+            self.gateway.store_access.wait_while_unavailable(STORE_UNAVAILABLE_LIMIT).await;
             match self.store.claim(service).await {
                 Ok(found) => {
                     failures = 0;
--- a/crates/proxy/src/sessions/process/feed/subscriber.rs
+++ b/crates/proxy/src/sessions/process/feed/subscriber.rs
@@ -51,7 +51,7 @@
 
 /// How long a watcher that reports the store as unavailable is followed before the next one is tried, since
 /// the store may refuse only some VMs. Each watcher keeps trying the store, so nothing is missed meanwhile.
-const STORE_AWAY_LIMIT: Duration = Duration::from_millis(2_000);
+const STORE_UNAVAILABLE_LIMIT: Duration = Duration::from_millis(2_000);
 
 /// How long a watcher of another availability zone is followed before the nearer ones of this zone are tried
 /// again.
@@ -262,7 +262,7 @@
     /// The deadline for the announced version, while that is not known here.
     late_at: Option<Instant>,
     /// Since when the publisher has reported the store as unavailable.
-    away_since: Option<Instant>,
+    unavailable_since: Option<Instant>,
 }
 
 impl<'a, C, S> Feed<'a, C, S>
@@ -282,7 +282,7 @@
             is_settled: false,
             announced: None,
             late_at: None,
-            away_since: None,
+            unavailable_since: None,
         }
     }
 
@@ -346,22 +346,22 @@
                 self.vms = Arc::new(self.vms.with(changes));
                 self.watcher.apply_vms(Arc::clone(&self.vms));
             }
-            Message::Alive { store_answers: false, .. } => return self.handle_store_away(),
+            Message::Alive { store_answers: false, .. } => return self.handle_store_unavailable(),
             // Relayed state might originate from this process itself.
             Message::Alive { relayed: true, .. } if self.source == FeedSource::Helper => {
-                return self.handle_store_away();
+                return self.handle_store_unavailable();
             }
             Message::Alive { version, .. } if version < self.watcher.version() => {
                 return Err(CloseReason::Outdated);
             }
             Message::Alive { version, is_settled, .. } => {
-                self.away_since = None;
+                self.unavailable_since = None;
                 self.is_settled = is_settled;
                 self.announce(version);
             }
         }
         let is_current = self.announced.is_some_and(|version| version <= self.watcher.version());
-        if is_current && self.away_since.is_none() {
+        if is_current && self.unavailable_since.is_none() {
             self.late_at = None;
             self.report_store_status(StoreStatus::Answers);
         }
@@ -370,11 +370,13 @@
 
     /// Handles a report that the store is unavailable. A watcher keeps trying the store and will report its
     /// recovery, so it is followed for a while.
-    fn handle_store_away(&mut self) -> Result<(), CloseReason> {
-        let away_since = *self.away_since.get_or_insert_with(Instant::now);
+    fn handle_store_unavailable(&mut self) -> Result<(), CloseReason> {
+        let unavailable_since = *self.unavailable_since.get_or_insert_with(Instant::now);
         (self.announced, self.late_at) = (None, None);
         self.report_store_status(StoreStatus::Unavailable);
-        match self.source == FeedSource::Helper || away_since.elapsed() >= STORE_AWAY_LIMIT {
+        match self.source == FeedSource::Helper
+            || unavailable_since.elapsed() >= STORE_UNAVAILABLE_LIMIT
+        {
             true => Err(CloseReason::StoreUnavailable),
             false => Ok(()),
         }
--- a/crates/proxy/src/sessions/process/lead.rs
+++ b/crates/proxy/src/sessions/process/lead.rs
@@ -27,8 +27,8 @@
     /// no proof.
     pub fn answered_as_primary(&self, target: &TargetState<C>) {
         let state = self.service(&target.record.service);
-        let is_news = state.leader.lock().answered(&target.record.id);
-        if is_news {
+        let is_new = state.leader.lock().answered(&target.record.id);
+        if is_new {
             self.announce_leader(target);
         }
     }
@@ -42,13 +42,13 @@
         position: Option<LogPosition>,
     ) {
         let state = self.service(&target.record.service);
-        let is_news = state.leader.lock().proved(&target.record.id);
+        let is_new = state.leader.lock().proved(&target.record.id);
         // Without a position it is unknown what reads must see, so they go to the primary.
         if let Some(position) = position {
             state.positions.lock().record(moment_us, position);
             state.sampling_flight.notify();
         }
-        if is_news {
+        if is_new {
             self.announce_leader(target);
         }
     }
--- a/crates/proxy/src/sessions/process/store_access.rs
+++ b/crates/proxy/src/sessions/process/store_access.rs
@@ -33,7 +33,7 @@
     /// Since when this process has had no feed with an answering store, in microseconds.
     no_feed_since_us: u64,
     /// Whether the store did not answer this process's last probe.
-    is_away: bool,
+    is_unavailable: bool,
     /// Whether a version that the feed announced is overdue.
     feed_is_late: bool,
 }
@@ -48,7 +48,7 @@
     }
 
     fn may_answer(&self) -> bool {
-        !self.is_away && self.feed_status != Some(StoreStatus::Unavailable)
+        !self.is_unavailable && self.feed_status != Some(StoreStatus::Unavailable)
     }
 }
 
@@ -75,7 +75,7 @@
             has_direct_access: false,
             feed_status: None,
             no_feed_since_us,
-            is_away: false,
+            is_unavailable: false,
             feed_is_late: false,
         };
         StoreAccessTracker {
@@ -154,9 +154,10 @@
             if access == StoreAccess::Direct || state.feed_is_late {
                 return had_feed;
             }
-            let patience_us = store_calls::direct_call_delay_us(access, state.vm_count, self.seed);
+            let direct_delay_us =
+                store_calls::direct_call_delay_us(access, state.vm_count, self.seed);
             let left_us =
-                (state.no_feed_since_us + patience_us).saturating_sub(self.clock.now_us());
+                (state.no_feed_since_us + direct_delay_us).saturating_sub(self.clock.now_us());
             if left_us > 0 {
                 let _ = time::timeout(Duration::from_micros(left_us), states.changed()).await;
             } else if self.wait_for_probe(state.no_feed_since_us, store).await {
@@ -168,7 +169,7 @@
     /// Records that the store answered a call other than a probe.
     pub fn record_answer(&self) {
         self.failures.store(0, Ordering::Relaxed);
-        self.change(|state| state.is_away = false);
+        self.change(|state| state.is_unavailable = false);
     }
 
     /// Waits after a failed call until the store answers a probe, or another VM supplies the store's state.
@@ -197,11 +198,11 @@
             if time::timeout(Duration::from_micros(pause_us), feed).await.is_ok() {
                 return false;
             }
-            let is_away = store.probe(&self.vm).await.is_err();
-            if !is_away {
+            let is_unavailable = store.probe(&self.vm).await.is_err();
+            if !is_unavailable {
                 *probe_answered_us = self.clock.now_us();
             }
-            self.change(|state| state.is_away = is_away);
+            self.change(|state| state.is_unavailable = is_unavailable);
         }
         true
     }
@@ -212,7 +213,7 @@
     }
 
     /// Waits while the store is known to be unavailable, for at most `limit`.
-    pub async fn wait_while_away(&self, limit: Duration) {
+    pub async fn wait_while_unavailable(&self, limit: Duration) {
         let mut states = self.state.subscribe();
         let answering = states.wait_for(State::may_answer);
         // After the limit the caller tries the store regardless.
--- a/crates/proxy/src/sessions/process/targets.rs
+++ b/crates/proxy/src/sessions/process/targets.rs
@@ -243,9 +243,10 @@
     /// Whether the paths need no maintenance until a statement uses them: they lead through other VMs, have
     /// no connections, and no failure is recorded.
     pub fn is_idle(&self) -> bool {
-        let is_at_rest = |path: &Arc<TargetPath<C>>| path.via.is_some() && path.pool.is_unused();
-        is_at_rest(&self.path.load())
-            && self.user_paths.load().iter().all(is_at_rest)
+        let is_idle_via_proxy =
+            |path: &Arc<TargetPath<C>>| path.via.is_some() && path.pool.is_unused();
+        is_idle_via_proxy(&self.path.load())
+            && self.user_paths.load().iter().all(is_idle_via_proxy)
             && self.health.lock().path_failed_since_us.is_none()
     }
 
--- a/crates/proxy/src/sessions/process/vms.rs
+++ b/crates/proxy/src/sessions/process/vms.rs
@@ -83,7 +83,7 @@
             let interval = if is_watcher { WATCHER_LIST_INTERVAL } else { LIST_INTERVAL };
             time::sleep(initial_intervals.next().unwrap_or(interval)).await;
             store_access.wait_for_direct_access(&self.store).await;
-            store_access.wait_while_away(LIST_INTERVAL).await;
+            store_access.wait_while_unavailable(LIST_INTERVAL).await;
             // A feed may have started meanwhile, or the store may still be unavailable.
             if store_access.lacks_feed() && store_access.may_answer() {
                 let found = self.list(Freshness::MayBeStale).await;
--- a/crates/proxy/src/sessions/process/watch.rs
+++ b/crates/proxy/src/sessions/process/watch.rs
@@ -136,7 +136,7 @@
     feed: Option<FeedStatus>,
     /// Whether the followed feed reported the store as unavailable since the store last answered this
     /// process.
-    was_away: bool,
+    was_unavailable: bool,
     /// When the store last answered this process again after an outage, in microseconds; zero before.
     store_recovered_us: u64,
     /// When a watch last delivered a change of targets, in microseconds; zero before the first.
@@ -177,10 +177,10 @@
     /// before.
     pub fn list_is_complete(&self) -> bool {
         let known = self.known.lock();
-        let was_never_away = known.health.answers_targets()
+        let was_never_unavailable = known.health.answers_targets()
             && known.store_recovered_us == 0
             && known.targets_revision > 0;
-        was_never_away || self.is_settled(&known)
+        was_never_unavailable || self.is_settled(&known)
     }
 
     pub(super) fn is_settled(&self, known: &ClusterState) -> bool {
@@ -203,7 +203,8 @@
     pub fn set_feed_status(&self, feed: Option<FeedStatus>) {
         let mut known = self.known.lock();
         known.feed = feed;
-        known.was_away |= feed.is_some_and(|feed| feed.store_status == StoreStatus::Unavailable);
+        known.was_unavailable |=
+            feed.is_some_and(|feed| feed.store_status == StoreStatus::Unavailable);
         drop(known);
         self.gateway.store_access.set_feed_status(feed.map(|feed| feed.store_status));
     }
@@ -314,8 +315,8 @@
             WatchStatus::FailingSince(since_us) => Some(now_us.saturating_sub(since_us)),
             WatchStatus::Idle | WatchStatus::Answering => None,
         };
-        let was_away = std::mem::take(&mut known.was_away);
-        if was_silent_for_us.is_some() || was_away {
+        let was_unavailable = std::mem::take(&mut known.was_unavailable);
+        if was_silent_for_us.is_some() || was_unavailable {
             known.store_recovered_us = now_us;
             slog::info!(self.gateway.log, "the store answers again";
                 "watch" => watched.name(), "silent_us" => was_silent_for_us);
