--- a/crates/core/src/version/spreading.rs
+++ b/crates/core/src/version/spreading.rs
@@ -100,7 +100,7 @@
     ///
     /// Only one pull runs at a time: after a new version, hundreds of messages with its revision arrive
     /// within a second, and each would cause the transfer of a snapshot.
-    pub fn peer_seen(&mut self, revision: u64, now_us: u64) -> PeerAction {
+    pub fn on_peer_revision(&mut self, revision: u64, now_us: u64) -> PeerAction {
         if revision < self.revision {
             return PeerAction::SendRevision;
         }
--- a/crates/core/tests/spreading.rs
+++ b/crates/core/tests/spreading.rs
@@ -38,15 +38,15 @@
 #[test]
 fn one_pull_at_a_time() {
     let mut spreading = at(3);
-    assert_eq!(spreading.peer_seen(2, 0), PeerAction::SendRevision);
-    assert_eq!(spreading.peer_seen(3, 0), PeerAction::Nothing);
-    assert_eq!(spreading.peer_seen(4, 0), PeerAction::Pull);
-    assert_eq!(spreading.peer_seen(5, 1), PeerAction::Nothing);
-    assert_eq!(spreading.peer_seen(5, spreading::PULL_TIMEOUT_US), PeerAction::Pull);
+    assert_eq!(spreading.on_peer_revision(2, 0), PeerAction::SendRevision);
+    assert_eq!(spreading.on_peer_revision(3, 0), PeerAction::Nothing);
+    assert_eq!(spreading.on_peer_revision(4, 0), PeerAction::Pull);
+    assert_eq!(spreading.on_peer_revision(5, 1), PeerAction::Nothing);
+    assert_eq!(spreading.on_peer_revision(5, spreading::PULL_TIMEOUT_US), PeerAction::Pull);
     spreading.pull_failed();
-    assert_eq!(spreading.peer_seen(5, spreading::PULL_TIMEOUT_US + 1), PeerAction::Pull);
+    assert_eq!(spreading.on_peer_revision(5, spreading::PULL_TIMEOUT_US + 1), PeerAction::Pull);
     assert_eq!(spreading.judge_offer(5, Source::Peer), OfferVerdict::Take);
-    assert_eq!(spreading.peer_seen(6, spreading::PULL_TIMEOUT_US + 2), PeerAction::Pull);
+    assert_eq!(spreading.on_peer_revision(6, spreading::PULL_TIMEOUT_US + 2), PeerAction::Pull);
     assert_eq!(spreading.verify(), Vec::<String>::new());
 }
 
@@ -65,7 +65,7 @@
         if is_offer {
             spreading.judge_offer(revision, Source::Peer);
         } else {
-            spreading.peer_seen(revision, index as u64 * 300_000);
+            spreading.on_peer_revision(revision, index as u64 * 300_000);
         }
         if spreading.revision() < in_force || !spreading.verify().is_empty() {
             return false;
--- a/crates/proxy/src/connection/relay.rs
+++ b/crates/proxy/src/connection/relay.rs
@@ -186,8 +186,8 @@
     }
 
     fn is_flushed(&self) -> bool {
-        let all_came = self.replies.as_ref().is_some_and(Replies::is_empty);
-        all_came && self.prelude_ready == 0 && self.frame_left_bytes == 0
+        let all_received = self.replies.as_ref().is_some_and(Replies::is_empty);
+        all_received && self.prelude_ready == 0 && self.frame_left_bytes == 0
     }
 
     /// Waits until the target's socket is readable or writable, then reads and writes.
--- a/crates/proxy/src/process/control/report.rs
+++ b/crates/proxy/src/process/control/report.rs
@@ -24,7 +24,7 @@
     pub(super) fn take_request(&mut self, request: PeerRequest) {
         match request {
             PeerRequest::Version(version, answer) => {
-                self.peer_seen(&version);
+                self.on_peer_revision(&version);
                 let _ = answer.send(Ok(self.own_version()));
             }
             PeerRequest::Snapshot(answer) => {
--- a/crates/proxy/src/process/control/spread.rs
+++ b/crates/proxy/src/process/control/spread.rs
@@ -41,7 +41,7 @@
             Input::Watched { after_revision, result } => self.watched(after_revision, result),
             Input::VmList(result) => self.vm_list_read(result),
             Input::Lead { group, call, answer } => self.lead_answered(&group, call, answer),
-            Input::PeerAnswered(version) => self.peer_seen(&version),
+            Input::PeerAnswered(version) => self.on_peer_revision(&version),
             Input::Leaders(hints) => self.take_leader_hints(&hints),
             Input::PeerFailed { vm, evidence } => self.vm_seen(&vm, evidence),
         }
@@ -79,7 +79,7 @@
     }
 
     /// Takes a peer's version from any of its messages.
-    pub(super) fn peer_seen(&mut self, version: &api::PeerVersion) {
+    pub(super) fn on_peer_revision(&mut self, version: &api::PeerVersion) {
         let evidence = match version.stopping {
             true => membership::Evidence::Leaving,
             false => membership::Evidence::Healthy,
@@ -109,7 +109,7 @@
     /// exchange and pulls by itself.
     pub(super) fn revision_seen(&mut self, vm: &str, revision: u64) {
         let now_us = self.clock.now_us();
-        if self.configuration.spreading().peer_seen(revision, now_us) == PeerAction::Pull {
+        if self.configuration.spreading().on_peer_revision(revision, now_us) == PeerAction::Pull {
             self.pull_from(vm, Source::Peer);
         }
     }
--- a/crates/proxy/src/sessions/process/departed.rs
+++ b/crates/proxy/src/sessions/process/departed.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct DepartedMembers {
     /// Members that may return and report their log positions.
-    pub away: Vec<Arc<TargetRecord>>,
+    pub absent: Vec<Arc<TargetRecord>>,
     /// Number of members that restarted under the same name, so that the positions of their logs are unknown.
     pub lost: usize,
     /// The position that a successor must have received, so that no other departed member is needed.
@@ -67,9 +67,9 @@
             return DepartedMembers::default();
         };
         let needed = departures.required().filter(|(id, _)| Some(*id) != primary);
-        let (lost, away): (Vec<_>, Vec<_>) =
+        let (lost, absent): (Vec<_>, Vec<_>) =
             needed.map(|(_, record)| Arc::clone(record)).partition(|it| known.lists_name(&it.name));
-        DepartedMembers { away, lost: lost.len(), floor: departures.floor() }
+        DepartedMembers { absent, lost: lost.len(), floor: departures.floor() }
     }
 
     /// Returns the departed members of a service that a promotion does not depend on unless they are back.
--- a/crates/proxy/src/sessions/process/takeover/steps.rs
+++ b/crates/proxy/src/sessions/process/takeover/steps.rs
@@ -92,7 +92,7 @@
         let last_leader = primary_id.clone().or_else(|| self.last_leader(service));
         let departed = self.watcher.departed(service, last_leader.as_ref());
         let mut replicas = self.listed_replicas(service, primary_id.as_ref());
-        replicas.extend(departed.away);
+        replicas.extend(departed.absent);
         if std::mem::take(&mut drive.checks_departed) {
             let gone = self.watcher.dispensable(service, last_leader.as_ref());
             drive.returned.extend(replicas::filter_responding::<C>(&self.gateway.vm, &gone).await);
--- a/crates/spec/src/spreading/model.rs
+++ b/crates/spec/src/spreading/model.rs
@@ -193,7 +193,7 @@
             for now_us in TIMES_US {
                 let mut after = *state;
                 let seen = state.spreading[peer].revision();
-                after.spreading[process].peer_seen(seen, now_us);
+                after.spreading[process].on_peer_revision(seen, now_us);
                 next.push((Step::See(process, peer), after));
             }
         }
@@ -308,7 +308,7 @@
             let behind = |peer: &&Spreading| peer.revision() > spreading.revision();
             let pulls = |peer: &Spreading| {
                 let mut seen = *spreading;
-                seen.peer_seen(peer.revision(), u64::MAX / 2) == PeerAction::Pull
+                seen.on_peer_revision(peer.revision(), u64::MAX / 2) == PeerAction::Pull
             };
             if !state.spreading.iter().filter(behind).all(pulls) {
                 return Some("a process that is behind a peer does not pull");
