--- a/crates/core/src/process/departures.rs
+++ b/crates/core/src/process/departures.rs
@@ -129,7 +129,7 @@
         self.before_start.as_ref().is_none_or(|before_start| before_start.floor.is_some())
     }
 
-    /// Returns the departed members that a promotion does not require, as long as they stay away.
+    /// Returns the departed members that a promotion does not require, as long as they are absent.
     /// One that is running again but not listed yet may have acknowledged commits since.
     pub fn dispensable(&self) -> impl Iterator<Item = (&Arc<str>, &R)> {
         let dispensable = self.members.iter().filter(|(_, departed)| departed.floor.is_some());
--- a/crates/core/src/process/failover/maintenance.rs
+++ b/crates/core/src/process/failover/maintenance.rs
@@ -44,7 +44,7 @@
         self.correct_record(now_us, actions);
     }
 
-    /// Tells members that follow nobody, or an older primary, to follow the leader. This is how an
+    /// Sends a follow call to members that follow no primary or an older one. This is how an
     /// old primary rejoins. Any process may send the call, because a term has only one primary.
     fn reattach_members(&mut self, now_us: u64, leader: Leader, actions: &mut Vec<Action>) {
         let detached: Vec<usize> = (0..self.members().count())
--- a/crates/proxy/src/request/exchange.rs
+++ b/crates/proxy/src/request/exchange.rs
@@ -107,7 +107,7 @@
 /// A failed attempt.
 #[derive(Clone, Debug)]
 pub struct FailedAttempt {
-    /// [`RetryVerdict::Again`] for a retry, otherwise the error to answer with.
+    /// [`RetryVerdict::Retry`] for a retry, otherwise the error to answer with.
     pub verdict: RetryVerdict,
     /// The failure as observed.
     pub failure: Failure,
--- a/crates/proxy/src/sessions/process/cluster_state.rs
+++ b/crates/proxy/src/sessions/process/cluster_state.rs
@@ -239,8 +239,8 @@
         outbox.update(known.number, known.routes.as_ref(), targets);
     }
 
-    /// Brings the feed up to date: subscribers that connect after a period without any must find the state
-    /// whose publication was skipped meanwhile.
+    /// Brings the feed up to date: subscribers that connect after a period without subscribers must
+    /// receive the state whose publication was skipped in that period.
     pub fn refresh_feed(&self) {
         let known = self.known.lock();
         let is_current = self.gateway.outbox.feed_state.borrow().number == known.number;
--- a/crates/proxy/src/sessions/process/feed/publisher.rs
+++ b/crates/proxy/src/sessions/process/feed/publisher.rs
@@ -73,8 +73,8 @@
     async fn run(&mut self) -> io::Result<()> {
         SockRef::from(&self.stream).set_send_buffer_size(SEND_BUFFER_BYTES)?;
         let mut feed_states = self.gateway.outbox.feed_state.subscribe();
-        // A process without subscribers does not update its outbox. The outdated state would make it look
-        // behind.
+        // A process without subscribers does not update its outbox. The outdated state would make it
+        // appear to lag.
         let known = self.gateway.view().number;
         let is_current = feed_states.wait_for(|feed_state| feed_state.number >= known);
         // After a timeout the heartbeat reports the state as it is.
--- a/crates/proxy/src/sessions/process/fleet.rs
+++ b/crates/proxy/src/sessions/process/fleet.rs
@@ -122,7 +122,7 @@
     }
 
     /// Whether this process monitors the primary of a service. Only processes with direct connections to a
-    /// member do, so that not all VMs probe a primary that is in trouble.
+    /// member do, so that not all VMs probe a failing primary.
     pub fn monitors_primary(&self, service: &str) -> bool {
         self.targets.load().members(service).iter().any(|member| member.is_direct())
     }
--- a/crates/proxy/src/sessions/process/services.rs
+++ b/crates/proxy/src/sessions/process/services.rs
@@ -28,7 +28,7 @@
     pub lead_reports: Mutex<LeadReports>,
     /// Number of departed members that a promotion still depends on.
     departed: AtomicUsize,
-    /// Whether no departure that still matters can predate this process's knowledge of the service.
+    /// Whether a promotion no longer depends on members that left before this process learned of the service.
     past_is_known: AtomicBool,
     /// The status queries to members that are to prove who the primary is. One round serves all requests.
     pub proof_flight: SingleFlight,
@@ -70,7 +70,7 @@
         self.departed.load(Ordering::Relaxed)
     }
 
-    /// Whether no departure that still matters can predate this process's knowledge of the service.
+    /// Whether a promotion no longer depends on members that left before this process learned of the service.
     pub fn past_is_known(&self) -> bool {
         self.past_is_known.load(Ordering::Relaxed)
     }
--- a/crates/proxy/src/sessions/process/stop.rs
+++ b/crates/proxy/src/sessions/process/stop.rs
@@ -14,7 +14,7 @@
 /// Number of steps in which sessions are closed.
 const CLOSING_PARTS: u64 = 64;
 
-/// Returns the delay between the begin of the closing phase and the close of a session.
+/// Returns the delay between the beginning of the closing phase and the close of a session.
 pub fn closing_spread(session: u64, is_stopping: bool) -> Duration {
     let spread_ms = if is_stopping { STOPPING_SPREAD_MS } else { CUT_OFF_SPREAD_MS };
     Duration::from_millis(session % CLOSING_PARTS * spread_ms / CLOSING_PARTS)
--- a/crates/proxy/src/sessions/store.rs
+++ b/crates/proxy/src/sessions/store.rs
@@ -133,7 +133,7 @@
     ) -> impl Future<Output = Result<Option<AtRevision<Claim>>, StoreError>> + Send;
 
     /// Replaces the takeover claim of a service if its revision is still `revision`, or creates it if
-    /// `revision` is none. Returns the new revision.
+    /// `revision` is `None`. Returns the new revision.
     ///
     /// # Errors
     ///
