--- a/crates/proxy/src/sessions/connection/reply.rs
+++ b/crates/proxy/src/sessions/connection/reply.rs
@@ -69,7 +69,7 @@
 /// A statement without a complete reply.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct LostReply {
-    /// The cause.
+    /// Why the reply is missing or incomplete.
     pub failure: Failure,
     /// How far the statement had progressed.
     pub stage: Stage,
--- a/crates/proxy/src/sessions/connection/session.rs
+++ b/crates/proxy/src/sessions/connection/session.rs
@@ -50,7 +50,7 @@
 where
     C: Codec,
 {
-    /// The connection.
+    /// The pooled connection, which is reserved until the transaction ends.
     pub lease: Lease<StatementLink<C>>,
     /// The target of the connection.
     pub target: Arc<TargetState<C>>,
