--- a/crates/core/src/process/connection_budget.rs
+++ b/crates/core/src/process/connection_budget.rs
@@ -8,7 +8,7 @@
 //! its homes: failed attempts are spaced by an exponential back-off, with jitter from a seed of
 //! this process. A pool has to grow by many connections: attempts are limited by a token bucket.
 //! Two proxies disagree about which VMs are home to a target, so that their shares together exceed
-//! the target's connection limit and the target answers one with `53300`: that one caps its pool at
+//! the target's connection limit and the target refuses one proxy with `53300`: that proxy caps its pool at
 //! the present size, and raises the cap by one connection at a time until the proxies agree.
 
 use crate::process::jitter;
@@ -337,9 +337,9 @@
     }
 
     fn refill(&mut self, now_us: u64) {
-        let passed_us = now_us.saturating_sub(self.refilled_us);
+        let elapsed_us = now_us.saturating_sub(self.refilled_us);
         let rate_milli = u64::from(self.policy.attempts_per_second) * ATTEMPT_COST_MILLI;
-        let earned = passed_us.saturating_mul(rate_milli) / SECOND_US;
+        let earned = elapsed_us.saturating_mul(rate_milli) / SECOND_US;
         if earned == 0 {
             return;
         }
--- a/crates/core/src/process/failover/maintenance.rs
+++ b/crates/core/src/process/failover/maintenance.rs
@@ -44,7 +44,7 @@
         self.correct_record(now_us, actions);
     }
 
-    /// Tells members that follow nobody, or an older primary, to follow the leader. This is how an
+    /// Sends a follow call to members that follow no primary or an older one. This is how an
     /// old primary rejoins. Any process may send the call, because a term has only one primary.
     fn reattach_members(&mut self, now_us: u64, leader: Leader, actions: &mut Vec<Action>) {
         let detached: Vec<usize> = (0..self.members().count())
@@ -69,8 +69,8 @@
     /// answer, so that calls to a failed member do not accumulate on its connection.
     fn follow_every_us(&self, member: usize) -> u64 {
         let sent_us = self.sent[member].map(|sent| sent.sent_us);
-        let heard_us = self.reports.latest(member).map(|(at_us, _)| at_us);
-        match heard_us >= sent_us {
+        let reported_us = self.reports.latest(member).map(|(at_us, _)| at_us);
+        match reported_us >= sent_us {
             true => self.settings.maintenance_interval_us,
             false => self.settings.maintenance_interval_us.saturating_mul(SILENT_BACKOFF_FACTOR),
         }
@@ -121,8 +121,8 @@
         self.awaits_platform(now_us);
     }
 
-    /// Returns whether a call to the platform is in progress. A call that takes too long is given
-    /// up.
+    /// Returns whether a call to the platform is in progress. A call that takes too long is
+    /// abandoned.
     fn awaits_platform(&mut self, now_us: u64) -> bool {
         let Some(open) = &self.lead.open else { return false };
         let until_us = open.sent_us.saturating_add(self.settings.claim_timeout_us);
@@ -147,7 +147,7 @@
         let expected = LeadRecord { term: leader.term, driver, primary, wanted, plan };
         let Some(record) = known else { return Some(expected) };
         if record.term > leader.term && !abandoned {
-            // A claim in progress must not be overwritten; one that had no effect for long is dead.
+            // A claim in progress must not be overwritten; one that had no effect for long has failed.
             let claim_expires_us = self
                 .lead
                 .seen_us()
--- a/crates/proxy/src/process/control/reconcile.rs
+++ b/crates/proxy/src/process/control/reconcile.rs
@@ -301,10 +301,10 @@
             let Some(group) = self.groups.get_mut(spec.name.as_str()) else { continue };
             for (member_index, &target) in spec.members.iter().enumerate() {
                 let target = topology.target(target);
-                let standing = self.membership.target_standing(target, now_us);
+                let usability = self.membership.target_usability(target, now_us);
                 let excluded = matches!(
-                    standing,
-                    membership::Standing::ListedLeaving | membership::Standing::ReportedLeaving
+                    usability,
+                    membership::Usability::ListedLeaving | membership::Usability::ReportedLeaving
                 );
                 group.set_excluded(now_us, member_index, &target.name, excluded);
             }
--- a/crates/proxy/src/process/control/spread.rs
+++ b/crates/proxy/src/process/control/spread.rs
@@ -44,7 +44,7 @@
             }
             Input::VmList(result) => self.handle_vm_list(result),
             Input::Lead { group, call, answer } => self.handle_lead_answer(&group, call, answer),
-            Input::PeerAnswered(version) => self.peer_seen(&version),
+            Input::PeerAnswered(version) => self.on_peer_revision(&version),
             Input::Leaders(hints) => self.handle_leader_hints(&hints),
             Input::PeerFailed { vm, evidence } => self.vm_seen(&vm, evidence),
         }
@@ -82,7 +82,7 @@
     }
 
     /// Handles a peer's version: records that the peer is alive, and pulls whatever it has newer.
-    pub(super) fn peer_seen(&mut self, version: &api::PeerVersion) {
+    pub(super) fn on_peer_revision(&mut self, version: &api::PeerVersion) {
         let evidence = match version.stopping {
             true => membership::Evidence::Leaving,
             false => membership::Evidence::Healthy,
@@ -112,7 +112,7 @@
     /// revision from the same exchange, and pulls itself.
     pub(super) fn compare_revision(&mut self, vm: &str, revision: u64) {
         let now_us = self.clock.now_us();
-        if self.configuration.spreading().peer_seen(revision, now_us) == PeerAction::Pull {
+        if self.configuration.spreading().on_peer_revision(revision, now_us) == PeerAction::Pull {
             self.pull_from(vm, Source::Peer);
         }
     }
--- a/crates/proxy/src/process/counters.rs
+++ b/crates/proxy/src/process/counters.rs
@@ -93,7 +93,7 @@
         /// Operations admitted under an organisation's limit without asking another VM.
         LimitsGrantedHere = "limits.granted_here",
         /// Requests to another VM for admission under an organisation's limit.
-        LimitsAsked = "limits.asked",
+        GrantsRequested = "limits.asked",
         /// Requests for admission under an organisation's limit that were not answered in time.
         LimitsUnanswered = "limits.unanswered",
         /// Sessions that were closed because their key was withdrawn.
@@ -111,13 +111,13 @@
         /// Queries to members for their status.
         MembersAsked = "words.asked",
         /// Queries to homes for the log position of a primary.
-        PositionsAsked = "positions.asked",
+        PositionsRequested = "positions.asked",
         /// Checks of the connection paths to a target.
         PathsChecked = "paths.checked",
         /// Times that the connection paths to a target were set up again.
-        PathsSet = "paths.set",
+        PathsReplaced = "paths.set",
         /// Targets of other availability zones that were queried directly because no VM there answered.
-        OtherZonesAsked = "zones.targets_asked",
+        OtherZoneTargetsProbed = "zones.targets_asked",
         /// Primaries whose lead was proved by the status of other members.
         LeadsProved = "leads.proved",
         /// Primaries whose lead could not be proved because too few members answered.
--- a/crates/proxy/src/sessions/connection/caller.rs
+++ b/crates/proxy/src/sessions/connection/caller.rs
@@ -63,7 +63,7 @@
     keys_withdrawn: watch::Receiver<u64>,
 }
 
-/// Returns when a connection that runs no statement is closed; none while the process serves.
+/// Returns when a connection that runs no statement is closed; `None` while the process serves.
 ///
 /// Outside a transaction the time is measured from the start of closing or of the session, whichever is
 /// later, and not from the last request: a caller that is never idle for long would otherwise stay connected
@@ -126,7 +126,7 @@
         let (key, route) = (KeyDigest::of(key), self.gateway.route(database));
         // The key is checked first, so that a caller without a valid key can't find out which databases
         // exist.
-        if let Err(kind) = self.gateway.holder(key, route.as_deref()) {
+        if let Err(kind) = self.gateway.principal(key, route.as_deref()) {
             return self.reject(kind).await;
         }
         if route.is_none() {
@@ -186,7 +186,7 @@
                 return wake;
             }
         }
-        match time::timeout(limits::SLOW_SENDER, self.read_message_len()).await {
+        match time::timeout(limits::SLOW_SENDER_TIMEOUT, self.read_message_len()).await {
             Ok(Ok(Some(length))) => Wake::Message(length),
             Ok(Ok(None)) => Wake::End,
             Ok(Err(kind)) => Wake::Broken(kind),
@@ -279,8 +279,9 @@
         };
         let answer = execute::run(&self.gateway, session, id, statement, arrived_us).await;
         self.push_answer(&answer);
-        let is_over = matches!(&answer, Answer::Refused(it) if it.kind == ErrorKind::UnknownKey);
-        if is_over {
+        let is_key_revoked =
+            matches!(&answer, Answer::Refused(it) if it.kind == ErrorKind::UnknownKey);
+        if is_key_revoked {
             if self.flush().await {
                 socket::linger(&mut self.stream).await;
             }
@@ -305,7 +306,8 @@
     }
 
     async fn flush(&mut self) -> bool {
-        let written = socket::write_all(&self.stream, &self.output, limits::SLOW_READER).await;
+        let written =
+            socket::write_all(&self.stream, &self.output, limits::SLOW_READER_TIMEOUT).await;
         self.output.clear();
         written.is_ok()
     }
--- a/crates/proxy/src/sessions/connection/peer.rs
+++ b/crates/proxy/src/sessions/connection/peer.rs
@@ -75,7 +75,7 @@
     number: u64,
     route: Arc<Route>,
     target: Arc<TargetState<C>>,
-    /// The user that the other proxy set for its statements; none if it set none.
+    /// The user that the other proxy set for its statements; `None` if it set none.
     user: Option<Arc<str>>,
     values: Vec<(Box<str>, Box<str>)>,
     prepared: FastMap<Box<str>, Prepared>,
@@ -118,7 +118,7 @@
     let Some(target) = known.filter(|target| gateway.connects_directly(target)) else {
         push_refusal::<C>(&Refusal::from(ErrorKind::TargetUnreachable), &mut output);
         // If the refusal can't be sent, the other proxy handles the broken connection in the same way.
-        let _ = socket::write_all(&stream, &output, limits::SLOW_READER).await;
+        let _ = socket::write_all(&stream, &output, limits::SLOW_READER_TIMEOUT).await;
         return;
     };
     let route = Route {
@@ -409,7 +409,8 @@
     }
 
     async fn flush(&mut self) -> bool {
-        let written = socket::write_all(&self.stream, &self.output, limits::SLOW_READER).await;
+        let written =
+            socket::write_all(&self.stream, &self.output, limits::SLOW_READER_TIMEOUT).await;
         self.output.clear();
         written.is_ok()
     }
--- a/crates/proxy/src/sessions/connection/reply.rs
+++ b/crates/proxy/src/sessions/connection/reply.rs
@@ -38,7 +38,7 @@
     pub end: End,
     /// The transaction status after the statement.
     pub status: TransactionStatus,
-    /// The end of the target's log; none if the target reports no position.
+    /// The end of the target's log; `None` if the target reports no position.
     pub position: Option<LogPosition>,
 }
 
@@ -69,7 +69,7 @@
 /// A statement without a complete reply.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct LostReply {
-    /// The cause.
+    /// Why the reply is missing or incomplete.
     pub failure: Failure,
     /// How far the statement had progressed.
     pub stage: Stage,
--- a/crates/proxy/src/sessions/process/claims.rs
+++ b/crates/proxy/src/sessions/process/claims.rs
@@ -31,7 +31,7 @@
 
 /// How long to wait for a store that is known to be unavailable before it is called anyway. Other tasks probe
 /// the store and end the wait when it answers.
-const STORE_AWAY_LIMIT: Duration = Duration::from_millis(2_500);
+const STORE_UNAVAILABLE_LIMIT: Duration = Duration::from_millis(2_500);
 
 /// Maximum delay before a claim that another VM holds is read again.
 const MAX_POLL_PAUSE: Duration = Duration::from_millis(300);
@@ -56,12 +56,13 @@
         Claims { gateway: Arc::clone(gateway), store }
     }
 
-    /// Acquires the claim of a service. `wanted_us` is the time since when the takeover has been needed.
+    /// Acquires the claim of a service. `needed_since_us` is the time since when the takeover has been
+    /// needed.
     /// Returns `None` if `is_needed` becomes false first.
     pub async fn acquire<F>(
         &self,
         service: &Arc<str>,
-        wanted_us: u64,
+        needed_since_us: u64,
         is_needed: F,
     ) -> Option<HeldClaim>
     where
@@ -70,7 +71,7 @@
         let mut seen: Option<SeenClaim> = None;
         let mut failures = 0;
         loop {
-            self.gateway.store_access.wait_while_away(STORE_AWAY_LIMIT).await;
+            self.gateway.store_access.wait_while_unavailable(STORE_UNAVAILABLE_LIMIT).await;
             match self.store.claim(service).await {
                 Ok(found) => {
                     failures = 0;
@@ -95,7 +96,7 @@
             }
             let now_us = self.gateway.clock.now_us();
             let vm = &*self.gateway.vm;
-            match takeover_claim::next_claim(seen.as_ref(), vm, wanted_us, now_us) {
+            match takeover_claim::next_claim(seen.as_ref(), vm, needed_since_us, now_us) {
                 ClaimStep::Write { token } => {
                     let previous = seen.as_ref();
                     let claim = Claim::next(previous.map(|seen| &seen.claim), vm, token);
@@ -138,8 +139,8 @@
         self.write(service, claim, Some(held.revision), held.unsettled_since_us).await
     }
 
-    /// Releases a claim. Returns whether the store accepted it; otherwise the next driver takes the claim
-    /// over as it stands.
+    /// Releases a claim. Returns whether the store accepted it; otherwise the next driver takes over
+    /// the claim unchanged.
     pub async fn release(&self, service: &Arc<str>, held: HeldClaim) -> bool {
         let claim = Claim { state: ClaimState::Settled, ..held.claim };
         self.store.write_claim(service, &claim, Some(held.revision)).await.is_ok()
--- a/crates/proxy/src/sessions/process/cluster_state.rs
+++ b/crates/proxy/src/sessions/process/cluster_state.rs
@@ -178,8 +178,8 @@
     }
 
     /// Handles a target that is no longer listed. If its entry may have expired only because the store was
-    /// unavailable, the target is kept until the list is settled: live targets register again within 2 s, and
-    /// without them all requests of their services would be refused until then.
+    /// unavailable, the target is kept until the list is settled: running targets register again within 2 s,
+    /// and without them all requests of their services would be refused until then.
     fn handle_unlisted(&self, known: &mut ClusterState, member: Member) {
         let may_return = !member.record.leaving && !self.is_settled(known);
         if may_return {
@@ -239,21 +239,22 @@
         outbox.update(known.number, known.routes.as_ref(), targets);
     }
 
-    /// Brings the feed up to date: subscribers that connect after a period without any must find the state
-    /// whose publication was skipped meanwhile.
+    /// Brings the feed up to date: subscribers that connect after a period without subscribers must
+    /// receive the state whose publication was skipped in that period.
     pub fn refresh_feed(&self) {
         let known = self.known.lock();
         let is_current = self.gateway.outbox.feed_state.borrow().number == known.number;
         if !is_current && !known.targets.is_empty() {
             self.update_feed(&known);
         }
-        let (news, is_settled) = (self.store_news(&known), self.is_settled(&known));
+        let (store_status, is_settled) =
+            (self.store_status_for_peers(&known), self.is_settled(&known));
         let zone_is_cut = self.gateway.zone_is_cut();
         self.gateway.outbox.feed_state.send_if_modified(|feed_state| {
-            let changes = feed_state.news != news
+            let changes = feed_state.store_status != store_status
                 || feed_state.is_settled != is_settled
                 || feed_state.zone_is_cut != zone_is_cut;
-            feed_state.news = news;
+            feed_state.store_status = store_status;
             feed_state.zone_is_cut = zone_is_cut;
             feed_state.is_settled = is_settled;
             changes
--- a/crates/proxy/src/sessions/process/fleet.rs
+++ b/crates/proxy/src/sessions/process/fleet.rs
@@ -48,7 +48,7 @@
             let inputs = PathInputs { demand, is_primary: self.is_primary(target) };
             let is_unchanged = target.paths_unchanged(inputs) && !checks_all;
             if !is_unchanged && !target.refuses_work(now_us) {
-                self.counters.event(Event::PathsSet);
+                self.counters.event(Event::PathsReplaced);
                 peer_routes.update_path(target, inputs, now_us);
             }
             target.maintain();
@@ -103,7 +103,7 @@
 
     /// Whether this process gets the store's state from another VM, which the store answers.
     pub fn has_feed(&self) -> bool {
-        self.store_access.standing() == StoreAccess::ViaPeer
+        self.store_access.access() == StoreAccess::ViaPeer
     }
 
     /// The VMs that this one may subscribe to while the store refuses it.
@@ -122,7 +122,7 @@
     }
 
     /// Whether this process monitors the primary of a service. Only processes with direct connections to a
-    /// member do, so that not all VMs probe a primary that is in trouble.
+    /// member do, so that not all VMs probe a failing primary.
     pub fn monitors_primary(&self, service: &str) -> bool {
         self.targets.load().members(service).iter().any(|member| member.is_direct())
     }
--- a/crates/proxy/src/sessions/process/lead.rs
+++ b/crates/proxy/src/sessions/process/lead.rs
@@ -23,12 +23,12 @@
 where
     C: Codec,
 {
-    /// Records that a target answered as primary. A primary that was replaced does so as well, so this is no
-    /// proof.
+    /// Records that a target answered as primary. A replaced primary also answers as primary, so this is
+    /// no proof.
     pub fn answered_as_primary(&self, target: &TargetState<C>) {
         let state = self.service(&target.record.service);
-        let is_news = state.leader.lock().answered(&target.record.id);
-        if is_news {
+        let is_new = state.leader.lock().answered(&target.record.id);
+        if is_new {
             self.announce_leader(target);
         }
     }
@@ -42,13 +42,13 @@
         position: Option<LogPosition>,
     ) {
         let state = self.service(&target.record.service);
-        let is_news = state.leader.lock().proved(&target.record.id);
+        let is_new = state.leader.lock().proved(&target.record.id);
         // Without a position it is unknown what reads must see, so they go to the primary.
         if let Some(position) = position {
             state.positions.lock().record(moment_us, position);
             state.sampling_flight.notify();
         }
-        if is_news {
+        if is_new {
             self.announce_leader(target);
         }
     }
@@ -105,7 +105,7 @@
     }
 
     /// Handles evidence that a target was replaced: another member knows a later term than the target's. The
-    /// target is told to step down.
+    /// target is requested to step down.
     pub fn superseded(&self, target: &TargetState<C>, term: u64) {
         let record = &target.record;
         let state = self.service(&record.service);
@@ -125,9 +125,10 @@
     ///
     /// # Errors
     ///
-    /// Those of [`PrimaryPositions::told`].
+    /// Those of [`PrimaryPositions::record_from_peer`].
     ///
-    /// [`PrimaryPositions::told`]: skylark_core::request::primary_positions::PrimaryPositions::told
+    /// [`PrimaryPositions::record_from_peer`]:
+    /// skylark_core::request::primary_positions::PrimaryPositions::record_from_peer
     pub fn record_position(
         &self,
         service: &Arc<str>,
@@ -136,7 +137,7 @@
         position: LogPosition,
     ) -> Result<(), PositionError> {
         let state = self.service(service);
-        state.positions.lock().told(asked_us, age_us, position)?;
+        state.positions.lock().record_from_peer(asked_us, age_us, position)?;
         state.sampling_flight.notify();
         Ok(())
     }
--- a/crates/proxy/src/sessions/process/quota/ask.rs
+++ b/crates/proxy/src/sessions/process/quota/ask.rs
@@ -67,7 +67,7 @@
 
     /// Asks a VM to grant one operation.
     pub async fn ask(&self, vm: &VmAddress, organisation: &Arc<str>) -> Answer {
-        self.counters.event(Event::LimitsAsked);
+        self.counters.event(Event::GrantsRequested);
         let (answer, answered) = oneshot::channel();
         let request = GrantRequest { organisation: Arc::clone(organisation), answer };
         // A full queue counts as a missing answer: dropping the request also drops the sender of its answer.
@@ -113,7 +113,7 @@
         let answered = time::timeout(ANSWER_TIMEOUT, exchange(&stream, &mut input, &message)).await;
         let Ok(Ok(line)) = answered else { return };
         for (request, answer) in batch.drain(..).zip(answer::decode_answers(&line)) {
-            // The requester may have timed out, in which case it has given up the operation.
+            // The requester may have timed out, in which case it has abandoned the operation.
             let _ = request.answer.send(answer);
         }
     }
--- a/crates/proxy/src/sessions/process/services.rs
+++ b/crates/proxy/src/sessions/process/services.rs
@@ -1,4 +1,4 @@
-//! What requests and status queries showed of one service.
+//! The state of one service, as observed by requests and status queries.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use skylark_core::process::departures::Departures;
 use skylark_core::request::lead_proof::LeadReport;
-use skylark_core::request::lead_proof::LeadWords;
+use skylark_core::request::lead_proof::LeadReports;
 use skylark_core::request::position_demand::PositionDemand;
 use skylark_core::request::primary_positions::PrimaryPositions;
 
@@ -17,7 +17,7 @@
 use crate::sessions::process::limits;
 use crate::sessions::process::single_flight::SingleFlight;
 
-/// What requests and status queries showed of one service.
+/// The state of one service, as observed by requests and status queries.
 #[derive(Debug, Default)]
 pub struct ServiceState {
     /// Known positions of the primary.
@@ -25,17 +25,17 @@
     /// The presumed primary.
     pub leader: Mutex<LeaderBelief>,
     /// What the members reported about their role and term.
-    pub lead_reports: Mutex<LeadWords>,
+    pub lead_reports: Mutex<LeadReports>,
     /// Number of departed members that a promotion still depends on.
     departed: AtomicUsize,
-    /// Whether no departure that still matters can predate this process's knowledge of the service.
+    /// Whether a promotion no longer depends on members that left before this process learned of the service.
     past_is_known: AtomicBool,
     /// The status queries to members that are to prove who the primary is. One round serves all requests.
     pub proof_flight: SingleFlight,
     /// When the last round of status queries without any answer ended, in microseconds; zero if an answer
     /// came since.
     unanswered_round_us: AtomicU64,
-    /// Who needs positions of the primary, and how often.
+    /// The demand of reads and peers for positions of the primary.
     pub demand: Mutex<PositionDemand>,
     /// The sampling of the primary's position. One sample serves all reads.
     pub sampling_flight: SingleFlight,
@@ -70,7 +70,7 @@
         self.departed.load(Ordering::Relaxed)
     }
 
-    /// Whether no departure that still matters can predate this process's knowledge of the service.
+    /// Whether a promotion no longer depends on members that left before this process learned of the service.
     pub fn past_is_known(&self) -> bool {
         self.past_is_known.load(Ordering::Relaxed)
     }
--- a/crates/proxy/src/sessions/process/store_access.rs
+++ b/crates/proxy/src/sessions/process/store_access.rs
@@ -29,26 +29,26 @@
     /// Whether this process watches the store for itself or as a watcher.
     has_direct_access: bool,
     /// What the followed feed reports about the store; `None` without a feed.
-    feed_news: Option<StoreStatus>,
+    feed_status: Option<StoreStatus>,
     /// Since when this process has had no feed with an answering store, in microseconds.
     no_feed_since_us: u64,
     /// Whether the store did not answer this process's last probe.
-    is_away: bool,
+    is_unavailable: bool,
     /// Whether a version that the feed announced is overdue.
     feed_is_late: bool,
 }
 
 impl State {
-    fn standing(&self) -> StoreAccess {
-        store_calls::store_access(self.has_direct_access, self.feed_news)
+    fn access(&self) -> StoreAccess {
+        store_calls::store_access(self.has_direct_access, self.feed_status)
     }
 
     fn has_feed(&self) -> bool {
-        self.standing() == StoreAccess::ViaPeer
+        self.access() == StoreAccess::ViaPeer
     }
 
     fn may_answer(&self) -> bool {
-        !self.is_away && self.feed_news != Some(StoreStatus::Unavailable)
+        !self.is_unavailable && self.feed_status != Some(StoreStatus::Unavailable)
     }
 }
 
@@ -73,9 +73,9 @@
         let state = State {
             vm_count: 0,
             has_direct_access: false,
-            feed_news: None,
+            feed_status: None,
             no_feed_since_us,
-            is_away: false,
+            is_unavailable: false,
             feed_is_late: false,
         };
         StoreAccessTracker {
@@ -89,8 +89,8 @@
     }
 
     /// How this process gets the store's state.
-    pub fn standing(&self) -> StoreAccess {
-        self.state.borrow().standing()
+    pub fn access(&self) -> StoreAccess {
+        self.state.borrow().access()
     }
 
     /// Whether this process has no feed with an answering store, so that it has to call the store itself.
@@ -106,14 +106,14 @@
     }
 
     /// Sets what the followed feed reports about the store; `None` if no feed is followed.
-    pub fn set_feed_status(&self, feed_news: Option<StoreStatus>) {
-        self.change(|state| (state.feed_news, state.feed_is_late) = (feed_news, false));
+    pub fn set_feed_status(&self, feed_status: Option<StoreStatus>) {
+        self.change(|state| (state.feed_status, state.feed_is_late) = (feed_status, false));
     }
 
     /// Records that an announced version is overdue, so that the store is called immediately. The delays for
     /// a process without a feed could put the version into force too late.
     pub fn mark_feed_late(&self) {
-        self.change(|state| (state.feed_news, state.feed_is_late) = (None, true));
+        self.change(|state| (state.feed_status, state.feed_is_late) = (None, true));
     }
 
     fn change<F>(&self, change: F)
@@ -144,20 +144,20 @@
         let _ = time::timeout(VM_LIST_TIMEOUT, states.wait_for(|state| state.vm_count > 0)).await;
         loop {
             let state = *states.borrow_and_update();
-            let standing = state.standing();
-            if standing == StoreAccess::ViaPeer {
+            let access = state.access();
+            if access == StoreAccess::ViaPeer {
                 had_feed = true;
                 // The sender is a field of `self`, so this does not fail.
                 let _ = states.changed().await;
                 continue;
             }
-            if standing == StoreAccess::Direct || state.feed_is_late {
+            if access == StoreAccess::Direct || state.feed_is_late {
                 return had_feed;
             }
-            let patience_us =
-                store_calls::direct_call_delay_us(standing, state.vm_count, self.seed);
+            let direct_delay_us =
+                store_calls::direct_call_delay_us(access, state.vm_count, self.seed);
             let left_us =
-                (state.no_feed_since_us + patience_us).saturating_sub(self.clock.now_us());
+                (state.no_feed_since_us + direct_delay_us).saturating_sub(self.clock.now_us());
             if left_us > 0 {
                 let _ = time::timeout(Duration::from_micros(left_us), states.changed()).await;
             } else if self.wait_for_probe(state.no_feed_since_us, store).await {
@@ -169,7 +169,7 @@
     /// Records that the store answered a call other than a probe.
     pub fn record_answer(&self) {
         self.failures.store(0, Ordering::Relaxed);
-        self.change(|state| state.is_away = false);
+        self.change(|state| state.is_unavailable = false);
     }
 
     /// Waits after a failed call until the store answers a probe, or another VM supplies the store's state.
@@ -193,16 +193,16 @@
             let state = *states.borrow();
             let failures = self.failures.fetch_add(1, Ordering::Relaxed) + 1;
             let pause_us =
-                store_calls::retry_pause_us(state.standing(), state.vm_count, failures, self.seed);
+                store_calls::retry_pause_us(state.access(), state.vm_count, failures, self.seed);
             let feed = states.wait_for(State::has_feed);
             if time::timeout(Duration::from_micros(pause_us), feed).await.is_ok() {
                 return false;
             }
-            let is_away = store.probe(&self.vm).await.is_err();
-            if !is_away {
+            let is_unavailable = store.probe(&self.vm).await.is_err();
+            if !is_unavailable {
                 *probe_answered_us = self.clock.now_us();
             }
-            self.change(|state| state.is_away = is_away);
+            self.change(|state| state.is_unavailable = is_unavailable);
         }
         true
     }
@@ -213,7 +213,7 @@
     }
 
     /// Waits while the store is known to be unavailable, for at most `limit`.
-    pub async fn wait_while_away(&self, limit: Duration) {
+    pub async fn wait_while_unavailable(&self, limit: Duration) {
         let mut states = self.state.subscribe();
         let answering = states.wait_for(State::may_answer);
         // After the limit the caller tries the store regardless.
--- a/crates/proxy/src/sessions/process/takeover/steps.rs
+++ b/crates/proxy/src/sessions/process/takeover/steps.rs
@@ -92,14 +92,14 @@
         let last_leader = primary_id.clone().or_else(|| self.last_leader(service));
         let departed = self.watcher.departed(service, last_leader.as_ref());
         let mut replicas = self.listed_replicas(service, primary_id.as_ref());
-        replicas.extend(departed.away);
+        replicas.extend(departed.absent);
         if std::mem::take(&mut drive.checks_departed) {
             let gone = self.watcher.dispensable(service, last_leader.as_ref());
             drive.returned.extend(replicas::filter_responding::<C>(&self.gateway.vm, &gone).await);
         }
         replicas.extend(replicas::unlisted(&drive.returned, &replicas));
         let (mut views, term) = replicas::ask_all::<C>(&self.gateway.vm, &replicas).await;
-        // These stand for departed members whose logs are lost. Only a position of the primary from after
+        // These represent departed members whose logs are lost. Only a position of the primary from after
         // their departure shows that no commit was lost with them. Otherwise a replica that lacked a commit
         // could be promoted, based on the answer of a member that had restarted with an empty log.
         views.extend(iter::repeat_n(ReplicaView::default(), departed.lost));
--- a/crates/proxy/src/sessions/process/targets.rs
+++ b/crates/proxy/src/sessions/process/targets.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Health {
     /// Moving average of the answer time, in microseconds.
-    pub usual_us: u64,
+    pub average_answer_us: u64,
     /// Number of statements that wait for admission or for a connection.
     pub queued: u32,
     /// Number of statements that were sent and not answered yet.
@@ -120,7 +120,7 @@
         let path = parts.path(None, record, false);
         let queue = AdmissionQueue::new(QueueLimits::default(), &class_shares(), clock);
         let health = Health {
-            usual_us: INITIAL_ANSWER_US,
+            average_answer_us: INITIAL_ANSWER_US,
             queued: 0,
             in_flight: 0,
             unanswered_since_us: None,
@@ -170,7 +170,7 @@
         paths.iter().max_by_key(score).cloned().unwrap_or_else(|| self.path())
     }
 
-    /// Divides users among these VMs, where `None` stands for this process. With fewer than two all users
+    /// Divides users among these VMs, where `None` is this process. With fewer than two all users
     /// share one path.
     pub fn divide_users(&self, vms: &[Option<&VmAddress>]) {
         let known = self.user_paths.load_full();
@@ -243,9 +243,10 @@
     /// Whether the paths need no maintenance until a statement uses them: they lead through other VMs, have
     /// no connections, and no failure is recorded.
     pub fn is_idle(&self) -> bool {
-        let is_at_rest = |path: &Arc<TargetPath<C>>| path.via.is_some() && path.pool.is_unused();
-        is_at_rest(&self.path.load())
-            && self.user_paths.load().iter().all(is_at_rest)
+        let is_idle_via_proxy =
+            |path: &Arc<TargetPath<C>>| path.via.is_some() && path.pool.is_unused();
+        is_idle_via_proxy(&self.path.load())
+            && self.user_paths.load().iter().all(is_idle_via_proxy)
             && self.health.lock().path_failed_since_us.is_none()
     }
 
@@ -378,8 +379,8 @@
         health.path_failed_since_us = None;
         health.unanswered_since_us = (health.in_flight > 0).then_some(now_us);
         if let Some(took_us) = took_us {
-            let kept_us = health.usual_us - health.usual_us / AVERAGE_DIVISOR;
-            health.usual_us = kept_us + took_us / AVERAGE_DIVISOR;
+            let kept_us = health.average_answer_us - health.average_answer_us / AVERAGE_DIVISOR;
+            health.average_answer_us = kept_us + took_us / AVERAGE_DIVISOR;
         }
     }
 
--- a/crates/proxy/src/sessions/process/watch.rs
+++ b/crates/proxy/src/sessions/process/watch.rs
@@ -113,7 +113,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FeedStatus {
     /// Whether the store answers the publisher.
-    pub news: StoreStatus,
+    pub store_status: StoreStatus,
     /// Whether every target that is missing from the publisher's list is gone.
     pub is_settled: bool,
 }
@@ -136,7 +136,7 @@
     feed: Option<FeedStatus>,
     /// Whether the followed feed reported the store as unavailable since the store last answered this
     /// process.
-    was_away: bool,
+    was_unavailable: bool,
     /// When the store last answered this process again after an outage, in microseconds; zero before.
     store_recovered_us: u64,
     /// When a watch last delivered a change of targets, in microseconds; zero before the first.
@@ -177,25 +177,25 @@
     /// before.
     pub fn list_is_complete(&self) -> bool {
         let known = self.known.lock();
-        let was_never_away = known.health.answers_targets()
+        let was_never_unavailable = known.health.answers_targets()
             && known.store_recovered_us == 0
             && known.targets_revision > 0;
-        was_never_away || self.is_settled(&known)
+        was_never_unavailable || self.is_settled(&known)
     }
 
     pub(super) fn is_settled(&self, known: &ClusterState) -> bool {
         if known.health.answers_targets() {
             return self.gateway.clock.now_us() >= known.store_recovered_us + REREGISTRATION_US;
         }
-        let feed = known.feed.filter(|feed| feed.news != StoreStatus::Unavailable);
+        let feed = known.feed.filter(|feed| feed.store_status != StoreStatus::Unavailable);
         feed.is_some_and(|feed| feed.is_settled)
     }
 
     /// What this process publishes about the store. A subscriber has no answers of its own to report; one
     /// that watches the store itself also reports what another VM supplies meanwhile.
-    pub(super) fn store_news(&self, known: &ClusterState) -> StoreStatus {
-        let has_direct_access = self.gateway.store_access.standing() == StoreAccess::Direct;
-        let helper = known.feed.filter(|_| has_direct_access).map(|feed| feed.news);
+    pub(super) fn store_status_for_peers(&self, known: &ClusterState) -> StoreStatus {
+        let has_direct_access = self.gateway.store_access.access() == StoreAccess::Direct;
+        let helper = known.feed.filter(|_| has_direct_access).map(|feed| feed.store_status);
         store_calls::status_for_peers(known.health.answers(), helper)
     }
 
@@ -203,9 +203,10 @@
     pub fn set_feed_status(&self, feed: Option<FeedStatus>) {
         let mut known = self.known.lock();
         known.feed = feed;
-        known.was_away |= feed.is_some_and(|feed| feed.news == StoreStatus::Unavailable);
+        known.was_unavailable |=
+            feed.is_some_and(|feed| feed.store_status == StoreStatus::Unavailable);
         drop(known);
-        self.gateway.store_access.set_feed_status(feed.map(|feed| feed.news));
+        self.gateway.store_access.set_feed_status(feed.map(|feed| feed.store_status));
     }
 
     /// Stops relying on the feed because an announced version is overdue, so that the store is called.
@@ -299,7 +300,7 @@
         Ok(found.revision)
     }
 
-    /// Whether another change of targets came shortly before this one.
+    /// Whether the previous change of targets was shortly before this one.
     fn is_change_burst(&self) -> bool {
         let now_us = self.gateway.clock.now_us();
         let before_us = std::mem::replace(&mut self.known.lock().targets_changed_us, now_us);
@@ -314,8 +315,8 @@
             WatchStatus::FailingSince(since_us) => Some(now_us.saturating_sub(since_us)),
             WatchStatus::Idle | WatchStatus::Answering => None,
         };
-        let was_away = std::mem::take(&mut known.was_away);
-        if was_silent_for_us.is_some() || was_away {
+        let was_unavailable = std::mem::take(&mut known.was_unavailable);
+        if was_silent_for_us.is_some() || was_unavailable {
             known.store_recovered_us = now_us;
             slog::info!(self.gateway.log, "the store answers again";
                 "watch" => watched.name(), "silent_us" => was_silent_for_us);
--- a/crates/spec/src/lead/model.rs
+++ b/crates/spec/src/lead/model.rs
@@ -6,8 +6,8 @@
 use skylark_core::log_position::LogPosition;
 use skylark_core::request::lead_proof::GroupView;
 use skylark_core::request::lead_proof::LeadReport;
+use skylark_core::request::lead_proof::LeadReports;
 use skylark_core::request::lead_proof::LeadVerdict;
-use skylark_core::request::lead_proof::LeadWords;
 
 use super::Safeguard;
 use crate::explore::Model;
@@ -139,7 +139,7 @@
 
     /// Returns whether the core considers it proved that the target leads, so that the read is served.
     fn serves(&self, state: &State) -> bool {
-        let mut reports = LeadWords::default();
+        let mut reports = LeadReports::default();
         let received = |holds_floor: bool| if holds_floor { FLOOR } else { LogPosition::default() };
         let own =
             LeadReport { asked_us: BEFORE_READ_US, leads: true, term: OLD_TERM, received: FLOOR };
--- a/crates/spec/src/repetition/model.rs
+++ b/crates/spec/src/repetition/model.rs
@@ -142,8 +142,8 @@
         let verdict = retry::decide(&attempt, &budget, TIME_LEFT_US);
         let last = sender.attempt() + 1 == self.tries;
         sender.reply = match (verdict, failure) {
-            (RetryVerdict::Again, _) if !last => None,
-            (RetryVerdict::Again, _) => Some(self.exhausted_reply(&attempt)),
+            (RetryVerdict::Retry, _) if !last => None,
+            (RetryVerdict::Retry, _) => Some(self.exhausted_reply(&attempt)),
             (RetryVerdict::Answer(kind), _) => {
                 let answer = kind.answer();
                 Some(error_reply(answer.sqlstate, Some(answer.outcome)))
