--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -8,8 +8,8 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use skylark_standin::typed::group::Group;
-use skylark_standin::typed::platform::Mood;
 use skylark_standin::typed::platform::Platform;
+use skylark_standin::typed::platform::PlatformMode;
 use tokio::sync::Mutex;
 use tokio::time;
 
@@ -64,7 +64,7 @@
     /// The primary announces its stop while a replica does not receive commits.
     LaggingHandover,
     TargetLosesAnswers,
-    Platform(Mood),
+    Platform(PlatformMode),
     ForgetHistory,
     /// A replica restarts under the same name, without its log.
     ReplicaLosesData,
@@ -149,8 +149,8 @@
     Fault::LaggingHandover,
     Fault::LaggingHandover,
     Fault::TargetLosesAnswers,
-    Fault::Platform(Mood::Silent),
-    Fault::Platform(Mood::LosesAnswers),
+    Fault::Platform(PlatformMode::Silent),
+    Fault::Platform(PlatformMode::LosesAnswers),
     Fault::ForgetHistory,
 ];
 
@@ -226,10 +226,10 @@
         Fault::TargetLosesAnswers => {
             group.change(target, |member| member.lose_answers += choice as u32 % 5 + 1);
         }
-        Fault::Platform(mood) => {
-            system.platform.set_mood(mood);
+        Fault::Platform(platform_mode) => {
+            system.platform.set_platform_mode(platform_mode);
             time::sleep(duration).await;
-            system.platform.set_mood(Mood::Serving);
+            system.platform.set_platform_mode(PlatformMode::Serving);
         }
         Fault::ForgetHistory => system.platform.objects.forget_history(),
         Fault::KeyReplaced => {
@@ -262,7 +262,7 @@
     if stops_primary {
         group.change(leader, |member| member.alive = false);
     }
-    group.start_with_nothing(replica, BASE_START_TIME_MS + choice as u64 % BASE_START_TIME_MS);
+    group.restart_empty(replica, BASE_START_TIME_MS + choice as u64 % BASE_START_TIME_MS);
     group.change(replica, |member| member.alive = true);
     time::sleep(duration).await;
     if stops_primary {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -18,7 +18,7 @@
 use skylark_proxy::sessions::process::settings::SessionSettings;
 use skylark_standin::typed::deployment::Deployment;
 use skylark_standin::typed::group::GroupOptions;
-use skylark_standin::typed::platform::Named;
+use skylark_standin::typed::platform::PromoteCall;
 use skylark_standin::typed::ports;
 use tokio::sync::watch;
 use tokio::time;
@@ -76,7 +76,7 @@
     std::fs::create_dir_all(&options.folder)?;
     let to_targets = Arc::new(Mutex::new(Vec::new()));
     let relays = Arc::clone(&to_targets);
-    let deployment = Deployment::start_behind(vec![group_options()], async move |address| {
+    let deployment = Deployment::start_with_relays(vec![group_options()], async move |address| {
         let relay = Relay::start(address).await?;
         relays.lock().push(relay.clone());
         Ok(relay.address)
@@ -161,8 +161,8 @@
     }
     let observations = observations.lock();
     violations.extend(observations.violations.iter().cloned());
-    violations.extend(log_violations(&observations, &count_writes(&group.leaders_log())));
-    violations.extend(token_violations(&deployment.platform.named()));
+    violations.extend(log_violations(&observations, &count_writes(&group.leader_log())));
+    violations.extend(token_violations(&deployment.platform.promote_calls()));
     if !group.lost().is_empty() {
         violations.push(format!("{} commits lost by promotions", group.lost().len()));
     }
@@ -190,8 +190,8 @@
 
 /// Returns the calls that named a primary with a lower token than the call before, or with the same token as
 /// another driver.
-fn token_violations(named: &[Named]) -> Vec<String> {
-    let pairs = named.windows(2);
+fn token_violations(promote_calls: &[PromoteCall]) -> Vec<String> {
+    let pairs = promote_calls.windows(2);
     let falls = pairs.filter(|pair| {
         let shared = pair[1].token == pair[0].token && pair[1].holder != pair[0].holder;
         pair[1].token < pair[0].token || shared
@@ -230,9 +230,9 @@
         members: (1..=3).map(member).collect(),
         sync_replicas: 1,
         apply_lag: Duration::from_millis(20),
-        promote_takes: Duration::from_millis(200),
+        promotion_delay: Duration::from_millis(200),
         max_connections: 24,
-        goes_on: Some(Duration::from_millis(1_000)),
+        old_primary_grace: Some(Duration::from_millis(1_000)),
     }
 }
 
--- a/crates/standin/src/deployment/admin.rs
+++ b/crates/standin/src/deployment/admin.rs
@@ -105,16 +105,16 @@
 }
 
 async fn counters(State(deployment): Shared) -> Response {
-    let of_target = deployment.states().map(|target| (&*target.options().name, target.counters()));
+    let by_target = deployment.states().map(|target| (&*target.options().name, target.counters()));
     let answer = CountersAnswer {
         platform: &deployment.platform().platform().counters,
-        targets: of_target.collect(),
+        targets: by_target.collect(),
     };
     Json(answer).into_response()
 }
 
 async fn status(State(deployment): Shared) -> Response {
-    let of_target = deployment.states().map(|target| (&*target.options().name, target.status()));
-    let statuses: BTreeMap<&str, MemberStatus> = of_target.collect();
+    let by_target = deployment.states().map(|target| (&*target.options().name, target.status()));
+    let statuses: BTreeMap<&str, MemberStatus> = by_target.collect();
     Json(statuses).into_response()
 }
--- a/crates/standin/src/deployment/fault.rs
+++ b/crates/standin/src/deployment/fault.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use crate::network::Faults;
-use crate::network::set_member;
+use crate::network::insert_or_remove;
 use crate::platform::faults::PlatformFaultState;
 use crate::target::options::Lag;
 use crate::target::server::TargetServer;
@@ -135,27 +135,27 @@
     pub async fn inject(&self, fault: &Fault) -> Result<(), FaultError> {
         match fault {
             Fault::IsolateTarget { target, on } => {
-                self.known(target)?;
-                self.network().change(|faults| set_member(&mut faults.isolated, target, *on));
+                self.require_target(target)?;
+                self.network().change(|faults| insert_or_remove(&mut faults.isolated, target, *on));
             }
             Fault::PauseTarget { target, on } => {
-                self.known(target)?;
-                self.network().change(|faults| set_member(&mut faults.paused, target, *on));
+                self.require_target(target)?;
+                self.network().change(|faults| insert_or_remove(&mut faults.paused, target, *on));
             }
-            Fault::KillTarget { target, on: true } => self.known(target)?.kill(),
+            Fault::KillTarget { target, on: true } => self.require_target(target)?.kill(),
             Fault::KillTarget { target, on: false } => {
-                self.known(target)?.restart().await.map_err(FaultError::Listen)?;
+                self.require_target(target)?.restart().await.map_err(FaultError::Listen)?;
             }
             Fault::LeaveTarget { target, on } => {
-                self.known(target)?.target().set_leaving(*on);
+                self.require_target(target)?.target().set_leaving(*on);
             }
             Fault::LagTarget { target, hold_us, apply_us } => {
                 let lag = Lag { hold_us: *hold_us, apply_us: *apply_us };
-                self.known(target)?.target().set_lag(lag);
+                self.require_target(target)?.target().set_lag(lag);
             }
             Fault::CutZones { zone, other, on } => {
-                self.known_zone(zone)?;
-                self.known_zone(other)?;
+                self.require_zone(zone)?;
+                self.require_zone(other)?;
                 self.network().change(|faults| faults.set_cut(zone, other, *on));
             }
             Fault::IsolateZone { zone, on } => self.isolate_zone(zone, *on)?,
@@ -172,7 +172,7 @@
             Fault::PlatformSlow { slow_ms } => state.slow = Duration::from_millis(*slow_ms),
             Fault::PlatformLosesAnswers { count } => state.lose_answers = *count,
             Fault::PlatformRefusesZone { zone, on } => {
-                set_member(&mut state.refused_zones, zone, *on);
+                insert_or_remove(&mut state.refused_zones, zone, *on);
             }
             _ => {}
         };
@@ -183,7 +183,7 @@
     }
 
     fn isolate_zone(&self, zone: &str, on: bool) -> Result<(), FaultError> {
-        self.known_zone(zone)?;
+        self.require_zone(zone)?;
         let others = self.settings().zones.iter().map(|other| &other.zone);
         self.network().change(|faults| {
             for other in others.filter(|other| *other != zone) {
@@ -203,12 +203,12 @@
         Ok(())
     }
 
-    fn known(&self, target: &str) -> Result<&TargetServer, FaultError> {
+    fn require_target(&self, target: &str) -> Result<&TargetServer, FaultError> {
         self.target(target).ok_or_else(|| FaultError::UnknownTarget(target.to_owned()))
     }
 
-    fn known_zone(&self, zone: &str) -> Result<(), FaultError> {
-        let known = self.settings().zones.iter().any(|known| known.zone == zone);
-        known.then_some(()).ok_or_else(|| FaultError::UnknownZone(zone.to_owned()))
+    fn require_zone(&self, zone: &str) -> Result<(), FaultError> {
+        let is_known = self.settings().zones.iter().any(|known| known.zone == zone);
+        is_known.then_some(()).ok_or_else(|| FaultError::UnknownZone(zone.to_owned()))
     }
 }
--- a/crates/standin/src/deployment/mod.rs
+++ b/crates/standin/src/deployment/mod.rs
@@ -73,14 +73,14 @@
         settings.platform_address = platform.address();
         let mut targets = Vec::new();
         for group in &mut settings.groups {
-            for place in 0..group.members.len() {
-                let server = start_member(group, place, &network).await?;
-                group.members[place].address = server.address();
+            for index in 0..group.members.len() {
+                let server = start_member(group, index, &network).await?;
+                group.members[index].address = server.address();
                 targets.push(server);
             }
         }
         let deployment = Deployment { settings, network, platform, targets };
-        deployment.lead_groups();
+        deployment.appoint_primaries();
         deployment.seed_platform();
         Ok(deployment)
     }
@@ -121,7 +121,7 @@
         self.platform.platform().store.set_vm(record);
     }
 
-    fn lead_groups(&self) {
+    fn appoint_primaries(&self) {
         for group in &self.settings.groups {
             let members = self.group(&group.name);
             let Some((first, others)) = members.split_first() else { continue };
@@ -165,10 +165,10 @@
 
 async fn start_member(
     group: &Group,
-    place: usize,
+    index: usize,
     network: &Arc<Network>,
 ) -> Result<TargetServer, StartError> {
-    let member = &group.members[place];
+    let member = &group.members[index];
     let server = TargetServer::start(options(group, member), network).await;
     server.map_err(|error| StartError::Listen(member.address, error))
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -90,7 +90,7 @@
     let deployment = Deployment::start(settings).await.map_err(|error| error.to_string())?;
     let deployment = Arc::new(deployment);
     let admin = AdminServer::start(&deployment, admin).await?;
-    announce(&deployment, &admin, log);
+    log_addresses(&deployment, &admin, log);
     tokio::select! {
         _ = interrupted.recv() => {}
         _ = terminated.recv() => {}
@@ -99,7 +99,7 @@
     Ok(())
 }
 
-fn announce(deployment: &Deployment, admin: &AdminServer, log: &Logger) {
+fn log_addresses(deployment: &Deployment, admin: &AdminServer, log: &Logger) {
     let platform = deployment.platform().address().to_string();
     slog::info!(log, "platform listens"; "address" => platform);
     for server in deployment.targets() {
--- a/crates/standin/src/network.rs
+++ b/crates/standin/src/network.rs
@@ -65,7 +65,7 @@
 }
 
 /// Puts a name into a set or takes it out.
-pub fn set_member(set: &mut FastSet<String>, name: &str, wanted: bool) {
+pub fn insert_or_remove(set: &mut FastSet<String>, name: &str, wanted: bool) {
     if wanted {
         set.insert(name.to_owned());
     } else {
--- a/crates/standin/src/platform/api.rs
+++ b/crates/standin/src/platform/api.rs
@@ -70,15 +70,15 @@
     let zone = headers.get(ZONE_HEADER).and_then(|zone| zone.to_str().ok()).unwrap_or_default();
     let updates = matches!(*request.method(), Method::PUT | Method::DELETE);
     let serve = async {
-        platform.faults.pass(zone).await;
+        platform.faults.wait_until_zone_is_served(zone).await;
         tokio::time::sleep(platform.faults.state().slow).await;
         let response = next.run(request).await;
-        platform.faults.pass(zone).await;
+        platform.faults.wait_until_zone_is_served(zone).await;
         response
     };
     let response = tokio::select! {
         biased;
-        () = platform.faults.down() => return unavailable(&platform),
+        () = platform.faults.wait_until_down() => return unavailable(&platform),
         response = serve => response,
     };
     if updates && response.status() == StatusCode::OK && platform.faults.take_lost_answer() {
@@ -118,7 +118,7 @@
     match serde_json::from_slice::<PutRequest>(&body) {
         Ok(request) => {
             let put = platform.store.put(kind, &name, request.expected_version, request.body);
-            changed(&platform, put)
+            update_response(&platform, put)
         }
         Err(error) => bad_request(error.to_string()),
     }
@@ -131,7 +131,7 @@
 ) -> Response {
     platform.counters.deletes.add();
     let Some(kind) = ObjectKind::from_name(&kind) else { return unknown_kind(&kind) };
-    changed(&platform, platform.store.delete(kind, &name, query.expected_version))
+    update_response(&platform, platform.store.delete(kind, &name, query.expected_version))
 }
 
 async fn snapshot(State(platform): Shared) -> Response {
@@ -153,7 +153,7 @@
     Json(platform.store.vms()).into_response()
 }
 
-fn changed(platform: &Platform, result: Result<u64, Conflict>) -> Response {
+fn update_response(platform: &Platform, result: Result<u64, Conflict>) -> Response {
     match result {
         Ok(version) => Json(PutResponse { version }).into_response(),
         Err(conflict) => {
--- a/crates/standin/src/platform/faults.rs
+++ b/crates/standin/src/platform/faults.rs
@@ -39,14 +39,14 @@
     }
 
     /// Waits until calls of a zone pass.
-    pub async fn pass(&self, zone: &str) {
+    pub async fn wait_until_zone_is_served(&self, zone: &str) {
         let mut state = self.state.subscribe();
         // The sender lives in `self`, so there is always an answer.
         let _ = state.wait_for(|state| !state.refused_zones.contains(zone)).await;
     }
 
     /// Waits until the platform is down.
-    pub async fn down(&self) {
+    pub async fn wait_until_down(&self) {
         let mut state = self.state.subscribe();
         let _ = state.wait_for(|state| state.down).await;
     }
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -105,7 +105,7 @@
         Snapshot {
             revision: content.revision,
             objects: present.cloned().collect(),
-            vms: content.listed_vms(),
+            vms: content.visible_vms(),
         }
     }
 
@@ -123,21 +123,21 @@
 
     /// The list of VMs, as old as its lag.
     pub fn vms(&self) -> Vec<VmRecord> {
-        self.content.lock().listed_vms()
+        self.content.lock().visible_vms()
     }
 
     /// Sets how long a change of the VMs takes to show in the list.
     pub fn set_vm_lag(&self, lag: Duration) {
         let mut content = self.content.lock();
         // What shows already must not vanish behind a longer lag.
-        content.forget_older_lists();
+        content.drop_superseded_lists();
         content.vm_lag = lag;
     }
 
     /// Sets the VMs. The first list shows at once, later ones after the lag.
     pub fn set_vms(&self, vms: Vec<VmRecord>) {
         let mut content = self.content.lock();
-        content.forget_older_lists();
+        content.drop_superseded_lists();
         content.vm_lists.push((Instant::now(), vms));
     }
 
@@ -153,19 +153,19 @@
 
 impl Content {
     /// The place of the list that shows now: the newest whose lag is over, else the oldest.
-    fn shown_list(&self) -> Option<usize> {
-        let old_enough = |(since, _): &(Instant, Vec<VmRecord>)| since.elapsed() >= self.vm_lag;
-        let newest = self.vm_lists.iter().rposition(old_enough);
+    fn visible_list(&self) -> Option<usize> {
+        let is_past_lag = |(since, _): &(Instant, Vec<VmRecord>)| since.elapsed() >= self.vm_lag;
+        let newest = self.vm_lists.iter().rposition(is_past_lag);
         newest.or_else(|| (!self.vm_lists.is_empty()).then_some(0))
     }
 
     /// Forgets the lists before the one that shows.
-    fn forget_older_lists(&mut self) {
-        let shown = self.shown_list();
-        self.vm_lists.drain(..shown.unwrap_or_default());
+    fn drop_superseded_lists(&mut self) {
+        let visible = self.visible_list();
+        self.vm_lists.drain(..visible.unwrap_or_default());
     }
 
-    fn listed_vms(&self) -> Vec<VmRecord> {
-        self.shown_list().map(|place| self.vm_lists[place].1.clone()).unwrap_or_default()
+    fn visible_vms(&self) -> Vec<VmRecord> {
+        self.visible_list().map(|index| self.vm_lists[index].1.clone()).unwrap_or_default()
     }
 }
--- a/crates/standin/src/target/server.rs
+++ b/crates/standin/src/target/server.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinHandle;
 
 use crate::network::Network;
-use crate::network::set_member;
+use crate::network::insert_or_remove;
 
 use super::Target;
 use super::connection;
@@ -100,7 +100,7 @@
 
     fn set_dead(&self, dead: bool) {
         let name = &self.target.options.name;
-        self.target.network.change(|faults| set_member(&mut faults.dead, name, dead));
+        self.target.network.change(|faults| insert_or_remove(&mut faults.dead, name, dead));
     }
 
     fn run(&self) {
--- a/crates/standin/src/timer.rs
+++ b/crates/standin/src/timer.rs
@@ -56,11 +56,11 @@
     }
     let (wake, woken) = oneshot::channel();
     // The thread never ends, so neither side of the two channels can be gone.
-    let _ = waiters().send(Waiter { due, wake });
+    let _ = waiter_sender().send(Waiter { due, wake });
     let _ = woken.await;
 }
 
-fn waiters() -> &'static mpsc::Sender<Waiter> {
+fn waiter_sender() -> &'static mpsc::Sender<Waiter> {
     static WAITERS: OnceLock<mpsc::Sender<Waiter>> = OnceLock::new();
     WAITERS.get_or_init(|| {
         let (sender, receiver) = mpsc::channel();
--- a/crates/standin/src/typed/database.rs
+++ b/crates/standin/src/typed/database.rs
@@ -74,9 +74,9 @@
 
 /// What a connection is in the middle of.
 #[derive(Clone, Debug)]
-enum Open {
-    Nothing,
-    Transaction { plain_term: Option<u64>, writes: Vec<(String, String)> },
+enum TransactionState {
+    Inactive,
+    Active { write_term: Option<u64>, writes: Vec<(String, String)> },
     Failed,
 }
 
@@ -86,14 +86,14 @@
     input: BytesMut,
     output: BytesMut,
     user: String,
-    open: Open,
+    transaction: TransactionState,
     values: FastMap<String, String>,
     prepared: FastMap<String, (Effect, String)>,
     start: u32,
 }
 
 /// Why a connection ends.
-enum Ended {
+enum ConnectionEnd {
     Closed,
     AnswerLost,
 }
@@ -121,7 +121,7 @@
             input: BytesMut::new(),
             output: BytesMut::new(),
             user: String::new(),
-            open: Open::Nothing,
+            transaction: TransactionState::Inactive,
             values: FastMap::default(),
             prepared: FastMap::default(),
             start,
@@ -133,7 +133,7 @@
         group.change(member, |state| state.connections += 1);
         let mut changes = group.changes();
         let start = self.start;
-        let gone = async {
+        let stopped = async {
             loop {
                 let state = group.member(member);
                 if !state.alive || state.start != start {
@@ -145,22 +145,22 @@
         };
         tokio::select! {
             // However it ended, the stream is dropped, which rolls back.
-            _ = self.talk() => (),
-            () = gone => (),
+            _ = self.serve_requests() => (),
+            () = stopped => (),
         }
         group.change(member, |state| state.connections = state.connections.saturating_sub(1));
     }
 
-    async fn talk(&mut self) -> Result<(), Ended> {
+    async fn serve_requests(&mut self) -> Result<(), ConnectionEnd> {
         self.startup().await?;
         loop {
-            let message = self.message().await?;
-            let request = Lines::decode_request(&message).map_err(|_| Ended::Closed)?;
+            let message = self.read_message().await?;
+            let request = Lines::decode_request(&message).map_err(|_| ConnectionEnd::Closed)?;
             match request {
                 TargetRequest::Terminate
                 | TargetRequest::Startup { .. }
                 | TargetRequest::OnBehalf { .. } => {
-                    return Err(Ended::Closed);
+                    return Err(ConnectionEnd::Closed);
                 }
                 TargetRequest::Query(query) => {
                     let outcome = self.run(&query).await?;
@@ -170,34 +170,34 @@
         }
     }
 
-    async fn startup(&mut self) -> Result<(), Ended> {
-        let message = self.message().await?;
+    async fn startup(&mut self) -> Result<(), ConnectionEnd> {
+        let message = self.read_message().await?;
         let Ok(TargetRequest::Startup { service, user, target_id }) =
             Lines::decode_request(&message)
         else {
-            return Err(Ended::Closed);
+            return Err(ConnectionEnd::Closed);
         };
         self.user = user.to_owned();
         let group = &self.database.group;
-        let is_meant = service == &*group.options.service
+        let is_right_target = service == &*group.options.service
             && (target_id.is_empty() || target_id == &*self.database.id());
-        let too_many =
+        let is_over_limit =
             group.member(self.database.member).connections > group.options.max_connections;
         let error = match () {
-            _ if !is_meant => Some(TargetError::Misrouted),
-            _ if too_many => Some(TargetError::TooManyConnections),
+            _ if !is_right_target => Some(TargetError::Misrouted),
+            _ if is_over_limit => Some(TargetError::TooManyConnections),
             _ => None,
         };
         if let Some(error) = error {
             self.push_error(error);
             self.flush().await?;
-            return Err(Ended::Closed);
+            return Err(ConnectionEnd::Closed);
         }
         self.push_ready();
         self.flush().await
     }
 
-    async fn run(&mut self, query: &Query<'_>) -> Result<Outcome, Ended> {
+    async fn run(&mut self, query: &Query<'_>) -> Result<Outcome, ConnectionEnd> {
         let group = Arc::clone(&self.database.group);
         let member = self.database.member;
         match query {
@@ -229,14 +229,19 @@
         }
     }
 
-    async fn statement(&mut self, id: &str, statement: &Statement<'_>) -> Result<Outcome, Ended> {
-        if matches!(self.open, Open::Failed) && *statement != Statement::Rollback {
+    async fn statement(
+        &mut self,
+        id: &str,
+        statement: &Statement<'_>,
+    ) -> Result<Outcome, ConnectionEnd> {
+        if matches!(self.transaction, TransactionState::Failed) && *statement != Statement::Rollback
+        {
             return Ok(Err(TargetError::Malformed));
         }
         match statement {
             Statement::Begin { read_only } => Ok(self.begin(*read_only)),
             Statement::Rollback => {
-                self.open = Open::Nothing;
+                self.transaction = TransactionState::Inactive;
                 Ok(Ok(Answer::empty()))
             }
             Statement::Commit => self.commit(id).await,
@@ -276,68 +281,75 @@
         if !read_only && led.is_none() {
             return Err(TargetError::ReadOnly);
         }
-        let plain_term = led.filter(|_| !read_only);
-        self.open = Open::Transaction { plain_term, writes: Vec::new() };
+        let write_term = led.filter(|_| !read_only);
+        self.transaction = TransactionState::Active { write_term, writes: Vec::new() };
         Ok(Answer::empty())
     }
 
     /// Whether the lead under which the open transaction began is lost.
     fn lost_lead(&self) -> bool {
         let group = &self.database.group;
-        match &self.open {
-            Open::Transaction { plain_term: Some(term), .. } => {
+        match &self.transaction {
+            TransactionState::Active { write_term: Some(term), .. } => {
                 group.term_led_by(self.database.member) != Some(*term)
             }
             _ => false,
         }
     }
 
-    fn read(&mut self, id: &str, text: String, item: &str) -> Result<Outcome, Ended> {
+    fn read(&mut self, id: &str, text: String, item: &str) -> Result<Outcome, ConnectionEnd> {
         if self.lost_lead() {
-            self.open = Open::Failed;
+            self.transaction = TransactionState::Failed;
             return Ok(Err(TargetError::ReadOnly));
         }
         let row = self.database.group.read(self.database.member, item);
-        self.ran(id, text)?;
+        self.record_run(id, text)?;
         Ok(Ok(Answer { rows: vec![row], proof: self.proof(id) }))
     }
 
-    async fn write(&mut self, id: &str, text: String, arguments: &str) -> Result<Outcome, Ended> {
+    async fn write(
+        &mut self,
+        id: &str,
+        text: String,
+        arguments: &str,
+    ) -> Result<Outcome, ConnectionEnd> {
         let (item, data) = arguments.split_once(' ').unwrap_or((arguments, ""));
         let write = (item.to_owned(), data.to_owned());
         if self.lost_lead() {
-            self.open = Open::Failed;
+            self.transaction = TransactionState::Failed;
             return Ok(Err(TargetError::ReadOnly));
         }
-        match &mut self.open {
-            Open::Transaction { plain_term: None, .. } => {
-                self.open = Open::Failed;
+        match &mut self.transaction {
+            TransactionState::Active { write_term: None, .. } => {
+                self.transaction = TransactionState::Failed;
                 Ok(Err(TargetError::ReadOnly))
             }
-            Open::Transaction { writes, .. } => {
+            TransactionState::Active { writes, .. } => {
                 writes.push(write);
-                self.ran(id, text)?;
+                self.record_run(id, text)?;
                 Ok(Ok(Answer { rows: Vec::new(), proof: self.proof(id) }))
             }
-            Open::Nothing | Open::Failed => {
+            TransactionState::Inactive | TransactionState::Failed => {
                 let committed = self.commit_writes(vec![write]).await;
                 if committed.is_ok() {
-                    self.ran(id, text)?;
+                    self.record_run(id, text)?;
                 }
                 Ok(committed.map(|()| Answer { rows: Vec::new(), proof: self.proof(id) }))
             }
         }
     }
 
-    async fn commit(&mut self, id: &str) -> Result<Outcome, Ended> {
-        let open = std::mem::replace(&mut self.open, Open::Nothing);
-        let Open::Transaction { writes, .. } = open else { return Ok(Err(TargetError::Malformed)) };
+    async fn commit(&mut self, id: &str) -> Result<Outcome, ConnectionEnd> {
+        let transaction = std::mem::replace(&mut self.transaction, TransactionState::Inactive);
+        let TransactionState::Active { writes, .. } = transaction else {
+            return Ok(Err(TargetError::Malformed));
+        };
         let committed = match writes.is_empty() {
             true => Ok(()),
             false => self.commit_writes(writes).await,
         };
         if committed.is_ok() {
-            self.ran(id, "COMMIT".to_owned())?;
+            self.record_run(id, "COMMIT".to_owned())?;
         }
         Ok(committed.map(|()| Answer { rows: Vec::new(), proof: self.proof(id) }))
     }
@@ -353,16 +365,16 @@
         format!("{}.{id}", self.database.id())
     }
 
-    fn ran(&self, id: &str, text: String) -> Result<(), Ended> {
+    fn record_run(&self, id: &str, text: String) -> Result<(), ConnectionEnd> {
         let values = self.values.iter().map(|(name, value)| (name.clone(), value.clone()));
         let mut values: Vec<(String, String)> = values.collect();
         values.sort();
         let (id, user) = (id.to_owned(), self.user.clone());
         let at = Instant::now();
         let run = Run { target: self.database.id(), id, user, text, values, at };
-        match self.database.group.ran(self.database.member, run) {
+        match self.database.group.record_run(self.database.member, run) {
             true => Ok(()),
-            false => Err(Ended::AnswerLost),
+            false => Err(ConnectionEnd::AnswerLost),
         }
     }
 
@@ -377,7 +389,7 @@
         Answer { rows: vec![lines::encode_status(&status)], proof: "-".to_owned() }
     }
 
-    async fn answer(&mut self, outcome: Outcome) -> Result<(), Ended> {
+    async fn answer(&mut self, outcome: Outcome) -> Result<(), ConnectionEnd> {
         match outcome {
             Ok(answer) => {
                 for row in &answer.rows {
@@ -387,8 +399,8 @@
                 Lines::encode_answer(&complete, &mut self.output);
             }
             Err(error) => {
-                if !matches!(self.open, Open::Nothing) {
-                    self.open = Open::Failed;
+                if !matches!(self.transaction, TransactionState::Inactive) {
+                    self.transaction = TransactionState::Failed;
                 }
                 self.push_error(error);
             }
@@ -403,38 +415,39 @@
     }
 
     fn push_ready(&mut self) {
-        let status = match self.open {
-            Open::Nothing => TransactionStatus::Idle,
-            Open::Transaction { .. } => TransactionStatus::Open,
-            Open::Failed => TransactionStatus::Failed,
+        let status = match self.transaction {
+            TransactionState::Inactive => TransactionStatus::Idle,
+            TransactionState::Active { .. } => TransactionStatus::Open,
+            TransactionState::Failed => TransactionStatus::Failed,
         };
         let applied = self.database.group.applied(self.database.member);
         let position = (applied != LogPosition::default()).then_some(applied);
         Lines::encode_answer(&TargetMessage::Ready { status, position }, &mut self.output);
     }
 
-    async fn message(&mut self) -> Result<BytesMut, Ended> {
+    async fn read_message(&mut self) -> Result<BytesMut, ConnectionEnd> {
         loop {
             let found = Lines::message_len(&self.input, MAX_MESSAGE_BYTES);
-            if let Some(length) = found.map_err(|_| Ended::Closed)? {
-                self.heard().await;
+            if let Some(length) = found.map_err(|_| ConnectionEnd::Closed)? {
+                self.wait_while_silent().await;
                 return Ok(self.input.split_to(length));
             }
-            if self.stream.read_buf(&mut self.input).await.map_err(|_| Ended::Closed)? == 0 {
-                return Err(Ended::Closed);
+            if self.stream.read_buf(&mut self.input).await.map_err(|_| ConnectionEnd::Closed)? == 0
+            {
+                return Err(ConnectionEnd::Closed);
             }
         }
     }
 
-    async fn flush(&mut self) -> Result<(), Ended> {
-        self.heard().await;
+    async fn flush(&mut self) -> Result<(), ConnectionEnd> {
+        self.wait_while_silent().await;
         let written = self.stream.write_all(&self.output).await;
         self.output.clear();
-        written.map_err(|_| Ended::Closed)
+        written.map_err(|_| ConnectionEnd::Closed)
     }
 
     /// Waits while the target is silent.
-    async fn heard(&self) {
+    async fn wait_while_silent(&self) {
         let mut changes = self.database.group.changes();
         while self.database.group.member(self.database.member).silent {
             // The sender lives as long as the group.
--- a/crates/standin/src/typed/deployment.rs
+++ b/crates/standin/src/typed/deployment.rs
@@ -33,12 +33,12 @@
 impl Deployment {
     /// Starts the platform and all targets, which register themselves and go on doing so.
     pub async fn start(groups: Vec<GroupOptions>) -> io::Result<Deployment> {
-        Deployment::start_behind(groups, async |address| Ok(address)).await
+        Deployment::start_with_relays(groups, async |address| Ok(address)).await
     }
 
     /// The same, with something in front of each target: `relay` is given the target's address and
     /// returns the one that is announced.
-    pub async fn start_behind<F>(groups: Vec<GroupOptions>, relay: F) -> io::Result<Deployment>
+    pub async fn start_with_relays<F>(groups: Vec<GroupOptions>, relay: F) -> io::Result<Deployment>
     where
         F: AsyncFn(SocketAddr) -> io::Result<SocketAddr>,
     {
@@ -74,7 +74,7 @@
 
 /// Writes the entries of the targets that run, and removes those of the others.
 fn register(platform: &Platform, databases: &[Database]) {
-    if platform.keeps_entries() {
+    if platform.entries_frozen() {
         return;
     }
     for database in databases {
--- a/crates/standin/src/typed/group.rs
+++ b/crates/standin/src/typed/group.rs
@@ -16,7 +16,7 @@
 use tokio::time;
 
 /// How often a commit without an acknowledgement looks whether its member still leads.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+const LEAD_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What a group is made of.
 #[derive(Clone, Debug)]
@@ -30,12 +30,12 @@
     /// How long replicas take to apply what they received.
     pub apply_lag: Duration,
     /// How long a promotion takes to take effect.
-    pub promote_takes: Duration,
+    pub promotion_delay: Duration,
     /// How many connections a member accepts.
     pub max_connections: usize,
     /// How long a primary that was replaced goes on once it reaches its successor; none if it becomes a
     /// replica in the moment in which it is replaced.
-    pub goes_on: Option<Duration>,
+    pub old_primary_grace: Option<Duration>,
 }
 
 /// One commit.
@@ -76,9 +76,9 @@
     /// The newest term that it heard of.
     known_term: u64,
     /// The old term in which it goes on as primary although another leads.
-    goes_on_in: Option<u64>,
+    stale_lead_term: Option<u64>,
     /// Since when it has reached its successor meanwhile.
-    reaches_since: Option<Instant>,
+    successor_reachable_since: Option<Instant>,
 }
 
 /// What a member ran for somebody.
@@ -142,8 +142,8 @@
             start: 0,
             born_ms: None,
             known_term: 1,
-            goes_on_in: None,
-            reaches_since: None,
+            stale_lead_term: None,
+            successor_reachable_since: None,
         };
         let state = State {
             term: 1,
@@ -187,7 +187,7 @@
     /// The term in which a member acts as primary, if it does.
     pub fn term_led_by(&self, member: usize) -> Option<u64> {
         let mut state = self.state.lock();
-        self.end_old_lead(&mut state, member);
+        self.end_expired_lead(&mut state, member);
         term_led_by(&state, member)
     }
 
@@ -198,12 +198,12 @@
     }
 
     /// A member starts again under its name, and holds and knows nothing of before.
-    pub fn start_with_nothing(&self, member: usize, born_ms: u64) {
+    pub fn restart_empty(&self, member: usize, born_ms: u64) {
         self.change(member, |state| {
             state.log.clear();
             state.paused_term = 0;
             state.known_term = 0;
-            state.goes_on_in = None;
+            state.stale_lead_term = None;
             state.born_ms = Some(born_ms);
             state.start += 1;
         });
@@ -226,20 +226,21 @@
     }
 
     /// A primary that was replaced ends its lead once it has reached its successor for long enough.
-    fn end_old_lead(&self, state: &mut State, member: usize) {
-        let (Some(_), Some(goes_on)) = (state.members[member].goes_on_in, self.options.goes_on)
+    fn end_expired_lead(&self, state: &mut State, member: usize) {
+        let (Some(_), Some(old_primary_grace)) =
+            (state.members[member].stale_lead_term, self.options.old_primary_grace)
         else {
             return;
         };
         let leader = state.leader.map(|leader| &state.members[leader]);
-        let reaches =
+        let is_reachable =
             leader.is_some_and(|leader| leader.alive && !leader.cut) && !state.members[member].cut;
         let old = &mut state.members[member];
-        old.reaches_since = match reaches {
-            true => old.reaches_since.or_else(|| Some(Instant::now())),
+        old.successor_reachable_since = match is_reachable {
+            true => old.successor_reachable_since.or_else(|| Some(Instant::now())),
             false => None,
         };
-        if old.reaches_since.is_some_and(|since| since.elapsed() >= goes_on) {
+        if old.successor_reachable_since.is_some_and(|since| since.elapsed() >= old_primary_grace) {
             become_replica(state, member);
             replicate(state);
         }
@@ -251,7 +252,7 @@
     }
 
     /// What the member that leads has in its log.
-    pub fn leaders_log(&self) -> Vec<Record> {
+    pub fn leader_log(&self) -> Vec<Record> {
         let state = self.state.lock();
         state.leader.map_or_else(Vec::new, |leader| state.members[leader].log.clone())
     }
@@ -267,12 +268,12 @@
     }
 
     /// A member ran a statement. Returns whether its answer gets out.
-    pub fn ran(&self, member: usize, run: Run) -> bool {
+    pub fn record_run(&self, member: usize, run: Run) -> bool {
         let mut state = self.state.lock();
         state.runs.push(run);
-        let losing = &mut state.members[member].lose_answers;
-        let answers = *losing == 0;
-        *losing = losing.saturating_sub(1);
+        let lose_answers_left = &mut state.members[member].lose_answers;
+        let answers = *lose_answers_left == 0;
+        *lose_answers_left = lose_answers_left.saturating_sub(1);
         answers
     }
 
@@ -307,7 +308,7 @@
         let mut changes = self.changes();
         let position = {
             let mut state = self.state.lock();
-            self.end_old_lead(&mut state, member);
+            self.end_expired_lead(&mut state, member);
             let Some(term) = term_led_by(&state, member) else {
                 return Committed::NotLeading;
             };
@@ -320,19 +321,19 @@
         };
         self.notify();
         loop {
-            if let Some(outcome) = self.outcome(member, position) {
+            if let Some(outcome) = self.commit_outcome(member, position) {
                 return outcome;
             }
             // A primary that was replaced also ends by itself.
-            if let Ok(Err(_)) = time::timeout(LOOK_AGAIN, changes.changed()).await {
+            if let Ok(Err(_)) = time::timeout(LEAD_CHECK_INTERVAL, changes.changed()).await {
                 return Committed::NotLeading;
             }
         }
     }
 
-    fn outcome(&self, member: usize, position: LogPosition) -> Option<Committed> {
+    fn commit_outcome(&self, member: usize, position: LogPosition) -> Option<Committed> {
         let mut state = self.state.lock();
-        self.end_old_lead(&mut state, member);
+        self.end_expired_lead(&mut state, member);
         let holds = |log: &[Record]| log.iter().any(|record| record.position == position);
         if term_led_by(&state, member).is_none() {
             // A promise that nothing is kept must be true: what the next primary has received stays. Which one
@@ -370,15 +371,15 @@
             state.term += 1;
             state.leader = Some(member);
             state.members[member].paused_term = 0;
-            state.members[member].goes_on_in = None;
+            state.members[member].stale_lead_term = None;
             state.members[member].known_term = state.term;
             let log = state.members[member].log.clone();
             for (index, other) in state.members.iter_mut().enumerate() {
-                if Some(index) == old && other.alive && self.options.goes_on.is_some() {
-                    other.goes_on_in = Some(old_term);
-                    other.reaches_since = None;
+                if Some(index) == old && other.alive && self.options.old_primary_grace.is_some() {
+                    other.stale_lead_term = Some(old_term);
+                    other.successor_reachable_since = None;
                 }
-                if other.goes_on_in.is_none() {
+                if other.stale_lead_term.is_none() {
                     truncate_to_common(other, &log);
                 }
             }
@@ -412,13 +413,13 @@
 fn term_led_by(state: &State, member: usize) -> Option<u64> {
     match state.leader == Some(member) {
         true => Some(state.term),
-        false => state.members[member].goes_on_in,
+        false => state.members[member].stale_lead_term,
     }
 }
 
 /// A member leads no longer. What its successor lacks of its log is gone.
 fn become_replica(state: &mut State, member: usize) {
-    state.members[member].goes_on_in = None;
+    state.members[member].stale_lead_term = None;
     if let Some(leader) = state.leader {
         let log = state.members[leader].log.clone();
         truncate_to_common(&mut state.members[member], &log);
@@ -440,8 +441,8 @@
     }
     let (log, term) = (sender.log.clone(), state.term);
     for (index, member) in state.members.iter_mut().enumerate() {
-        let is_away = !member.alive || member.cut || member.paused_term > 0;
-        if index == leader || is_away || member.goes_on_in.is_some() {
+        let is_unreachable = !member.alive || member.cut || member.paused_term > 0;
+        if index == leader || is_unreachable || member.stale_lead_term.is_some() {
             continue;
         }
         member.known_term = term;
--- a/crates/standin/src/typed/object_store.rs
+++ b/crates/standin/src/typed/object_store.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 /// The largest number of objects on a page. Small, so that a second page is nothing special.
-const PAGE: usize = 4;
+const PAGE_SIZE: usize = 4;
 
 #[derive(Debug)]
 struct State {
@@ -22,7 +22,7 @@
     /// The events by kind in their order.
     history: Vec<(u64, String, Event)>,
     /// The events up to this revision are forgotten.
-    forgotten: u64,
+    forgotten_through: u64,
 }
 
 /// Why a change was not made.
@@ -45,8 +45,12 @@
 
 impl Default for ObjectStore {
     fn default() -> ObjectStore {
-        let state =
-            State { revision: 1, objects: BTreeMap::new(), history: Vec::new(), forgotten: 0 };
+        let state = State {
+            revision: 1,
+            objects: BTreeMap::new(),
+            history: Vec::new(),
+            forgotten_through: 0,
+        };
         ObjectStore { state: Mutex::new(state), changed: watch::Sender::new(1) }
     }
 }
@@ -60,11 +64,13 @@
     /// A page of the objects of a kind after a name.
     pub fn list(&self, kind: &str, after: &str) -> Page {
         let state = self.state.lock();
-        let of_kind =
-            state.objects.iter().filter(|((known, name), _)| known == kind && **name > *after);
+        let of_kind = state
+            .objects
+            .iter()
+            .filter(|((object_kind, name), _)| object_kind == kind && **name > *after);
         let mut items: Vec<Object> = of_kind.map(|(_, object)| object.clone()).collect();
-        let has_more = items.len() > PAGE;
-        items.truncate(PAGE);
+        let has_more = items.len() > PAGE_SIZE;
+        items.truncate(PAGE_SIZE);
         Page { items, has_more, revision: state.revision }
     }
 
@@ -77,7 +83,7 @@
     /// Creates an object.
     pub fn create(&self, kind: &str, name: &str, spec: Value) -> Result<Object, Refused> {
         match self.get(kind, name) {
-            Ok(known) => Err(Refused::Conflict(Box::new(known))),
+            Ok(existing) => Err(Refused::Conflict(Box::new(existing))),
             Err(_) => Ok(self.put(kind, name, spec)),
         }
     }
@@ -90,9 +96,9 @@
         spec: Value,
         revision: Option<u64>,
     ) -> Result<Object, Refused> {
-        let known = self.get(kind, name)?;
-        if revision.is_some() && known.meta.rev != revision {
-            return Err(Refused::Conflict(Box::new(known)));
+        let existing = self.get(kind, name)?;
+        if revision.is_some() && existing.meta.rev != revision {
+            return Err(Refused::Conflict(Box::new(existing)));
         }
         Ok(self.put(kind, name, spec))
     }
@@ -102,8 +108,9 @@
         let (object, revision) = {
             let mut state = self.state.lock();
             let key = (kind.to_owned(), name.to_owned());
-            if let Some(known) = state.objects.get(&key).filter(|known| known.spec == spec) {
-                return known.clone();
+            if let Some(existing) = state.objects.get(&key).filter(|existing| existing.spec == spec)
+            {
+                return existing.clone();
             }
             state.revision += 1;
             let meta = Meta { name: name.to_owned(), rev: Some(state.revision) };
@@ -137,17 +144,18 @@
     /// Forgets the history.
     pub fn forget_history(&self) {
         let mut state = self.state.lock();
-        state.forgotten = state.revision;
+        state.forgotten_through = state.revision;
         state.history.clear();
     }
 
     /// The events of a kind after a revision.
     pub fn events(&self, kind: &str, after: u64) -> Result<Events, Refused> {
         let state = self.state.lock();
-        if after < state.forgotten {
+        if after < state.forgotten_through {
             return Err(Refused::HistoryGone);
         }
-        let later = state.history.iter().filter(|(at, known, _)| *at > after && known == kind);
+        let later =
+            state.history.iter().filter(|(at, event_kind, _)| *at > after && event_kind == kind);
         let events = later.map(|(_, _, event)| event.clone()).collect();
         Ok(Events { events, revision: state.revision })
     }
--- a/crates/standin/src/typed/platform.rs
+++ b/crates/standin/src/typed/platform.rs
@@ -39,7 +39,7 @@
 
 /// How the platform treats calls.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub enum Mood {
+pub enum PlatformMode {
     /// It serves.
     #[default]
     Serving,
@@ -60,16 +60,16 @@
 pub struct Platform {
     /// The objects.
     pub objects: ObjectStore,
-    mood: Mutex<Mood>,
+    platform_mode: Mutex<PlatformMode>,
     groups: Mutex<Vec<Arc<Group>>>,
     /// The highest token of each service.
     tokens: Mutex<FastMap<String, u64>>,
     /// Whether calls with a lower token than the highest are carried out all the same.
     ignores_tokens: AtomicBool,
     /// Whether targets can't change their entries.
-    keeps_entries: AtomicBool,
+    entries_frozen: AtomicBool,
     /// The calls that named a primary, in the order in which they came.
-    named: Mutex<Vec<Named>>,
+    promote_calls: Mutex<Vec<PromoteCall>>,
     /// How many promotions were accepted.
     pub promotions: AtomicU64,
     /// How many calls came.
@@ -78,7 +78,7 @@
 
 /// A call that named a primary.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Named {
+pub struct PromoteCall {
     /// The service.
     pub service: String,
     /// The target.
@@ -108,13 +108,13 @@
     }
 
     /// Has the entries of targets stay as they are: none of them reaches the platform.
-    pub fn keep_entries(&self) {
-        self.keeps_entries.store(true, Ordering::Relaxed);
+    pub fn freeze_entries(&self) {
+        self.entries_frozen.store(true, Ordering::Relaxed);
     }
 
     /// Whether targets can't change their entries.
-    pub fn keeps_entries(&self) -> bool {
-        self.keeps_entries.load(Ordering::Relaxed)
+    pub fn entries_frozen(&self) -> bool {
+        self.entries_frozen.load(Ordering::Relaxed)
     }
 
     /// Whether it refuses calls with a lower token than the highest.
@@ -123,8 +123,8 @@
     }
 
     /// The calls that named a primary, in the order in which they came.
-    pub fn named(&self) -> Vec<Named> {
-        self.named.lock().clone()
+    pub fn promote_calls(&self) -> Vec<PromoteCall> {
+        self.promote_calls.lock().clone()
     }
 
     /// Starts the platform on a free port of loopback.
@@ -136,8 +136,8 @@
         let router = Router::new()
             .route(&kinds, routing::get(list).post(create))
             .route(&names, routing::get(get).put(replace).delete(remove))
-            .route(promote::PATH, routing::post(name_primary))
-            .layer(middleware::from_fn_with_state(Arc::clone(self), treat))
+            .route(promote::PATH, routing::post(handle_promote))
+            .layer(middleware::from_fn_with_state(Arc::clone(self), apply_mode))
             .with_state(Arc::clone(self));
         // It ends with the runtime that it is started on.
         tokio::spawn(async move { axum::serve(listener, router).await });
@@ -145,8 +145,8 @@
     }
 
     /// Changes how calls are treated.
-    pub fn set_mood(&self, mood: Mood) {
-        *self.mood.lock() = mood;
+    pub fn set_platform_mode(&self, platform_mode: PlatformMode) {
+        *self.platform_mode.lock() = platform_mode;
     }
 
     /// Adds a group whose primary can be named.
@@ -155,23 +155,30 @@
     }
 }
 
-async fn treat(State(platform): State<Arc<Platform>>, request: Request, next: Next) -> Response {
+async fn apply_mode(
+    State(platform): State<Arc<Platform>>,
+    request: Request,
+    next: Next,
+) -> Response {
     platform.calls.fetch_add(1, Ordering::Relaxed);
     let is_write = !request.method().is_safe();
-    let mood = *platform.mood.lock();
-    match mood {
-        Mood::Silent => std::future::pending().await,
-        Mood::Busy => StatusCode::SERVICE_UNAVAILABLE.into_response(),
-        Mood::LosesAnswers if is_write => {
+    let platform_mode = *platform.platform_mode.lock();
+    match platform_mode {
+        PlatformMode::Silent => std::future::pending().await,
+        PlatformMode::Busy => StatusCode::SERVICE_UNAVAILABLE.into_response(),
+        PlatformMode::LosesAnswers if is_write => {
             next.run(request).await;
             std::future::pending().await
         }
-        Mood::HidesConfiguration if request.uri().path().ends_with(store::CONFIGURATION.0) => {
+        PlatformMode::HidesConfiguration
+            if request.uri().path().ends_with(store::CONFIGURATION.0) =>
+        {
             std::future::pending().await
         }
-        Mood::Serving | Mood::LosesAnswers | Mood::HidesConfiguration | Mood::PromotesLate(_) => {
-            next.run(request).await
-        }
+        PlatformMode::Serving
+        | PlatformMode::LosesAnswers
+        | PlatformMode::HidesConfiguration
+        | PlatformMode::PromotesLate(_) => next.run(request).await,
     }
 }
 
@@ -252,7 +259,7 @@
     StatusCode::OK.into_response()
 }
 
-async fn name_primary(
+async fn handle_promote(
     State(platform): State<Arc<Platform>>,
     headers: HeaderMap,
     Json(body): Json<promote::Body>,
@@ -272,7 +279,7 @@
     let holder = headers.get(promote::HOLDER).and_then(|holder| holder.to_str().ok());
     let holder = holder.unwrap_or_default().to_owned();
     let (service, target) = (body.service.clone(), body.id.clone());
-    platform.named.lock().push(Named { service, target, holder, token });
+    platform.promote_calls.lock().push(PromoteCall { service, target, holder, token });
     let Some(group) = platform.group(&body.service) else {
         return StatusCode::NOT_FOUND.into_response();
     };
@@ -281,11 +288,11 @@
         return StatusCode::CONFLICT.into_response();
     };
     platform.promotions.fetch_add(1, Ordering::Relaxed);
-    let late = match *platform.mood.lock() {
-        Mood::PromotesLate(late_ms) => Some(Duration::from_millis(late_ms)),
+    let late = match *platform.platform_mode.lock() {
+        PlatformMode::PromotesLate(late_ms) => Some(Duration::from_millis(late_ms)),
         _ => None,
     };
-    let takes = group.options.promote_takes + late.unwrap_or_default();
+    let takes = group.options.promotion_delay + late.unwrap_or_default();
     tokio::spawn(async move {
         time::sleep(takes).await;
         group.promote(member);
--- a/crates/standin/src/typed/ports.rs
+++ b/crates/standin/src/typed/ports.rs
@@ -16,23 +16,23 @@
 
 /// The ports to choose from: below 32,768, where the system's own range begins.
 const FIRST_PORT: u32 = 12_000;
-const PORTS: u32 = 20_000;
+const PORT_COUNT: u32 = 20_000;
 
 /// Held until the process ends.
 static CLAIMS: Mutex<Vec<UdpSocket>> = Mutex::new(Vec::new());
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_OFFSET: AtomicU32 = AtomicU32::new(0);
 
 /// A free address of loopback. Processes that run side by side begin at different ports.
 pub async fn free_address() -> io::Result<SocketAddr> {
     let start = std::process::id().wrapping_mul(613);
-    free_address_from(start.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed))).await
+    free_address_from(start.wrapping_add(NEXT_OFFSET.fetch_add(1, Ordering::Relaxed))).await
 }
 
 /// A free address of loopback, the first one from this place on.
 pub async fn free_address_from(start: u32) -> io::Result<SocketAddr> {
-    for step in 0..PORTS {
-        let port = FIRST_PORT + start.wrapping_add(step) % PORTS;
+    for offset in 0..PORT_COUNT {
+        let port = FIRST_PORT + start.wrapping_add(offset) % PORT_COUNT;
         let address = SocketAddr::from(([127, 0, 0, 1], port as u16));
         let Ok(claim) = UdpSocket::bind(address) else { continue };
         // Whether somebody listens is asked by a connection: a listener of our own would be held for a moment
