--- a/crates/standin/src/counter.rs
+++ b/crates/standin/src/counter.rs
@@ -1,21 +1,21 @@
-//! Counting.
+//! Monotonic event counters that can be serialised.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
 use serde::Serialize;
 
-/// A number that only grows.
+/// A monotonic counter, starting at zero; it is serialised as a plain number.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// Adds one.
+    /// Increments the counter by one.
     pub fn add(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The count.
+    /// Returns the current count.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
--- a/crates/standin/src/deployment/admin.rs
+++ b/crates/standin/src/deployment/admin.rs
@@ -1,9 +1,10 @@
-//! The HTTP endpoint for faults, states and counters.
+//! HTTP endpoint that injects faults and reports statuses and counters.
 //!
-//! - `POST /fault` with a [`Fault`] as JSON: 200, or 400 with the reason.
-//! - `POST /vm` with a `VmRecord`: changes or adds a VM in the platform's list.
-//! - `GET /counters`: the calls of the platform and the counters of each target.
-//! - `GET /status`: the status of each target.
+//! - `POST /fault` with a [`Fault`] as JSON: injects or ends it; 200, or 400 with the reason.
+//! - `POST /vm` with a `VmRecord`: adds or replaces a VM in the platform's list; 200, or 400 with
+//!   the reason.
+//! - `GET /counters`: the platform's call counters and the counters of each target, by name.
+//! - `GET /status`: the status of each target, by name.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -32,14 +33,14 @@
 
 type Shared = State<Arc<Deployment>>;
 
-/// What `GET /counters` answers.
+/// The body of the answer to `GET /counters`.
 #[derive(Debug, Serialize)]
 struct CountersAnswer<'a> {
     platform: &'a CallCounters,
     targets: BTreeMap<&'a str, &'a Counters>,
 }
 
-/// The endpoint, which ends when it is dropped.
+/// The running endpoint; it stops when this is dropped.
 #[derive(Debug)]
 pub struct AdminServer {
     address: SocketAddr,
@@ -51,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// When the address can't be listened on.
+    /// Fails if the server can't listen on the address.
     pub async fn start(
         deployment: &Arc<Deployment>,
         listen: SocketAddr,
@@ -65,13 +66,13 @@
             .route("/status", routing::get(status))
             .with_state(Arc::clone(deployment));
         let serving = tokio::spawn(async move {
-            // Serving ends only with the task.
+            // Serving ends only when the task is aborted.
             let _ = axum::serve(listener, router).await;
         });
         Ok(AdminServer { address, serving })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/standin/src/deployment/fault.rs
+++ b/crates/standin/src/deployment/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a deployment, by name.
+//! Named faults of a deployment, and their injection.
 
 use std::fmt;
 use std::io;
@@ -15,50 +15,50 @@
 
 use super::Deployment;
 
-/// A fault to bring about or to end.
+/// A fault to inject or to end, in the JSON form that the endpoint takes.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// A target exchanges no bytes with anybody; its connections stay open.
+    /// Isolates a target: it exchanges no bytes with callers or other targets; its connections stay open.
     IsolateTarget {
         /// The target.
         target: String,
         /// Whether the fault is on.
         on: bool,
     },
-    /// A target's process is stopped; its connections stay open.
+    /// Suspends a target's process; its connections stay open.
     PauseTarget {
         /// The target.
         target: String,
         /// Whether the fault is on.
         on: bool,
     },
-    /// A target's process is gone: its connections are reset, and new ones refused. Ending the
-    /// fault starts it again with its log and its terms.
+    /// Kills a target's process: its connections are reset, and new ones refused. Ending the fault
+    /// restarts the target with its log and its terms.
     KillTarget {
         /// The target.
         target: String,
         /// Whether the fault is on.
         on: bool,
     },
-    /// A target is leaving.
+    /// Marks a target as leaving its group.
     LeaveTarget {
         /// The target.
         target: String,
         /// Whether the fault is on.
         on: bool,
     },
-    /// Sets the replication's delays towards a target.
+    /// Sets the replication delays of a target.
     LagTarget {
         /// The target.
         target: String,
-        /// Until it holds a record, in microseconds.
+        /// The delay from a record's commit until the target has received it, in microseconds.
         hold_us: u64,
-        /// From then until reads see it, in microseconds.
+        /// The delay from receiving a record until reads see it, in microseconds.
         #[serde(default)]
         apply_us: u64,
     },
-    /// Two zones exchange no bytes.
+    /// Partitions two zones from each other.
     CutZones {
         /// One zone.
         zone: String,
@@ -67,52 +67,53 @@
         /// Whether the fault is on.
         on: bool,
     },
-    /// A zone exchanges no bytes with the other zones and the platform.
+    /// Partitions a zone from all other zones and from the platform.
     IsolateZone {
         /// The zone.
         zone: String,
         /// Whether the fault is on.
         on: bool,
     },
-    /// The platform answers every call as unavailable.
+    /// Makes the platform answer every call with 503.
     PlatformDown {
         /// Whether the fault is on.
         on: bool,
     },
-    /// Each call to the platform waits first.
+    /// Delays each call to the platform.
     PlatformSlow {
-        /// How long, in milliseconds.
+        /// The delay, in milliseconds; zero ends the fault.
         slow_ms: u64,
     },
-    /// The platform's next updates take effect and their answers are lost.
+    /// Makes the platform's next updates take effect while their answers are lost.
     PlatformLosesAnswers {
-        /// How many.
+        /// The number of updates affected.
         count: u32,
     },
-    /// The platform gets no calls from a zone.
+    /// Partitions a zone from the platform.
     PlatformRefusesZone {
         /// The zone.
         zone: String,
         /// Whether the fault is on.
         on: bool,
     },
-    /// Sets how long a change of the VMs takes to show in the platform's list.
+    /// Sets the delay after which a change of the VMs becomes visible in the platform's list.
     VmListLag {
-        /// How long, in milliseconds.
+        /// The delay, in milliseconds.
         lag_ms: u64,
     },
-    /// Ends isolation, pauses, cuts and all of the platform's faults; starts killed targets.
+    /// Ends isolations, pauses, partitions and the platform's faults, and restarts killed targets. The
+    /// lag of targets and of the list of VMs stays as set, and so do leaving targets.
     HealAll {},
 }
 
-/// Why a fault could not be brought about.
+/// The reason why a fault could not be injected or ended.
 #[derive(Debug)]
 pub enum FaultError {
     /// There is no target of this name.
     UnknownTarget(String),
     /// There is no zone of this name.
     UnknownZone(String),
-    /// A target can't listen again.
+    /// A restarted target can't listen on its address.
     Listen(io::Error),
 }
 
@@ -127,11 +128,11 @@
 }
 
 impl Deployment {
-    /// Brings a fault about, or ends it.
+    /// Injects or ends a fault.
     ///
     /// # Errors
     ///
-    /// When it names what isn't there, or when a target can't be started again.
+    /// Fails if the named target or zone doesn't exist, or if a target can't be restarted.
     pub async fn inject(&self, fault: &Fault) -> Result<(), FaultError> {
         match fault {
             Fault::IsolateTarget { target, on } => {
--- a/crates/standin/src/deployment/mod.rs
+++ b/crates/standin/src/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! A whole deployment's stand-ins in one process: the platform and every target.
+//! A deployment's platform and all its targets as test servers in one process.
 
 use std::fmt;
 use std::io;
@@ -24,7 +24,7 @@
 pub mod admin;
 pub mod fault;
 
-/// The driver of each group's first term.
+/// The name recorded as the driver of each group's first term.
 pub const FIRST_DRIVER: &str = "deployment";
 
 /// The term that each group starts in.
@@ -32,10 +32,10 @@
 
 const US_PER_MS: u64 = 1000;
 
-/// Why a deployment could not start.
+/// The reason why a deployment could not start.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address can't be listened on.
+    /// The platform or a target can't listen on its address.
     Listen(SocketAddr, io::Error),
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// The stand-ins of a deployment. They end when it is dropped.
+/// The running platform and targets of a deployment. They stop when this is dropped.
 #[derive(Debug)]
 pub struct Deployment {
     settings: DeploymentSettings,
@@ -57,12 +57,12 @@
 }
 
 impl Deployment {
-    /// Starts the platform and all targets in the current runtime. Addresses with port zero get a
-    /// free one. The first member of each group is primary of term 1 and the others follow it.
+    /// Starts the platform and all targets in the current runtime. Port zero in an address selects a
+    /// free port. The first member of each group becomes primary of term 1, and the others follow it.
     ///
     /// # Errors
     ///
-    /// When an address can't be listened on.
+    /// Fails if a server can't listen on its address.
     pub async fn start(settings: &DeploymentSettings) -> Result<Deployment, StartError> {
         let mut settings = settings.clone();
         let one_way = Duration::from_micros(settings.zone_one_way_us);
@@ -85,38 +85,38 @@
         Ok(deployment)
     }
 
-    /// The settings, with the addresses that the stand-ins listen on.
+    /// Returns the settings, with the addresses that the servers listen on.
     pub fn settings(&self) -> &DeploymentSettings {
         &self.settings
     }
 
-    /// The network between the targets.
+    /// Returns the network that the targets share.
     pub fn network(&self) -> &Arc<Network> {
         &self.network
     }
 
-    /// The platform.
+    /// Returns the platform's server.
     pub fn platform(&self) -> &PlatformServer {
         &self.platform
     }
 
-    /// Every target, in the order of the settings.
+    /// Returns all targets, in the order of the settings.
     pub fn targets(&self) -> &[TargetServer] {
         &self.targets
     }
 
-    /// The target with this name.
+    /// Returns the target with this name.
     pub fn target(&self, name: &str) -> Option<&TargetServer> {
         self.targets.iter().find(|server| server.target().options().name == name)
     }
 
-    /// The targets of a group, in the order of its members.
+    /// Returns the targets of a group, in the order of its members.
     pub fn group(&self, name: &str) -> Vec<&TargetServer> {
         let in_group = |server: &&TargetServer| server.target().options().group == name;
         self.targets.iter().filter(in_group).collect()
     }
 
-    /// Changes or adds a VM in the platform's list, which shows it after its lag.
+    /// Adds or replaces a VM in the platform's list; the change is visible after the list's lag.
     pub fn set_vm(&self, record: VmRecord) {
         self.platform.platform().store.set_vm(record);
     }
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Fills the platform. Everything has one version, and nobody else writes yet, so no update
-    /// can meet a conflict.
+    /// Creates the initial objects and the list of VMs. Each object is written once and there is no
+    /// other writer yet, so no update can conflict.
     fn seed_platform(&self) {
         let store = &self.platform.platform().store;
         for object in self.settings.seed_objects() {
@@ -157,7 +157,6 @@
         store.set_vms(self.settings.vm_records());
     }
 
-    /// The state of every target.
     fn states(&self) -> impl Iterator<Item = &Arc<Target>> {
         self.targets.iter().map(TargetServer::target)
     }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-ins of a deployment as one process.
+//! Runs the platform and all targets of a deployment as one process of test servers.
 
 use std::error::Error;
 use std::io;
@@ -49,7 +49,7 @@
 
 fn main() -> ExitCode {
     let arguments = command().get_matches();
-    // A reader of the log that is gone must not end the program.
+    // A closed log pipe must not terminate the process.
     let drain = slog_json::Json::default(io::stderr()).ignore_res();
     let drain = slog_async::Async::new(drain).build().ignore_res();
     let log = Logger::root(drain, slog::o!());
@@ -95,7 +95,7 @@
         _ = interrupted.recv() => {}
         _ = terminated.recv() => {}
     }
-    slog::info!(log, "ends");
+    slog::info!(log, "shutting down");
     Ok(())
 }
 
--- a/crates/standin/src/network.rs
+++ b/crates/standin/src/network.rs
@@ -1,8 +1,8 @@
-//! The network between callers, targets and the platform, as far as faults touch it.
+//! Simulated network faults and delays between callers and targets, and between targets.
 //!
-//! All targets of a process share one [`Network`]: it knows who listens where, so that replicas
-//! find their primary, and which faults are on. A blocked connection stays open and moves no
-//! bytes, as behind a firewall that drops packets.
+//! All targets of a process share one [`Network`]. It maps addresses to targets, so that replicas
+//! find their primary, and holds the active faults. A blocked connection stays open and transfers
+//! no bytes, as behind a firewall that drops packets.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,33 +17,34 @@
 use crate::target::Target;
 use crate::target::options::TargetOptions;
 
-/// The faults that are on.
+/// The active network and process faults.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct Faults {
-    /// Targets that nobody can exchange bytes with.
+    /// Targets isolated from all callers and other targets.
     pub isolated: FastSet<String>,
-    /// Targets whose process is stopped.
+    /// Targets whose process is suspended; their connections stay open.
     pub paused: FastSet<String>,
-    /// Targets that are not running.
+    /// Targets whose process is not running.
     pub dead: FastSet<String>,
-    /// Pairs of availability zones that can't exchange bytes, in both orders.
+    /// Pairs of partitioned availability zones; each pair is stored in both orders.
     pub cut_zones: FastSet<(String, String)>,
 }
 
 impl Faults {
-    /// Whether two zones can't exchange bytes. A caller without a zone is in none.
+    /// Returns whether two zones are partitioned. A caller without a zone (an empty name) is in none,
+    /// so no partition affects it.
     pub fn cuts(&self, zone: &str, other: &str) -> bool {
         !self.cut_zones.is_empty() && self.cut_zones.contains(&(zone.to_owned(), other.to_owned()))
     }
 
-    /// Whether a target can exchange no bytes with a zone.
+    /// Returns whether a target cannot exchange bytes with callers in `zone`.
     pub fn blocks(&self, target: &str, target_zone: &str, zone: &str) -> bool {
         self.isolated.contains(target)
             || self.paused.contains(target)
             || self.cuts(target_zone, zone)
     }
 
-    /// Whether records pass between two targets.
+    /// Returns whether log records can be replicated between two targets.
     pub fn connects(&self, target: &TargetOptions, other: &TargetOptions) -> bool {
         let silent = |name: &str| {
             self.isolated.contains(name) || self.paused.contains(name) || self.dead.contains(name)
@@ -51,7 +52,7 @@
         !silent(&target.name) && !silent(&other.name) && !self.cuts(&target.zone, &other.zone)
     }
 
-    /// Cuts two zones off from each other, or ends that.
+    /// Partitions two zones from each other in both directions, or ends the partition.
     pub fn set_cut(&mut self, zone: &str, other: &str, cut: bool) {
         for (from, to) in [(zone, other), (other, zone)] {
             let pair = (from.to_owned(), to.to_owned());
@@ -64,7 +65,7 @@
     }
 }
 
-/// Puts a name into a set or takes it out.
+/// Inserts a name into a set if `wanted`, otherwise removes it.
 pub fn insert_or_remove(set: &mut FastSet<String>, name: &str, wanted: bool) {
     if wanted {
         set.insert(name.to_owned());
@@ -73,7 +74,7 @@
     }
 }
 
-/// Who listens where, and which faults are on.
+/// The targets by address, the active faults and the delay between zones.
 #[derive(Debug, Default)]
 pub struct Network {
     faults: watch::Sender<Faults>,
@@ -82,22 +83,23 @@
 }
 
 impl Network {
-    /// A network without faults.
+    /// Creates a network without faults and without a delay between zones.
     pub fn new() -> Arc<Network> {
         Arc::new(Network::default())
     }
 
-    /// A network whose zones are some way apart from each other.
+    /// Creates a network with the given one-way delay between different zones.
     pub fn with_zone_delay(zone_one_way: Duration) -> Arc<Network> {
         Arc::new(Network { zone_one_way, ..Network::default() })
     }
 
-    /// How long bytes take from a caller's zone to a target's. A caller without a zone is near.
+    /// Returns the one-way delay from a caller's zone to a target's; zero within a zone and for a
+    /// caller without a zone.
     pub fn one_way(&self, zone: &str, target_zone: &str) -> Duration {
         if zone.is_empty() || zone == target_zone { Duration::ZERO } else { self.zone_one_way }
     }
 
-    /// Changes the faults.
+    /// Changes the faults and notifies all subscribers.
     pub fn change<F>(&self, change: F)
     where
         F: FnOnce(&mut Faults),
@@ -105,22 +107,22 @@
         self.faults.send_modify(change);
     }
 
-    /// The faults and their changes.
+    /// Subscribes to the faults and their changes.
     pub fn subscribe(&self) -> watch::Receiver<Faults> {
         self.faults.subscribe()
     }
 
-    /// Makes a target known under its address.
+    /// Registers a target under its address. Holds only a weak reference to it.
     pub fn register(&self, address: SocketAddr, target: &Arc<Target>) {
         self.targets.lock().insert(address, Arc::downgrade(target));
     }
 
-    /// The target at an address.
+    /// Returns the target at an address, unless it was dropped.
     pub fn target_at(&self, address: SocketAddr) -> Option<Arc<Target>> {
         self.targets.lock().get(&address)?.upgrade()
     }
 
-    /// The faults of this moment. No fault changes while the answer is held.
+    /// Returns a read guard on the current faults, which can't change while it is held.
     pub fn faults(&self) -> watch::Ref<'_, Faults> {
         self.faults.borrow()
     }
--- a/crates/standin/src/platform/api.rs
+++ b/crates/standin/src/platform/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP calls, as `docs/INTERFACES.md` states them.
+//! HTTP handlers of the object API that `docs/INTERFACES.md` specifies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,18 +27,18 @@
 use super::Platform;
 use super::store::Conflict;
 
-/// The largest value, in bytes.
+/// The maximum size of a PUT body, in bytes.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
 type Shared = State<Arc<Platform>>;
 
-/// The version that a deletion expects.
+/// Query parameters of a conditional deletion.
 #[derive(Debug, Deserialize)]
 struct DeleteQuery {
     expected_version: u64,
 }
 
-/// What a watch waits for.
+/// Query parameters of a watch: it waits up to `wait_ms` for a revision above `after`.
 #[derive(Debug, Deserialize)]
 struct WatchQuery {
     after: u64,
@@ -46,7 +46,7 @@
     wait_ms: u64,
 }
 
-/// The routes.
+/// Returns the router of the object API, with the platform's faults applied to every call.
 pub fn router(platform: Arc<Platform>) -> Router {
     let object = routing::get(get_object).put(put_object).delete(delete_object);
     let faults = middleware::from_fn_with_state(Arc::clone(&platform), with_faults);
@@ -59,8 +59,8 @@
         .with_state(platform)
 }
 
-/// Holds back, refuses or loses what the faults say. The effect of an update is one step of its
-/// handler, so a call that is refused while it waits has had none.
+/// Delays a call, refuses it or drops its answer as the active faults require. An update takes effect
+/// in one step of its handler, so a call refused while it waits for its handler has had no effect.
 async fn with_faults(
     State(platform): Shared,
     headers: HeaderMap,
@@ -143,7 +143,7 @@
     platform.counters.watches.add();
     let mut revision = platform.store.subscribe();
     let newer = revision.wait_for(|revision| *revision > query.after);
-    // Running out of the wait is an answer as well, and the sender lives as long as the platform.
+    // A timeout is answered with the changes so far. The channel can't close: the platform owns the sender.
     let _ = tokio::time::timeout(Duration::from_millis(query.wait_ms), newer).await;
     Json(platform.store.changes_after(query.after)).into_response()
 }
--- a/crates/standin/src/platform/counters.rs
+++ b/crates/standin/src/platform/counters.rs
@@ -1,28 +1,28 @@
-//! Calls counted by kind. A waiting watch counts as one.
+//! Counters of calls to the platform by kind. A watch counts as one call, however long it waits.
 
 use serde::Serialize;
 
 use crate::counter::Counter;
 
-/// The counters of the platform.
+/// The platform's call counters, serialised under their field names.
 #[derive(Debug, Default, Serialize)]
 pub struct CallCounters {
-    /// Reads of one object.
+    /// Reads of a single object.
     pub gets: Counter,
-    /// Conditional updates.
+    /// Conditional creations and updates, failed ones included.
     pub puts: Counter,
-    /// Conditional deletions.
+    /// Conditional deletions, failed ones included.
     pub deletes: Counter,
-    /// Snapshots.
+    /// Reads of a snapshot of all objects.
     pub snapshots: Counter,
-    /// Watches.
+    /// Long-polling watches.
     pub watches: Counter,
     /// Reads of the list of VMs.
     pub vm_lists: Counter,
-    /// Updates and deletions that met another version.
+    /// Updates and deletions refused because of a version conflict.
     pub conflicts: Counter,
-    /// Calls answered as unavailable.
+    /// Calls answered with 503 while the platform was down.
     pub unavailable: Counter,
-    /// Answers lost after the update took effect.
+    /// Updates and deletions that took effect and whose answer was replaced by 502.
     pub lost_answers: Counter,
 }
--- a/crates/standin/src/platform/faults.rs
+++ b/crates/standin/src/platform/faults.rs
@@ -1,31 +1,32 @@
-//! What goes wrong between callers and the platform.
+//! Injected faults between callers and the platform.
 
 use std::time::Duration;
 
 use skylark_core::FastSet;
 use tokio::sync::watch;
 
-/// The faults that are on.
+/// The active faults; the default is none.
 #[derive(Clone, PartialEq, Eq, Debug, Default)]
 pub struct PlatformFaultState {
-    /// Whether every call is answered as unavailable.
+    /// Whether every call is answered with 503.
     pub down: bool,
-    /// How long each call waits before it is served.
+    /// The delay of each call before it is served.
     pub slow: Duration,
-    /// Zones whose calls get no answer, and whose updates don't arrive, until this ends.
+    /// Zones partitioned from the platform: until the fault ends, their calls are held before they take
+    /// effect, and the answers to earlier calls are held back.
     pub refused_zones: FastSet<String>,
-    /// How many further updates take effect without their answer arriving.
+    /// The number of further updates that take effect and whose answer is lost.
     pub lose_answers: u32,
 }
 
-/// The faults, and who waits for their end.
+/// The faults, with notification of the calls that wait for a change.
 #[derive(Debug, Default)]
 pub struct PlatformFaults {
     state: watch::Sender<PlatformFaultState>,
 }
 
 impl PlatformFaults {
-    /// Changes the faults.
+    /// Changes the faults and wakes waiting calls.
     pub fn change<F>(&self, change: F)
     where
         F: FnOnce(&mut PlatformFaultState),
@@ -33,15 +34,15 @@
         self.state.send_modify(change);
     }
 
-    /// The faults that are on.
+    /// Returns a copy of the active faults.
     pub fn state(&self) -> PlatformFaultState {
         self.state.borrow().clone()
     }
 
-    /// Waits until calls of a zone pass.
+    /// Waits until calls from `zone` are served.
     pub async fn wait_until_zone_is_served(&self, zone: &str) {
         let mut state = self.state.subscribe();
-        // The sender lives in `self`, so there is always an answer.
+        // Waiting can't fail, because `self` owns the sender.
         let _ = state.wait_for(|state| !state.refused_zones.contains(zone)).await;
     }
 
@@ -51,7 +52,7 @@
         let _ = state.wait_for(|state| state.down).await;
     }
 
-    /// Takes one of the answers to lose, if any is left.
+    /// Returns whether the answer of an update is to be lost, and decrements the number left.
     pub fn take_lost_answer(&self) -> bool {
         self.state.send_if_modified(|state| {
             let loses = state.lose_answers > 0;
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! The stand-in of the platform's object API.
+//! A test server for the platform's object API.
 //!
-//! [`store`] holds the objects and the list of VMs, [`api`] answers the calls, [`faults`] holds
-//! back, refuses or loses answers, and [`counters`] counts the calls by kind.
+//! [`store`] holds the objects and the list of VMs, [`api`] handles the HTTP calls, [`faults`]
+//! delays, refuses or loses answers, and [`counters`] counts the calls by kind.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,18 +19,18 @@
 pub mod faults;
 pub mod store;
 
-/// The state behind the API.
+/// The platform's state, shared by all calls.
 #[derive(Debug, Default)]
 pub struct Platform {
     /// The objects and the list of VMs.
     pub store: Store,
-    /// The faults that are on.
+    /// The active faults.
     pub faults: PlatformFaults,
-    /// The calls counted.
+    /// The counters of calls by kind.
     pub counters: CallCounters,
 }
 
-/// A platform that listens.
+/// A listening platform; it stops when this is dropped.
 #[derive(Debug)]
 pub struct PlatformServer {
     platform: Arc<Platform>,
@@ -43,25 +43,25 @@
     ///
     /// # Errors
     ///
-    /// When the address can't be listened on.
+    /// Fails if the server can't listen on the address.
     pub async fn start(listen: SocketAddr) -> Result<PlatformServer, io::Error> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
         let platform = Arc::new(Platform::default());
         let router = api::router(Arc::clone(&platform));
         let serving = tokio::spawn(async move {
-            // Serving ends only with the task.
+            // Serving ends only when the task is aborted.
             let _ = axum::serve(listener, router).await;
         });
         Ok(PlatformServer { platform, address, serving })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The state behind the API.
+    /// Returns the platform's state.
     pub fn platform(&self) -> &Arc<Platform> {
         &self.platform
     }
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The objects, their versions, and the lagging list of VMs.
+//! The platform's store: versioned objects, and a list of VMs that lags behind its changes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use skylark_objects::WatchResponse;
 use tokio::sync::watch;
 
-/// Another version than the one expected: the object has this one, zero for none.
+/// A version conflict: the object doesn't have the expected version.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Conflict {
-    /// The version that the object has.
+    /// The object's actual version; zero if it doesn't exist.
     pub actual: u64,
 }
 
@@ -27,7 +27,7 @@
     vm_lag: Duration,
 }
 
-/// The objects and the list of VMs.
+/// The objects and the list of VMs, under one revision counter for the objects.
 #[derive(Debug, Default)]
 pub struct Store {
     content: Mutex<Content>,
@@ -35,18 +35,19 @@
 }
 
 impl Store {
-    /// Reads one object.
+    /// Returns an object, or none if it doesn't exist or was deleted.
     pub fn get(&self, kind: ObjectKind, name: &str) -> Option<StoredObject> {
         let content = self.content.lock();
         let object = content.objects.get(&(kind.name(), name.to_owned()))?;
         (!object.deleted).then(|| object.clone())
     }
 
-    /// Changes an object that has the expected version, and returns the new one.
+    /// Creates or replaces an object if it has the expected version, zero for a new one. Returns the
+    /// new version.
     ///
     /// # Errors
     ///
-    /// When it has another version.
+    /// Fails if the object has another version.
     pub fn put(
         &self,
         kind: ObjectKind,
@@ -57,11 +58,11 @@
         self.change(kind, name, expected_version, body, false)
     }
 
-    /// Deletes an object that has the expected version, and returns the deletion's version.
+    /// Deletes an object if it has the expected version. Returns the version of the deletion.
     ///
     /// # Errors
     ///
-    /// When it has another version, or when there is none.
+    /// Fails if the object has another version or doesn't exist.
     pub fn delete(
         &self,
         kind: ObjectKind,
@@ -98,7 +99,7 @@
         Ok(version)
     }
 
-    /// All objects and the list of VMs.
+    /// Returns all objects and the visible list of VMs.
     pub fn snapshot(&self) -> Snapshot {
         let content = self.content.lock();
         let present = content.objects.values().filter(|object| !object.deleted);
@@ -109,39 +110,39 @@
         }
     }
 
-    /// What changed after a revision.
+    /// Returns the objects that were changed or deleted after a revision.
     pub fn changes_after(&self, revision: u64) -> WatchResponse {
         let content = self.content.lock();
         let changed = content.objects.values().filter(|object| object.version > revision);
         WatchResponse { revision: content.revision, objects: changed.cloned().collect() }
     }
 
-    /// The revisions from now on.
+    /// Subscribes to the store's revision.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.revision.subscribe()
     }
 
-    /// The list of VMs, as old as its lag.
+    /// Returns the visible list of VMs, which is older than the current one by up to the lag.
     pub fn vms(&self) -> Vec<VmRecord> {
         self.content.lock().visible_vms()
     }
 
-    /// Sets how long a change of the VMs takes to show in the list.
+    /// Sets the delay after which a change of the VMs becomes visible.
     pub fn set_vm_lag(&self, lag: Duration) {
         let mut content = self.content.lock();
-        // What shows already must not vanish behind a longer lag.
+        // A list that is visible already must not be replaced by an older one when the lag grows.
         content.drop_superseded_lists();
         content.vm_lag = lag;
     }
 
-    /// Sets the VMs. The first list shows at once, later ones after the lag.
+    /// Sets the list of VMs. The first list is visible immediately, later ones after the lag.
     pub fn set_vms(&self, vms: Vec<VmRecord>) {
         let mut content = self.content.lock();
         content.drop_superseded_lists();
         content.vm_lists.push((Instant::now(), vms));
     }
 
-    /// Changes one VM's entry or adds it, in the newest list.
+    /// Adds or replaces the entry of one VM in the newest list.
     pub fn set_vm(&self, record: VmRecord) {
         let newest = self.content.lock().vm_lists.last().map(|(_, vms)| vms.clone());
         let mut vms = newest.unwrap_or_default();
@@ -152,14 +153,14 @@
 }
 
 impl Content {
-    /// The place of the list that shows now: the newest whose lag is over, else the oldest.
+    /// Returns the index of the visible list: the newest that is older than the lag, else the oldest.
     fn visible_list(&self) -> Option<usize> {
         let is_past_lag = |(since, _): &(Instant, Vec<VmRecord>)| since.elapsed() >= self.vm_lag;
         let newest = self.vm_lists.iter().rposition(is_past_lag);
         newest.or_else(|| (!self.vm_lists.is_empty()).then_some(0))
     }
 
-    /// Forgets the lists before the one that shows.
+    /// Removes the lists older than the visible one.
     fn drop_superseded_lists(&mut self) {
         let visible = self.visible_list();
         self.vm_lists.drain(..visible.unwrap_or_default());
--- a/crates/standin/src/timer.rs
+++ b/crates/standin/src/timer.rs
@@ -1,8 +1,8 @@
-//! Waiting with a precision well under a millisecond.
+//! Sleeps with a precision well under a millisecond.
 //!
-//! The runtime's own timer rounds up to whole milliseconds, which would hide a replication lag of
-//! 300 µs and stretch every service time. One thread of the process waits for the earliest
-//! deadline and wakes its waiter.
+//! The runtime's timer rounds up to whole milliseconds, which would hide a replication lag of
+//! 300 µs and lengthen every service time. Instead, one thread of the process waits for the earliest
+//! deadline and wakes the task that waits for it.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -14,7 +14,7 @@
 
 use tokio::sync::oneshot;
 
-/// How long the thread waits when nobody does.
+/// How long the thread waits for a message when no deadline is pending.
 const IDLE_WAIT: Duration = Duration::from_secs(3600);
 
 #[derive(Debug)]
@@ -38,24 +38,24 @@
 }
 
 impl Ord for Waiter {
-    /// The earliest is the greatest, as the heap gives out the greatest first.
+    /// Reverses the order of the deadlines, because the heap pops the greatest element first.
     fn cmp(&self, other: &Waiter) -> Ordering {
         other.due.cmp(&self.due)
     }
 }
 
-/// Waits for a duration.
+/// Waits until `duration` has elapsed.
 pub async fn sleep(duration: Duration) {
     sleep_until(Instant::now() + duration).await;
 }
 
-/// Waits until a moment.
+/// Waits until `due`; returns immediately if that has passed.
 pub async fn sleep_until(due: Instant) {
     if due <= Instant::now() {
         return;
     }
     let (wake, woken) = oneshot::channel();
-    // The thread never ends, so neither side of the two channels can be gone.
+    // The timer thread never ends, so neither channel can be closed at its side.
     let _ = waiter_sender().send(Waiter { due, wake });
     let _ = woken.await;
 }
@@ -74,7 +74,7 @@
     loop {
         let now = Instant::now();
         while heap.peek().is_some_and(|next| next.due <= now) {
-            // A waiter that is gone needs no wake-up.
+            // Sending fails if the sleep was cancelled.
             let _ = heap.pop().map(|waiter| waiter.wake.send(()));
         }
         let wait = heap.peek().map_or(IDLE_WAIT, |next| next.due.saturating_duration_since(now));
--- a/crates/standin/tests/program.rs
+++ b/crates/standin/tests/program.rs
@@ -75,7 +75,7 @@
         let ended = Command::new("kill").args(["-TERM", &pid]).status();
         assert!(ended.expect("the signal is sent").success());
         assert!(running.0.wait().expect("it ends").success());
-        assert_eq!(lines.last().expect("it says so")["msg"], "ends");
+        assert_eq!(lines.last().expect("it says so")["msg"], "shutting down");
     }
 
     /// Settings with mistakes end the program with a message that names them.
