--- a/crates/standin/src/deployment/fault.rs
+++ b/crates/standin/src/deployment/fault.rs
@@ -41,7 +41,7 @@
         /// Whether the fault is on.
         on: bool,
     },
-    /// Marks a target as leaving its group.
+    /// Marks a target as leaving: it accepts no new connections of callers and no new transactions.
     LeaveTarget {
         /// The target.
         target: String,
--- a/crates/standin/src/typed/database.rs
+++ b/crates/standin/src/typed/database.rs
@@ -1,4 +1,7 @@
-//! One target's connections.
+//! A target of the typed protocol: its listener and its connections.
+//!
+//! Each connection runs statements on the target's member of a [`Group`]. When the target stops or
+//! restarts, its connections are closed without a message, and open transactions are rolled back.
 
 use std::io;
 use std::net::SocketAddr;
@@ -28,24 +31,24 @@
 use crate::typed::group::Group;
 use crate::typed::group::Run;
 
-/// The largest message, in bytes.
+/// The maximum size of a request, in bytes.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// One target.
+/// A listening target. Clones refer to the same target.
 #[derive(Clone, Debug)]
 pub struct Database {
-    /// Its group.
+    /// The group that the target belongs to.
     pub group: Arc<Group>,
-    /// Its place in the group.
+    /// The index of the target among the group's members.
     pub member: usize,
-    /// Where it listens.
+    /// The address that the target listens on.
     pub address: SocketAddr,
-    /// Where it says that it listens: a relay in front of it, or itself.
+    /// The address to register in the store: that of a relay in front of the target, or `address`.
     pub announced: SocketAddr,
 }
 
 impl Database {
-    /// Starts a target on a free port of loopback.
+    /// Starts a target on a free loopback port. Fails if it can't listen.
     pub async fn start(group: &Arc<Group>, member: usize) -> io::Result<Database> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -55,7 +58,7 @@
         Ok(database)
     }
 
-    /// Its id.
+    /// Returns the target's id as configured for its group.
     pub fn id(&self) -> Arc<str> {
         Arc::clone(&self.group.options.members[self.member].0)
     }
@@ -63,7 +66,7 @@
     async fn accept(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             if !self.group.member(self.member).alive {
-                // Dropping the stream is as good as a port that nobody listens on.
+                // To the caller, a connection closed at once is equivalent to a refused one.
                 continue;
             }
             let connection = Connection::new(self.clone(), stream);
@@ -72,7 +75,8 @@
     }
 }
 
-/// What a connection is in the middle of.
+/// The state of the transaction on a connection. `write_term` is the term in which the target led when
+/// a read-write transaction began; it is none for a read-only one.
 #[derive(Clone, Debug)]
 enum TransactionState {
     Inactive,
@@ -92,7 +96,8 @@
     start: u32,
 }
 
-/// Why a connection ends.
+/// The reason why a connection ends: it was closed or a request was invalid, or the answer to a
+/// statement is to be lost.
 enum ConnectionEnd {
     Closed,
     AnswerLost,
@@ -100,7 +105,8 @@
 
 type Outcome = Result<Answer, TargetError>;
 
-/// The success of a statement.
+/// The answer to a successful request. The proof consists of the target's id and the statement's id for
+/// reads, writes and commits, and is `-` for all other requests.
 struct Answer {
     rows: Vec<String>,
     proof: String,
@@ -139,12 +145,12 @@
                 if !state.alive || state.start != start {
                     return;
                 }
-                // The sender lives as long as the group.
+                // Waiting can't fail, because the group owns the sender.
                 let _ = changes.changed().await;
             }
         };
         tokio::select! {
-            // However it ended, the stream is dropped, which rolls back.
+            // However serving ends, the stream is dropped and the open transaction rolled back.
             _ = self.serve_requests() => (),
             () = stopped => (),
         }
@@ -286,7 +292,8 @@
         Ok(Answer::empty())
     }
 
-    /// Whether the lead under which the open transaction began is lost.
+    /// Returns whether the target no longer leads in the term in which the open read-write transaction
+    /// began.
     fn lost_lead(&self) -> bool {
         let group = &self.database.group;
         match &self.transaction {
@@ -446,11 +453,11 @@
         written.map_err(|_| ConnectionEnd::Closed)
     }
 
-    /// Waits while the target is silent.
+    /// Waits while the target is set to exchange no bytes with callers.
     async fn wait_while_silent(&self) {
         let mut changes = self.database.group.changes();
         while self.database.group.member(self.database.member).silent {
-            // The sender lives as long as the group.
+            // Waiting can't fail, because the group owns the sender.
             let _ = changes.changed().await;
         }
     }
--- a/crates/standin/src/typed/deployment.rs
+++ b/crates/standin/src/typed/deployment.rs
@@ -1,4 +1,4 @@
-//! The platform and the targets of several groups together, on loopback.
+//! The platform and the targets of several groups as servers on loopback.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use crate::typed::group::GroupOptions;
 use crate::typed::platform::Platform;
 
-/// How many statements a target says it runs at once.
+/// The number of concurrent statements that each target registers.
 const SLOTS: u32 = 2;
 
 /// A running deployment.
@@ -24,20 +24,20 @@
 pub struct Deployment {
     /// The platform.
     pub platform: Arc<Platform>,
-    /// Where the platform is called.
+    /// The address of the platform's HTTP API.
     pub platform_address: SocketAddr,
-    /// The targets by group.
+    /// The groups, each with its targets in the order of its members.
     pub groups: Vec<(Arc<Group>, Vec<Database>)>,
 }
 
 impl Deployment {
-    /// Starts the platform and all targets, which register themselves and go on doing so.
+    /// Starts the platform and all targets, and keeps the targets' entries in the store up to date.
     pub async fn start(groups: Vec<GroupOptions>) -> io::Result<Deployment> {
         Deployment::start_with_relays(groups, async |address| Ok(address)).await
     }
 
-    /// The same, with something in front of each target: `relay` is given the target's address and
-    /// returns the one that is announced.
+    /// Starts the platform and all targets with a relay in front of each target: `relay` receives the
+    /// target's address and returns the address to register.
     pub async fn start_with_relays<F>(groups: Vec<GroupOptions>, relay: F) -> io::Result<Deployment>
     where
         F: AsyncFn(SocketAddr) -> io::Result<SocketAddr>,
@@ -61,18 +61,18 @@
         Ok(Deployment { platform, platform_address, groups: started })
     }
 
-    /// Puts a configuration in force, as an operator does.
+    /// Stores a configuration without organisations, as an operator does.
     pub fn configure(&self, table: &RouteTable) {
         self.platform.configure(table, None);
     }
 
-    /// The same with organisations.
+    /// Stores a configuration with organisations.
     pub fn configure_with(&self, table: &RouteTable, organisations: &[TenantBody]) {
         self.platform.configure(table, Some(organisations));
     }
 }
 
-/// Writes the entries of the targets that run, and removes those of the others.
+/// Writes the entries of running targets, and removes those of stopped and unlisted ones.
 fn register(platform: &Platform, databases: &[Database]) {
     if platform.entries_frozen() {
         return;
@@ -85,7 +85,7 @@
             platform.objects.remove(store::TARGETS, &name);
             continue;
         }
-        // One that is cut off can't write its entry.
+        // A target that is cut off can't update its entry, so the old one stays.
         if state.cut {
             continue;
         }
@@ -104,6 +104,7 @@
     }
 }
 
+/// Updates the targets' entries after each change of their group.
 async fn keep_registered(platform: Arc<Platform>, databases: Vec<Database>) {
     let Some(mut changes) = databases.first().map(|database| database.group.changes()) else {
         return;
--- a/crates/standin/src/typed/group.rs
+++ b/crates/standin/src/typed/group.rs
@@ -1,10 +1,12 @@
 //! The replicated log of one group of targets.
 //!
-//! All members share one state, so replication is a copy and a promotion a truncation. What was
-//! acknowledged is kept aside: a promotion that loses some of it is counted.
+//! All members share one state, so replication copies the primary's log, and a promotion truncates the
+//! logs of the other members. Acknowledged commits are recorded separately, so that those that a
+//! promotion loses are found.
 //!
-//! A primary that is replaced may go on as one, in its old term and with its old log, until it is told to
-//! step down or has reached its successor for a while. Replicas follow the newest term that they know.
+//! A replaced primary may continue to act as primary, in its old term and with its old log, until it is
+//! ordered to step down or could reach its successor for a configured time. Replicas follow the newest
+//! term that they know.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,86 +17,88 @@
 use tokio::sync::watch;
 use tokio::time;
 
-/// How often a commit without an acknowledgement looks whether its member still leads.
+/// The interval at which a pending commit checks whether its member still leads.
 const LEAD_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a group is made of.
+/// The members and timing of a group.
 #[derive(Clone, Debug)]
 pub struct GroupOptions {
-    /// The service's name.
+    /// The name of the service that the group provides.
     pub service: Arc<str>,
-    /// Its members: id and availability zone. The first one leads.
+    /// The members' ids and availability zones. The first member leads the first term.
     pub members: Vec<(Arc<str>, Arc<str>)>,
-    /// How many replicas must have received a commit before it is acknowledged.
+    /// The number of replicas that must have received a commit before it is acknowledged.
     pub sync_replicas: usize,
-    /// How long replicas take to apply what they received.
+    /// The delay from receiving a record to applying it on replicas.
     pub apply_lag: Duration,
-    /// How long a promotion takes to take effect.
+    /// The delay from an accepted promote call until the promotion takes effect.
     pub promotion_delay: Duration,
-    /// How many connections a member accepts.
+    /// The maximum number of connections of a member.
     pub max_connections: usize,
-    /// How long a primary that was replaced goes on once it reaches its successor; none if it becomes a
-    /// replica in the moment in which it is replaced.
+    /// How long a replaced primary continues to act as primary once it can reach its successor; none if
+    /// it becomes a replica as soon as it is replaced.
     pub old_primary_grace: Option<Duration>,
 }
 
-/// One commit.
+/// A committed transaction in the log.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Record {
-    /// Its place in the log.
+    /// The position in the log: the term and the index.
     pub position: LogPosition,
-    /// The items and the data written.
+    /// The written items and their new data, in order.
     pub writes: Vec<(String, String)>,
     received: Instant,
 }
 
-/// One member's part of the state.
+/// The state of one member, including its active faults.
 #[derive(Clone, Debug)]
 pub struct MemberState {
-    /// What it received.
+    /// The records that the member has received, in order.
     pub log: Vec<Record>,
-    /// The term under which it was paused; zero if it is not.
+    /// The term for which replication to the member was paused; zero if it is not paused.
     pub paused_term: u64,
-    /// Whether it runs.
+    /// Whether the member's process runs.
     pub alive: bool,
-    /// Whether it neither reads nor writes any bytes of callers.
+    /// Whether the member exchanges no bytes with callers; their connections stay open.
     pub silent: bool,
-    /// Whether it receives nothing from the primary, and sends nothing.
+    /// Whether the member is partitioned from the other members and the store.
     pub cut: bool,
-    /// Whether its entry lapsed and it does not reach the store to write it again.
+    /// Whether the member's entry in the store has expired and it can't reach the store to renew it.
     pub unlisted: bool,
-    /// Whether it announced its stop.
+    /// Whether the member has announced that it is about to stop.
     pub leaving: bool,
-    /// How many of the next statements it runs without an answer getting out.
+    /// The number of further statements that the member runs and whose answers are lost.
     pub lose_answers: u32,
-    /// How many connections it has.
+    /// The number of open connections.
     pub connections: usize,
-    /// Grows with each start, so that connections of an earlier one end.
+    /// The number of the member's current start. It increases with each restart, which ends the
+    /// connections of earlier starts.
     pub start: u32,
-    /// When it started under the name that it had, in milliseconds; none before it started again.
+    /// The start time of the member's last restart under the same name, in milliseconds; none before the
+    /// first restart.
     pub born_ms: Option<u64>,
-    /// The newest term that it heard of.
+    /// The newest term that the member has learned of.
     known_term: u64,
-    /// The old term in which it goes on as primary although another leads.
+    /// The old term in which a replaced primary still acts as primary; none for other members.
     stale_lead_term: Option<u64>,
-    /// Since when it has reached its successor meanwhile.
+    /// The time since which a replaced primary can reach its successor without interruption.
     successor_reachable_since: Option<Instant>,
 }
 
-/// What a member ran for somebody.
+/// A statement that a member ran.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Run {
-    /// The member.
+    /// The id of the member that ran the statement.
     pub target: Arc<str>,
-    /// The caller's id of the statement; empty for one of the proxy's own.
+    /// The statement's id as chosen by the caller; empty for a statement of the proxy itself.
     pub id: String,
-    /// As whom the connection was opened.
+    /// The user that opened the connection.
     pub user: String,
-    /// The statement.
+    /// The statement's text; for a prepared statement, with its shape and arguments.
     pub text: String,
-    /// The session values on the connection, sorted.
+    /// The names and values of the connection's session values, sorted by name.
     pub values: Vec<(String, String)>,
-    /// When it began.
+    /// When the run was recorded: for a commit or a single write, after its acknowledgement.
     pub at: Instant,
 }
 
@@ -108,26 +112,26 @@
     runs: Vec<Run>,
 }
 
-/// One group.
+/// A group of targets that replicate one log.
 #[derive(Debug)]
 pub struct Group {
-    /// What it is made of.
+    /// The members and timing.
     pub options: GroupOptions,
     state: Mutex<State>,
     changed: watch::Sender<u64>,
 }
 
-/// What became of a commit.
+/// The outcome of a commit.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Committed {
-    /// Enough replicas received it.
+    /// Enough replicas received the record, or the next primary has it; holds its position.
     Acknowledged(LogPosition),
-    /// The member does not lead, or lost its lead before enough replicas received it.
+    /// The member doesn't lead, or lost its lead and the next primary doesn't have the record.
     NotLeading,
 }
 
 impl Group {
-    /// A group whose first member leads the first term.
+    /// Creates a group whose first member leads term 1.
     pub fn new(options: GroupOptions) -> Group {
         let member = MemberState {
             log: Vec::new(),
@@ -156,7 +160,7 @@
         Group { options, state: Mutex::new(state), changed: watch::Sender::new(0) }
     }
 
-    /// Changes a member, for a fault or its end.
+    /// Changes a member's state, such as to inject or end a fault, and then replicates.
     pub fn change<F>(&self, member: usize, change: F)
     where
         F: FnOnce(&mut MemberState),
@@ -169,35 +173,35 @@
         self.notify();
     }
 
-    /// A member's state.
+    /// Returns a copy of a member's state.
     pub fn member(&self, member: usize) -> MemberState {
         self.state.lock().members[member].clone()
     }
 
-    /// The member that leads.
+    /// Returns the index of the member that leads the newest term; none after it stepped down.
     pub fn leader(&self) -> Option<usize> {
         self.state.lock().leader
     }
 
-    /// The newest term.
+    /// Returns the newest term of the group.
     pub fn term(&self) -> u64 {
         self.state.lock().term
     }
 
-    /// The term in which a member acts as primary, if it does.
+    /// Returns the term in which a member acts as primary, if it does.
     pub fn term_led_by(&self, member: usize) -> Option<u64> {
         let mut state = self.state.lock();
         self.end_expired_lead(&mut state, member);
         term_led_by(&state, member)
     }
 
-    /// The newest term that a member knows of.
+    /// Returns the newest term that a member knows of; for one that acts as primary, its own term.
     pub fn term_known_to(&self, member: usize) -> u64 {
         let led = self.term_led_by(member);
         led.unwrap_or_else(|| self.state.lock().members[member].known_term)
     }
 
-    /// A member starts again under its name, and holds and knows nothing of before.
+    /// Restarts a member under the same name with an empty log and no known term.
     pub fn restart_empty(&self, member: usize, born_ms: u64) {
         self.change(member, |state| {
             state.log.clear();
@@ -209,7 +213,7 @@
         });
     }
 
-    /// Has a member that leads a term below `term` lead no more.
+    /// Makes a member that acts as primary in a term below `term` a replica; does nothing to others.
     pub fn step_down(&self, member: usize, term: u64) {
         {
             let mut state = self.state.lock();
@@ -225,7 +229,7 @@
         self.notify();
     }
 
-    /// A primary that was replaced ends its lead once it has reached its successor for long enough.
+    /// Makes a replaced primary a replica once it could reach its successor for `old_primary_grace`.
     fn end_expired_lead(&self, state: &mut State, member: usize) {
         let (Some(_), Some(old_primary_grace)) =
             (state.members[member].stale_lead_term, self.options.old_primary_grace)
@@ -246,28 +250,28 @@
         }
     }
 
-    /// Notices of changes.
+    /// Subscribes to changes of the group's state; the value itself only counts them.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// What the member that leads has in its log.
+    /// Returns the log of the member that leads the newest term; empty if none leads.
     pub fn leader_log(&self) -> Vec<Record> {
         let state = self.state.lock();
         state.leader.map_or_else(Vec::new, |leader| state.members[leader].log.clone())
     }
 
-    /// The acknowledged commits that a promotion lost.
+    /// Returns the acknowledged commits that promotions lost.
     pub fn lost(&self) -> Vec<Record> {
         self.state.lock().lost.clone()
     }
 
-    /// What members ran.
+    /// Returns the statements that members ran, in the order in which they were recorded.
     pub fn runs(&self) -> Vec<Run> {
         self.state.lock().runs.clone()
     }
 
-    /// A member ran a statement. Returns whether its answer gets out.
+    /// Records a statement that a member ran. Returns false if its answer is to be lost.
     pub fn record_run(&self, member: usize, run: Run) -> bool {
         let mut state = self.state.lock();
         state.runs.push(run);
@@ -277,7 +281,7 @@
         answers
     }
 
-    /// The last position that reads at a member see.
+    /// Returns the last position that reads at a member see: on replicas, those older than the lag.
     pub fn applied(&self, member: usize) -> LogPosition {
         let state = self.state.lock();
         let is_leader = term_led_by(&state, member).is_some();
@@ -288,13 +292,13 @@
         applied.map_or_else(LogPosition::default, |record| record.position)
     }
 
-    /// The last position that a member received.
+    /// Returns the last position that a member received.
     pub fn received(&self, member: usize) -> LogPosition {
         let state = self.state.lock();
         state.members[member].log.last().map_or_else(LogPosition::default, |last| last.position)
     }
 
-    /// What a member that has applied up to a position says of an item.
+    /// Returns the data of an item in a member's applied log; empty if it was never written.
     pub fn read(&self, member: usize, item: &str) -> String {
         let applied = self.applied(member);
         let state = self.state.lock();
@@ -303,7 +307,8 @@
         writes.rfind(|(name, _)| name == item).map_or(String::new(), |(_, data)| data.clone())
     }
 
-    /// Commits at a member, and waits until enough replicas received it or the lead is lost.
+    /// Commits at a member, and waits until enough replicas have received the record or the member has
+    /// lost its lead.
     pub async fn commit(&self, member: usize, writes: Vec<(String, String)>) -> Committed {
         let mut changes = self.changes();
         let position = {
@@ -324,7 +329,7 @@
             if let Some(outcome) = self.commit_outcome(member, position) {
                 return outcome;
             }
-            // A primary that was replaced also ends by itself.
+            // A replaced primary's lead also expires without a notification, so the wait has a timeout.
             if let Ok(Err(_)) = time::timeout(LEAD_CHECK_INTERVAL, changes.changed()).await {
                 return Committed::NotLeading;
             }
@@ -336,8 +341,8 @@
         self.end_expired_lead(&mut state, member);
         let holds = |log: &[Record]| log.iter().any(|record| record.position == position);
         if term_led_by(&state, member).is_none() {
-            // A promise that nothing is kept must be true: what the next primary has received stays. Which one
-            // that is decides the commit of a primary that stepped down before there was another.
+            // `NotLeading` promises that the commit has no effect, but a record that the next primary has
+            // received is kept. After a step-down the outcome is open until the next primary is known.
             let leader = state.leader?;
             let log = &state.members[leader].log;
             let record = log.iter().find(|kept| kept.position == position);
@@ -360,7 +365,8 @@
         Some(Committed::Acknowledged(position))
     }
 
-    /// Has a member lead the next term, with what it received. Its pause ends; the others' last.
+    /// Makes a running member the primary of the next term, with the log that it has received. Its pause
+    /// ends, while paused replicas stay paused. Does nothing if the member leads already.
     pub fn promote(&self, member: usize) {
         {
             let mut state = self.state.lock();
@@ -394,7 +400,7 @@
         self.notify();
     }
 
-    /// Pauses a member under a term above the newest. Returns whether it took the order.
+    /// Pauses replication to a member for a term above the newest; ignored for any other term.
     pub fn pause(&self, member: usize, term: u64) {
         let newest = self.term();
         self.change(member, |state| {
@@ -409,7 +415,7 @@
     }
 }
 
-/// The term in which a member acts as primary, if it does.
+/// Returns the term in which a member acts as primary, if it does.
 fn term_led_by(state: &State, member: usize) -> Option<u64> {
     match state.leader == Some(member) {
         true => Some(state.term),
@@ -417,7 +423,7 @@
     }
 }
 
-/// A member leads no longer. What its successor lacks of its log is gone.
+/// Makes a member a replica, and truncates its log to what it has in common with its successor's.
 fn become_replica(state: &mut State, member: usize) {
     state.members[member].stale_lead_term = None;
     if let Some(leader) = state.leader {
@@ -426,13 +432,14 @@
     }
 }
 
+/// Truncates a member's log to its longest common prefix with `log`.
 fn truncate_to_common(member: &mut MemberState, log: &[Record]) {
     let common = member.log.iter().zip(log).take_while(|(a, b)| a.position == b.position);
     let common = common.count();
     member.log.truncate(common);
 }
 
-/// Copies the primary's log to all who receive.
+/// Copies the primary's log to all running, reachable replicas that aren't paused.
 fn replicate(state: &mut State) {
     let Some(leader) = state.leader else { return };
     let sender = &state.members[leader];
--- a/crates/standin/src/typed/mod.rs
+++ b/crates/standin/src/typed/mod.rs
@@ -1,14 +1,16 @@
-//! Stand-ins of the users' platform and of targets that speak its protocol of typed statements.
+//! Test servers for the users' platform and for targets that speak its protocol of typed statements.
 //!
-//! They keep the published rules and their unkind sides: a target answers reads by its applied log,
-//! refuses what its role or position forbids, acknowledges a commit once a replica received it, and
-//! counts connections; a promoted target leads with what it had received and nothing more; the store
-//! swallows calls, loses answers and forgets its history.
+//! They follow the published rules, including the unfavourable cases. A target answers reads from its
+//! applied log, refuses statements that its role or position forbids, acknowledges a commit once enough
+//! replicas have received it, and limits its connections. A promoted target leads with only the log that
+//! it had received. The store can leave calls unanswered, lose answers and discard its history.
 //!
-//! - [`group`]: the replicated log of one group, and what its members did
-//! - [`database`]: one target's connections
-//! - [`object_store`]: the store's state; [`platform`]: its HTTP side and the promotions
-//! - [`deployment`]: all of it together on loopback; [`ports`]: free addresses there
+//! - [`group`]: the replicated log of one group, and the statements that its members ran
+//! - [`database`]: the connections of one target
+//! - [`object_store`]: the store's state
+//! - [`platform`]: the HTTP API of the store, and promotions
+//! - [`deployment`]: the platform and the targets of several groups on loopback
+//! - [`ports`]: reservation of free loopback ports
 
 pub mod database;
 pub mod deployment;
--- a/crates/standin/src/typed/object_store.rs
+++ b/crates/standin/src/typed/object_store.rs
@@ -1,5 +1,5 @@
 //! The state of the platform's store: objects by kind and name under one revision counter, with a
-//! history that can be forgotten.
+//! history of events that can be discarded.
 
 use std::collections::BTreeMap;
 
@@ -12,31 +12,31 @@
 use skylark_platform::objects::Page;
 use tokio::sync::watch;
 
-/// The largest number of objects on a page. Small, so that a second page is nothing special.
+/// The maximum number of objects on a page. It is small so that tests regularly read several pages.
 const PAGE_SIZE: usize = 4;
 
 #[derive(Debug)]
 struct State {
     revision: u64,
     objects: BTreeMap<(String, String), Object>,
-    /// The events by kind in their order.
+    /// The revision, the kind and the event of each change, in the order of revisions.
     history: Vec<(u64, String, Event)>,
-    /// The events up to this revision are forgotten.
+    /// The revision up to which events were discarded.
     forgotten_through: u64,
 }
 
-/// Why a change was not made.
+/// The reason why a call was refused.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Refused {
-    /// The object has another revision, or exists already; this is it.
+    /// The object has another revision or exists already; holds the current object.
     Conflict(Box<Object>),
     /// There is no such object.
     NotFound,
-    /// The history that is asked for is gone.
+    /// The requested part of the history was discarded.
     HistoryGone,
 }
 
-/// The store.
+/// The objects and their history.
 #[derive(Debug)]
 pub struct ObjectStore {
     state: Mutex<State>,
@@ -56,12 +56,12 @@
 }
 
 impl ObjectStore {
-    /// Notices of changes.
+    /// Subscribes to the store's revision.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// A page of the objects of a kind after a name.
+    /// Returns a page of the objects of a kind whose names sort after `after`.
     pub fn list(&self, kind: &str, after: &str) -> Page {
         let state = self.state.lock();
         let of_kind = state
@@ -74,13 +74,21 @@
         Page { items, has_more, revision: state.revision }
     }
 
-    /// One object.
+    /// Returns an object.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`Refused::NotFound`] if there is no such object.
     pub fn get(&self, kind: &str, name: &str) -> Result<Object, Refused> {
         let key = (kind.to_owned(), name.to_owned());
         self.state.lock().objects.get(&key).cloned().ok_or(Refused::NotFound)
     }
 
     /// Creates an object.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`Refused::Conflict`] if the object exists already.
     pub fn create(&self, kind: &str, name: &str, spec: Value) -> Result<Object, Refused> {
         match self.get(kind, name) {
             Ok(existing) => Err(Refused::Conflict(Box::new(existing))),
@@ -88,7 +96,11 @@
         }
     }
 
-    /// Replaces an object that must have this revision, if one is named.
+    /// Replaces an object.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no such object, or if `revision` is given and the object has another one.
     pub fn replace(
         &self,
         kind: &str,
@@ -103,7 +115,7 @@
         Ok(self.put(kind, name, spec))
     }
 
-    /// Writes an object whatever was there.
+    /// Writes an object unconditionally. A write that changes nothing makes no event or new revision.
     pub fn put(&self, kind: &str, name: &str, spec: Value) -> Object {
         let (object, revision) = {
             let mut state = self.state.lock();
@@ -125,7 +137,7 @@
         object
     }
 
-    /// Removes an object.
+    /// Removes an object; does nothing if there is none.
     pub fn remove(&self, kind: &str, name: &str) {
         let revision = {
             let mut state = self.state.lock();
@@ -141,14 +153,18 @@
         self.changed.send_replace(revision);
     }
 
-    /// Forgets the history.
+    /// Discards all events up to the current revision.
     pub fn forget_history(&self) {
         let mut state = self.state.lock();
         state.forgotten_through = state.revision;
         state.history.clear();
     }
 
-    /// The events of a kind after a revision.
+    /// Returns the events of a kind after a revision, and the current revision.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`Refused::HistoryGone`] if events after `after` were discarded.
     pub fn events(&self, kind: &str, after: u64) -> Result<Events, Refused> {
         let state = self.state.lock();
         if after < state.forgotten_through {
--- a/crates/standin/src/typed/platform.rs
+++ b/crates/standin/src/typed/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP side: the store, and the call that names a primary.
+//! The platform's HTTP API: the object store, and the call that promotes a target to primary.
 
 use std::io;
 use std::net::SocketAddr;
@@ -37,97 +37,96 @@
 use crate::typed::object_store::ObjectStore;
 use crate::typed::object_store::Refused;
 
-/// How the platform treats calls.
+/// How the platform handles calls.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum PlatformMode {
-    /// It serves.
+    /// Calls are served normally.
     #[default]
     Serving,
-    /// It takes calls and never answers, not even after it serves again.
+    /// Calls are accepted and never carried out or answered, not even after the mode changes.
     Silent,
-    /// It refuses with 503 and does nothing.
+    /// Calls are refused with 503 and have no effect.
     Busy,
-    /// It does what is asked and loses the answers to writes.
+    /// Calls are carried out, and writes are never answered.
     LosesAnswers,
-    /// It never answers what is asked of the configuration, and serves the rest.
+    /// Calls that list, watch or create configurations are never answered; all others are served.
     HidesConfiguration,
-    /// It serves, but names primaries after this many milliseconds and does not answer such calls.
+    /// Calls are served, but promotions take effect this many milliseconds later and are not answered.
     PromotesLate(u64),
 }
 
-/// The platform.
+/// The platform's state, shared by all calls.
 #[derive(Debug, Default)]
 pub struct Platform {
-    /// The objects.
+    /// The stored objects.
     pub objects: ObjectStore,
     platform_mode: Mutex<PlatformMode>,
     groups: Mutex<Vec<Arc<Group>>>,
-    /// The highest token of each service.
+    /// The highest token of a promote call of each service, for fencing.
     tokens: Mutex<FastMap<String, u64>>,
-    /// Whether calls with a lower token than the highest are carried out all the same.
+    /// Whether promote calls with a lower token than the highest are carried out too.
     ignores_tokens: AtomicBool,
-    /// Whether targets can't change their entries.
+    /// Whether updates of targets' entries are dropped.
     entries_frozen: AtomicBool,
-    /// The calls that named a primary, in the order in which they came.
+    /// The promote calls that passed the check of the token, in the order of arrival.
     promote_calls: Mutex<Vec<PromoteCall>>,
-    /// How many promotions were accepted.
+    /// The number of accepted promotions.
     pub promotions: AtomicU64,
-    /// How many calls came.
+    /// The number of calls received, of any kind.
     pub calls: AtomicU64,
 }
 
-/// A call that named a primary.
+/// A call to promote a target to primary.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct PromoteCall {
-    /// The service.
+    /// The service whose primary is to change.
     pub service: String,
-    /// The target.
+    /// The id of the target to promote.
     pub target: String,
-    /// The VM that called.
+    /// The VM that called; empty if the call didn't state one.
     pub holder: String,
-    /// Its token.
+    /// The caller's fencing token.
     pub token: u64,
 }
 
 impl Platform {
-    /// Puts a configuration in force, as an operator does; without organisations where none are given.
+    /// Stores a configuration, with the organisations if given, as an operator does.
     pub fn configure(&self, table: &RouteTable, organisations: Option<&[TenantBody]>) {
         let (kind, name) = store::CONFIGURATION;
         self.objects.put(kind, name, objects::encode_configuration(table, organisations));
     }
 
-    /// A group by its service.
     fn group(&self, service: &str) -> Option<Arc<Group>> {
         let groups = self.groups.lock();
         groups.iter().find(|group| *group.options.service == *service).cloned()
     }
 
-    /// Has the platform carry out calls with a lower token than the highest.
+    /// Makes the platform carry out promote calls with a lower token than the highest.
     pub fn ignore_tokens(&self) {
         self.ignores_tokens.store(true, Ordering::Relaxed);
     }
 
-    /// Has the entries of targets stay as they are: none of them reaches the platform.
+    /// Makes the platform drop all updates of targets' entries, so that they stay as they are.
     pub fn freeze_entries(&self) {
         self.entries_frozen.store(true, Ordering::Relaxed);
     }
 
-    /// Whether targets can't change their entries.
+    /// Returns whether updates of targets' entries are dropped.
     pub fn entries_frozen(&self) -> bool {
         self.entries_frozen.load(Ordering::Relaxed)
     }
 
-    /// Whether it refuses calls with a lower token than the highest.
+    /// Returns whether promote calls with a lower token than the highest are refused.
     pub fn checks_tokens(&self) -> bool {
         !self.ignores_tokens.load(Ordering::Relaxed)
     }
 
-    /// The calls that named a primary, in the order in which they came.
+    /// Returns the promote calls that passed the check of the token, in the order of arrival.
     pub fn promote_calls(&self) -> Vec<PromoteCall> {
         self.promote_calls.lock().clone()
     }
 
-    /// Starts the platform on a free port of loopback.
+    /// Starts the platform on a free loopback port, and returns its address. Fails if it can't listen.
     pub async fn start(self: &Arc<Self>) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -139,22 +138,23 @@
             .route(promote::PATH, routing::post(handle_promote))
             .layer(middleware::from_fn_with_state(Arc::clone(self), apply_mode))
             .with_state(Arc::clone(self));
-        // It ends with the runtime that it is started on.
+        // The server runs until its runtime is shut down.
         tokio::spawn(async move { axum::serve(listener, router).await });
         Ok(address)
     }
 
-    /// Changes how calls are treated.
+    /// Changes how further calls are handled.
     pub fn set_platform_mode(&self, platform_mode: PlatformMode) {
         *self.platform_mode.lock() = platform_mode;
     }
 
-    /// Adds a group whose primary can be named.
+    /// Adds a group whose members can be promoted.
     pub fn add_group(&self, group: &Arc<Group>) {
         self.groups.lock().push(Arc::clone(group));
     }
 }
 
+/// Counts a call, and handles it according to the current mode.
 async fn apply_mode(
     State(platform): State<Arc<Platform>>,
     request: Request,
@@ -221,7 +221,7 @@
         if !found.events.is_empty() {
             return Ok(found);
         }
-        // Either something changed, which is looked at next, or the time is over.
+        // After a change the events are read again; after the timeout the answer is empty.
         if time::timeout_at(until, changes.changed()).await.is_err() {
             return Ok(found);
         }
