--- a/crates/standin/src/typed/group.rs
+++ b/crates/standin/src/typed/group.rs
@@ -276,9 +276,9 @@
         let mut state = self.state.lock();
         state.runs.push(run);
         let lose_answers_left = &mut state.members[member].lose_answers;
-        let answers = *lose_answers_left == 0;
+        let is_answered = *lose_answers_left == 0;
         *lose_answers_left = lose_answers_left.saturating_sub(1);
-        answers
+        is_answered
     }
 
     /// Returns the last position that reads at a member see: on replicas, those older than the lag.
--- a/crates/standin/src/typed/platform.rs
+++ b/crates/standin/src/typed/platform.rs
@@ -288,16 +288,16 @@
         return StatusCode::CONFLICT.into_response();
     };
     platform.promotions.fetch_add(1, Ordering::Relaxed);
-    let late = match *platform.platform_mode.lock() {
+    let extra_delay = match *platform.platform_mode.lock() {
         PlatformMode::PromotesLate(late_ms) => Some(Duration::from_millis(late_ms)),
         _ => None,
     };
-    let takes = group.options.promotion_delay + late.unwrap_or_default();
+    let delay = group.options.promotion_delay + extra_delay.unwrap_or_default();
     tokio::spawn(async move {
-        time::sleep(takes).await;
+        time::sleep(delay).await;
         group.promote(member);
     });
-    match late {
+    match extra_delay {
         Some(_) => std::future::pending().await,
         None => StatusCode::OK.into_response(),
     }
