--- a/crates/standin/src/deployment/fault.rs
+++ b/crates/standin/src/deployment/fault.rs
@@ -21,36 +21,36 @@
 pub enum Fault {
     /// Isolates a target: it exchanges no bytes with callers or other targets; its connections stay open.
     IsolateTarget {
-        /// The target.
+        /// The name of the target.
         target: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
     /// Suspends a target's process; its connections stay open.
     PauseTarget {
-        /// The target.
+        /// The name of the target.
         target: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
     /// Kills a target's process: its connections are reset, and new ones refused. Ending the fault
     /// restarts the target with its log and its terms.
     KillTarget {
-        /// The target.
+        /// The name of the target.
         target: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
     /// Marks a target as leaving: it accepts no new connections of callers and no new transactions.
     LeaveTarget {
-        /// The target.
+        /// The name of the target.
         target: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
     /// Sets the replication delays of a target.
     LagTarget {
-        /// The target.
+        /// The name of the target.
         target: String,
         /// The delay from a record's commit until the target has received it, in microseconds.
         hold_us: u64,
@@ -60,23 +60,23 @@
     },
     /// Partitions two zones from each other.
     CutZones {
-        /// One zone.
+        /// The name of one zone.
         zone: String,
-        /// The other zone.
+        /// The name of the other zone.
         other: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
     /// Partitions a zone from all other zones and from the platform.
     IsolateZone {
-        /// The zone.
+        /// The name of the zone.
         zone: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
     /// Makes the platform answer every call with 503.
     PlatformDown {
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
     /// Delays each call to the platform.
@@ -91,9 +91,9 @@
     },
     /// Partitions a zone from the platform.
     PlatformRefusesZone {
-        /// The zone.
+        /// The name of the zone.
         zone: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
     /// Sets the delay after which a change of the VMs becomes visible in the platform's list.
