--- a/crates/standin/src/deployment/fault.rs
+++ b/crates/standin/src/deployment/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a deployment, by name.
+//! Named faults of a deployment, and their injection.
 
 use std::fmt;
 use std::io;
@@ -8,111 +8,112 @@
 use serde::Serialize;
 
 use crate::network::Faults;
-use crate::network::set_member;
+use crate::network::insert_or_remove;
 use crate::platform::faults::PlatformFaultState;
 use crate::target::options::Lag;
 use crate::target::server::TargetServer;
 
 use super::Deployment;
 
-/// A fault to bring about or to end.
+/// A fault to inject or to end, in the JSON form that the endpoint takes.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// A target exchanges no bytes with anybody; its connections stay open.
+    /// Isolates a target: it exchanges no bytes with callers or other targets; its connections stay open.
     IsolateTarget {
-        /// The target.
+        /// The name of the target.
         target: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
-    /// A target's process is stopped; its connections stay open.
+    /// Suspends a target's process; its connections stay open.
     PauseTarget {
-        /// The target.
+        /// The name of the target.
         target: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
-    /// A target's process is gone: its connections are reset, and new ones refused. Ending the
-    /// fault starts it again with its log and its terms.
+    /// Kills a target's process: its connections are reset, and new ones refused. Ending the fault
+    /// restarts the target with its log and its terms.
     KillTarget {
-        /// The target.
+        /// The name of the target.
         target: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
-    /// A target is leaving.
+    /// Marks a target as leaving: it accepts no new connections of callers and no new transactions.
     LeaveTarget {
-        /// The target.
+        /// The name of the target.
         target: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
-    /// Sets the replication's delays towards a target.
+    /// Sets the replication delays of a target.
     LagTarget {
-        /// The target.
+        /// The name of the target.
         target: String,
-        /// Until it holds a record, in microseconds.
+        /// The delay from a record's commit until the target has received it, in microseconds.
         hold_us: u64,
-        /// From then until reads see it, in microseconds.
+        /// The delay from receiving a record until reads see it, in microseconds.
         #[serde(default)]
         apply_us: u64,
     },
-    /// Two zones exchange no bytes.
+    /// Partitions two zones from each other.
     CutZones {
-        /// One zone.
+        /// The name of one zone.
         zone: String,
-        /// The other zone.
+        /// The name of the other zone.
         other: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
-    /// A zone exchanges no bytes with the other zones and the platform.
+    /// Partitions a zone from all other zones and from the platform.
     IsolateZone {
-        /// The zone.
+        /// The name of the zone.
         zone: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
-    /// The platform answers every call as unavailable.
+    /// Makes the platform answer every call with 503.
     PlatformDown {
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
-    /// Each call to the platform waits first.
+    /// Delays each call to the platform.
     PlatformSlow {
-        /// How long, in milliseconds.
+        /// The delay, in milliseconds; zero ends the fault.
         slow_ms: u64,
     },
-    /// The platform's next updates take effect and their answers are lost.
+    /// Makes the platform's next updates take effect while their answers are lost.
     PlatformLosesAnswers {
-        /// How many.
+        /// The number of updates affected.
         count: u32,
     },
-    /// The platform gets no calls from a zone.
+    /// Partitions a zone from the platform.
     PlatformRefusesZone {
-        /// The zone.
+        /// The name of the zone.
         zone: String,
-        /// Whether the fault is on.
+        /// Whether to inject the fault; false ends it.
         on: bool,
     },
-    /// Sets how long a change of the VMs takes to show in the platform's list.
+    /// Sets the delay after which a change of the VMs becomes visible in the platform's list.
     VmListLag {
-        /// How long, in milliseconds.
+        /// The delay, in milliseconds.
         lag_ms: u64,
     },
-    /// Ends isolation, pauses, cuts and all of the platform's faults; starts killed targets.
+    /// Ends isolations, pauses, partitions and the platform's faults, and restarts killed targets. The
+    /// lag of targets and of the list of VMs stays as set, and so do leaving targets.
     HealAll {},
 }
 
-/// Why a fault could not be brought about.
+/// The reason why a fault could not be injected or ended.
 #[derive(Debug)]
 pub enum FaultError {
     /// There is no target of this name.
     UnknownTarget(String),
     /// There is no zone of this name.
     UnknownZone(String),
-    /// A target can't listen again.
+    /// A restarted target can't listen on its address.
     Listen(io::Error),
 }
 
@@ -127,35 +128,35 @@
 }
 
 impl Deployment {
-    /// Brings a fault about, or ends it.
+    /// Injects or ends a fault.
     ///
     /// # Errors
     ///
-    /// When it names what isn't there, or when a target can't be started again.
+    /// Fails if the named target or zone doesn't exist, or if a target can't be restarted.
     pub async fn inject(&self, fault: &Fault) -> Result<(), FaultError> {
         match fault {
             Fault::IsolateTarget { target, on } => {
-                self.known(target)?;
-                self.network().change(|faults| set_member(&mut faults.isolated, target, *on));
+                self.require_target(target)?;
+                self.network().change(|faults| insert_or_remove(&mut faults.isolated, target, *on));
             }
             Fault::PauseTarget { target, on } => {
-                self.known(target)?;
-                self.network().change(|faults| set_member(&mut faults.paused, target, *on));
+                self.require_target(target)?;
+                self.network().change(|faults| insert_or_remove(&mut faults.paused, target, *on));
             }
-            Fault::KillTarget { target, on: true } => self.known(target)?.kill(),
+            Fault::KillTarget { target, on: true } => self.require_target(target)?.kill(),
             Fault::KillTarget { target, on: false } => {
-                self.known(target)?.restart().await.map_err(FaultError::Listen)?;
+                self.require_target(target)?.restart().await.map_err(FaultError::Listen)?;
             }
             Fault::LeaveTarget { target, on } => {
-                self.known(target)?.target().set_leaving(*on);
+                self.require_target(target)?.target().set_leaving(*on);
             }
             Fault::LagTarget { target, hold_us, apply_us } => {
                 let lag = Lag { hold_us: *hold_us, apply_us: *apply_us };
-                self.known(target)?.target().set_lag(lag);
+                self.require_target(target)?.target().set_lag(lag);
             }
             Fault::CutZones { zone, other, on } => {
-                self.known_zone(zone)?;
-                self.known_zone(other)?;
+                self.require_zone(zone)?;
+                self.require_zone(other)?;
                 self.network().change(|faults| faults.set_cut(zone, other, *on));
             }
             Fault::IsolateZone { zone, on } => self.isolate_zone(zone, *on)?,
@@ -172,7 +173,7 @@
             Fault::PlatformSlow { slow_ms } => state.slow = Duration::from_millis(*slow_ms),
             Fault::PlatformLosesAnswers { count } => state.lose_answers = *count,
             Fault::PlatformRefusesZone { zone, on } => {
-                set_member(&mut state.refused_zones, zone, *on);
+                insert_or_remove(&mut state.refused_zones, zone, *on);
             }
             _ => {}
         };
@@ -183,7 +184,7 @@
     }
 
     fn isolate_zone(&self, zone: &str, on: bool) -> Result<(), FaultError> {
-        self.known_zone(zone)?;
+        self.require_zone(zone)?;
         let others = self.settings().zones.iter().map(|other| &other.zone);
         self.network().change(|faults| {
             for other in others.filter(|other| *other != zone) {
@@ -203,12 +204,12 @@
         Ok(())
     }
 
-    fn known(&self, target: &str) -> Result<&TargetServer, FaultError> {
+    fn require_target(&self, target: &str) -> Result<&TargetServer, FaultError> {
         self.target(target).ok_or_else(|| FaultError::UnknownTarget(target.to_owned()))
     }
 
-    fn known_zone(&self, zone: &str) -> Result<(), FaultError> {
-        let known = self.settings().zones.iter().any(|known| known.zone == zone);
-        known.then_some(()).ok_or_else(|| FaultError::UnknownZone(zone.to_owned()))
+    fn require_zone(&self, zone: &str) -> Result<(), FaultError> {
+        let is_known = self.settings().zones.iter().any(|known| known.zone == zone);
+        is_known.then_some(()).ok_or_else(|| FaultError::UnknownZone(zone.to_owned()))
     }
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-ins of a deployment as one process.
+//! Runs the platform and all targets of a deployment as one process of test servers.
 
 use std::error::Error;
 use std::io;
@@ -49,7 +49,7 @@
 
 fn main() -> ExitCode {
     let arguments = command().get_matches();
-    // A reader of the log that is gone must not end the program.
+    // A closed log pipe must not terminate the process.
     let drain = slog_json::Json::default(io::stderr()).ignore_res();
     let drain = slog_async::Async::new(drain).build().ignore_res();
     let log = Logger::root(drain, slog::o!());
@@ -90,16 +90,16 @@
     let deployment = Deployment::start(settings).await.map_err(|error| error.to_string())?;
     let deployment = Arc::new(deployment);
     let admin = AdminServer::start(&deployment, admin).await?;
-    announce(&deployment, &admin, log);
+    log_addresses(&deployment, &admin, log);
     tokio::select! {
         _ = interrupted.recv() => {}
         _ = terminated.recv() => {}
     }
-    slog::info!(log, "ends");
+    slog::info!(log, "shutting down");
     Ok(())
 }
 
-fn announce(deployment: &Deployment, admin: &AdminServer, log: &Logger) {
+fn log_addresses(deployment: &Deployment, admin: &AdminServer, log: &Logger) {
     let platform = deployment.platform().address().to_string();
     slog::info!(log, "platform listens"; "address" => platform);
     for server in deployment.targets() {
--- a/crates/standin/src/platform/api.rs
+++ b/crates/standin/src/platform/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP calls, as `docs/INTERFACES.md` states them.
+//! HTTP handlers of the object API that `docs/INTERFACES.md` specifies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,18 +27,18 @@
 use super::Platform;
 use super::store::Conflict;
 
-/// The largest value, in bytes.
+/// The maximum size of a PUT body, in bytes.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 
 type Shared = State<Arc<Platform>>;
 
-/// The version that a deletion expects.
+/// Query parameters of a conditional deletion.
 #[derive(Debug, Deserialize)]
 struct DeleteQuery {
     expected_version: u64,
 }
 
-/// What a watch waits for.
+/// Query parameters of a watch: it waits up to `wait_ms` for a revision above `after`.
 #[derive(Debug, Deserialize)]
 struct WatchQuery {
     after: u64,
@@ -46,7 +46,7 @@
     wait_ms: u64,
 }
 
-/// The routes.
+/// Returns the router of the object API, with the platform's faults applied to every call.
 pub fn router(platform: Arc<Platform>) -> Router {
     let object = routing::get(get_object).put(put_object).delete(delete_object);
     let faults = middleware::from_fn_with_state(Arc::clone(&platform), with_faults);
@@ -59,8 +59,8 @@
         .with_state(platform)
 }
 
-/// Holds back, refuses or loses what the faults say. The effect of an update is one step of its
-/// handler, so a call that is refused while it waits has had none.
+/// Delays a call, refuses it or drops its answer as the active faults require. An update takes effect
+/// in one step of its handler, so a call refused while it waits for its handler has had no effect.
 async fn with_faults(
     State(platform): Shared,
     headers: HeaderMap,
@@ -70,15 +70,15 @@
     let zone = headers.get(ZONE_HEADER).and_then(|zone| zone.to_str().ok()).unwrap_or_default();
     let updates = matches!(*request.method(), Method::PUT | Method::DELETE);
     let serve = async {
-        platform.faults.pass(zone).await;
+        platform.faults.wait_until_zone_is_served(zone).await;
         tokio::time::sleep(platform.faults.state().slow).await;
         let response = next.run(request).await;
-        platform.faults.pass(zone).await;
+        platform.faults.wait_until_zone_is_served(zone).await;
         response
     };
     let response = tokio::select! {
         biased;
-        () = platform.faults.down() => return unavailable(&platform),
+        () = platform.faults.wait_until_down() => return unavailable(&platform),
         response = serve => response,
     };
     if updates && response.status() == StatusCode::OK && platform.faults.take_lost_answer() {
@@ -118,7 +118,7 @@
     match serde_json::from_slice::<PutRequest>(&body) {
         Ok(request) => {
             let put = platform.store.put(kind, &name, request.expected_version, request.body);
-            changed(&platform, put)
+            update_response(&platform, put)
         }
         Err(error) => bad_request(error.to_string()),
     }
@@ -131,7 +131,7 @@
 ) -> Response {
     platform.counters.deletes.add();
     let Some(kind) = ObjectKind::from_name(&kind) else { return unknown_kind(&kind) };
-    changed(&platform, platform.store.delete(kind, &name, query.expected_version))
+    update_response(&platform, platform.store.delete(kind, &name, query.expected_version))
 }
 
 async fn snapshot(State(platform): Shared) -> Response {
@@ -143,7 +143,7 @@
     platform.counters.watches.add();
     let mut revision = platform.store.subscribe();
     let newer = revision.wait_for(|revision| *revision > query.after);
-    // Running out of the wait is an answer as well, and the sender lives as long as the platform.
+    // A timeout is answered with the changes so far. The channel can't close: the platform owns the sender.
     let _ = tokio::time::timeout(Duration::from_millis(query.wait_ms), newer).await;
     Json(platform.store.changes_after(query.after)).into_response()
 }
@@ -153,7 +153,7 @@
     Json(platform.store.vms()).into_response()
 }
 
-fn changed(platform: &Platform, result: Result<u64, Conflict>) -> Response {
+fn update_response(platform: &Platform, result: Result<u64, Conflict>) -> Response {
     match result {
         Ok(version) => Json(PutResponse { version }).into_response(),
         Err(conflict) => {
--- a/crates/standin/src/typed/database.rs
+++ b/crates/standin/src/typed/database.rs
@@ -1,4 +1,7 @@
-//! One target's connections.
+//! A target of the typed protocol: its listener and its connections.
+//!
+//! Each connection runs statements on the target's member of a [`Group`]. When the target stops or
+//! restarts, its connections are closed without a message, and open transactions are rolled back.
 
 use std::io;
 use std::net::SocketAddr;
@@ -28,24 +31,24 @@
 use crate::typed::group::Group;
 use crate::typed::group::Run;
 
-/// The largest message, in bytes.
+/// The maximum size of a request, in bytes.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// One target.
+/// A listening target. Clones refer to the same target.
 #[derive(Clone, Debug)]
 pub struct Database {
-    /// Its group.
+    /// The group that the target belongs to.
     pub group: Arc<Group>,
-    /// Its place in the group.
+    /// The index of the target among the group's members.
     pub member: usize,
-    /// Where it listens.
+    /// The address that the target listens on.
     pub address: SocketAddr,
-    /// Where it says that it listens: a relay in front of it, or itself.
+    /// The address to register in the store: that of a relay in front of the target, or `address`.
     pub announced: SocketAddr,
 }
 
 impl Database {
-    /// Starts a target on a free port of loopback.
+    /// Starts a target on a free loopback port. Fails if it can't listen.
     pub async fn start(group: &Arc<Group>, member: usize) -> io::Result<Database> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -55,7 +58,7 @@
         Ok(database)
     }
 
-    /// Its id.
+    /// Returns the target's id as configured for its group.
     pub fn id(&self) -> Arc<str> {
         Arc::clone(&self.group.options.members[self.member].0)
     }
@@ -63,7 +66,7 @@
     async fn accept(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             if !self.group.member(self.member).alive {
-                // Dropping the stream is as good as a port that nobody listens on.
+                // To the caller, a connection closed at once is equivalent to a refused one.
                 continue;
             }
             let connection = Connection::new(self.clone(), stream);
@@ -72,11 +75,12 @@
     }
 }
 
-/// What a connection is in the middle of.
+/// The state of the transaction on a connection. `write_term` is the term in which the target led when
+/// a read-write transaction began; it is none for a read-only one.
 #[derive(Clone, Debug)]
-enum Open {
-    Nothing,
-    Transaction { plain_term: Option<u64>, writes: Vec<(String, String)> },
+enum TransactionState {
+    Inactive,
+    Active { write_term: Option<u64>, writes: Vec<(String, String)> },
     Failed,
 }
 
@@ -86,21 +90,23 @@
     input: BytesMut,
     output: BytesMut,
     user: String,
-    open: Open,
+    transaction: TransactionState,
     values: FastMap<String, String>,
     prepared: FastMap<String, (Effect, String)>,
     start: u32,
 }
 
-/// Why a connection ends.
-enum Ended {
+/// The reason why a connection ends: it was closed or a request was invalid, or the answer to a
+/// statement is to be lost.
+enum ConnectionEnd {
     Closed,
     AnswerLost,
 }
 
 type Outcome = Result<Answer, TargetError>;
 
-/// The success of a statement.
+/// The answer to a successful request. The proof consists of the target's id and the statement's id for
+/// reads, writes and commits, and is `-` for all other requests.
 struct Answer {
     rows: Vec<String>,
     proof: String,
@@ -121,7 +127,7 @@
             input: BytesMut::new(),
             output: BytesMut::new(),
             user: String::new(),
-            open: Open::Nothing,
+            transaction: TransactionState::Inactive,
             values: FastMap::default(),
             prepared: FastMap::default(),
             start,
@@ -133,34 +139,34 @@
         group.change(member, |state| state.connections += 1);
         let mut changes = group.changes();
         let start = self.start;
-        let gone = async {
+        let stopped = async {
             loop {
                 let state = group.member(member);
                 if !state.alive || state.start != start {
                     return;
                 }
-                // The sender lives as long as the group.
+                // Waiting can't fail, because the group owns the sender.
                 let _ = changes.changed().await;
             }
         };
         tokio::select! {
-            // However it ended, the stream is dropped, which rolls back.
-            _ = self.talk() => (),
-            () = gone => (),
+            // However serving ends, the stream is dropped and the open transaction rolled back.
+            _ = self.serve_requests() => (),
+            () = stopped => (),
         }
         group.change(member, |state| state.connections = state.connections.saturating_sub(1));
     }
 
-    async fn talk(&mut self) -> Result<(), Ended> {
+    async fn serve_requests(&mut self) -> Result<(), ConnectionEnd> {
         self.startup().await?;
         loop {
-            let message = self.message().await?;
-            let request = Lines::decode_request(&message).map_err(|_| Ended::Closed)?;
+            let message = self.read_message().await?;
+            let request = Lines::decode_request(&message).map_err(|_| ConnectionEnd::Closed)?;
             match request {
                 TargetRequest::Terminate
                 | TargetRequest::Startup { .. }
                 | TargetRequest::OnBehalf { .. } => {
-                    return Err(Ended::Closed);
+                    return Err(ConnectionEnd::Closed);
                 }
                 TargetRequest::Query(query) => {
                     let outcome = self.run(&query).await?;
@@ -170,34 +176,34 @@
         }
     }
 
-    async fn startup(&mut self) -> Result<(), Ended> {
-        let message = self.message().await?;
+    async fn startup(&mut self) -> Result<(), ConnectionEnd> {
+        let message = self.read_message().await?;
         let Ok(TargetRequest::Startup { service, user, target_id }) =
             Lines::decode_request(&message)
         else {
-            return Err(Ended::Closed);
+            return Err(ConnectionEnd::Closed);
         };
         self.user = user.to_owned();
         let group = &self.database.group;
-        let is_meant = service == &*group.options.service
+        let is_right_target = service == &*group.options.service
             && (target_id.is_empty() || target_id == &*self.database.id());
-        let too_many =
+        let is_over_limit =
             group.member(self.database.member).connections > group.options.max_connections;
         let error = match () {
-            _ if !is_meant => Some(TargetError::Misrouted),
-            _ if too_many => Some(TargetError::TooManyConnections),
+            _ if !is_right_target => Some(TargetError::Misrouted),
+            _ if is_over_limit => Some(TargetError::TooManyConnections),
             _ => None,
         };
         if let Some(error) = error {
             self.push_error(error);
             self.flush().await?;
-            return Err(Ended::Closed);
+            return Err(ConnectionEnd::Closed);
         }
         self.push_ready();
         self.flush().await
     }
 
-    async fn run(&mut self, query: &Query<'_>) -> Result<Outcome, Ended> {
+    async fn run(&mut self, query: &Query<'_>) -> Result<Outcome, ConnectionEnd> {
         let group = Arc::clone(&self.database.group);
         let member = self.database.member;
         match query {
@@ -229,14 +235,19 @@
         }
     }
 
-    async fn statement(&mut self, id: &str, statement: &Statement<'_>) -> Result<Outcome, Ended> {
-        if matches!(self.open, Open::Failed) && *statement != Statement::Rollback {
+    async fn statement(
+        &mut self,
+        id: &str,
+        statement: &Statement<'_>,
+    ) -> Result<Outcome, ConnectionEnd> {
+        if matches!(self.transaction, TransactionState::Failed) && *statement != Statement::Rollback
+        {
             return Ok(Err(TargetError::Malformed));
         }
         match statement {
             Statement::Begin { read_only } => Ok(self.begin(*read_only)),
             Statement::Rollback => {
-                self.open = Open::Nothing;
+                self.transaction = TransactionState::Inactive;
                 Ok(Ok(Answer::empty()))
             }
             Statement::Commit => self.commit(id).await,
@@ -276,68 +287,76 @@
         if !read_only && led.is_none() {
             return Err(TargetError::ReadOnly);
         }
-        let plain_term = led.filter(|_| !read_only);
-        self.open = Open::Transaction { plain_term, writes: Vec::new() };
+        let write_term = led.filter(|_| !read_only);
+        self.transaction = TransactionState::Active { write_term, writes: Vec::new() };
         Ok(Answer::empty())
     }
 
-    /// Whether the lead under which the open transaction began is lost.
+    /// Returns whether the target no longer leads in the term in which the open read-write transaction
+    /// began.
     fn lost_lead(&self) -> bool {
         let group = &self.database.group;
-        match &self.open {
-            Open::Transaction { plain_term: Some(term), .. } => {
+        match &self.transaction {
+            TransactionState::Active { write_term: Some(term), .. } => {
                 group.term_led_by(self.database.member) != Some(*term)
             }
             _ => false,
         }
     }
 
-    fn read(&mut self, id: &str, text: String, item: &str) -> Result<Outcome, Ended> {
+    fn read(&mut self, id: &str, text: String, item: &str) -> Result<Outcome, ConnectionEnd> {
         if self.lost_lead() {
-            self.open = Open::Failed;
+            self.transaction = TransactionState::Failed;
             return Ok(Err(TargetError::ReadOnly));
         }
         let row = self.database.group.read(self.database.member, item);
-        self.ran(id, text)?;
+        self.record_run(id, text)?;
         Ok(Ok(Answer { rows: vec![row], proof: self.proof(id) }))
     }
 
-    async fn write(&mut self, id: &str, text: String, arguments: &str) -> Result<Outcome, Ended> {
+    async fn write(
+        &mut self,
+        id: &str,
+        text: String,
+        arguments: &str,
+    ) -> Result<Outcome, ConnectionEnd> {
         let (item, data) = arguments.split_once(' ').unwrap_or((arguments, ""));
         let write = (item.to_owned(), data.to_owned());
         if self.lost_lead() {
-            self.open = Open::Failed;
+            self.transaction = TransactionState::Failed;
             return Ok(Err(TargetError::ReadOnly));
         }
-        match &mut self.open {
-            Open::Transaction { plain_term: None, .. } => {
-                self.open = Open::Failed;
+        match &mut self.transaction {
+            TransactionState::Active { write_term: None, .. } => {
+                self.transaction = TransactionState::Failed;
                 Ok(Err(TargetError::ReadOnly))
             }
-            Open::Transaction { writes, .. } => {
+            TransactionState::Active { writes, .. } => {
                 writes.push(write);
-                self.ran(id, text)?;
+                self.record_run(id, text)?;
                 Ok(Ok(Answer { rows: Vec::new(), proof: self.proof(id) }))
             }
-            Open::Nothing | Open::Failed => {
+            TransactionState::Inactive | TransactionState::Failed => {
                 let committed = self.commit_writes(vec![write]).await;
                 if committed.is_ok() {
-                    self.ran(id, text)?;
+                    self.record_run(id, text)?;
                 }
                 Ok(committed.map(|()| Answer { rows: Vec::new(), proof: self.proof(id) }))
             }
         }
     }
 
-    async fn commit(&mut self, id: &str) -> Result<Outcome, Ended> {
-        let open = std::mem::replace(&mut self.open, Open::Nothing);
-        let Open::Transaction { writes, .. } = open else { return Ok(Err(TargetError::Malformed)) };
+    async fn commit(&mut self, id: &str) -> Result<Outcome, ConnectionEnd> {
+        let transaction = std::mem::replace(&mut self.transaction, TransactionState::Inactive);
+        let TransactionState::Active { writes, .. } = transaction else {
+            return Ok(Err(TargetError::Malformed));
+        };
         let committed = match writes.is_empty() {
             true => Ok(()),
             false => self.commit_writes(writes).await,
         };
         if committed.is_ok() {
-            self.ran(id, "COMMIT".to_owned())?;
+            self.record_run(id, "COMMIT".to_owned())?;
         }
         Ok(committed.map(|()| Answer { rows: Vec::new(), proof: self.proof(id) }))
     }
@@ -353,16 +372,16 @@
         format!("{}.{id}", self.database.id())
     }
 
-    fn ran(&self, id: &str, text: String) -> Result<(), Ended> {
+    fn record_run(&self, id: &str, text: String) -> Result<(), ConnectionEnd> {
         let values = self.values.iter().map(|(name, value)| (name.clone(), value.clone()));
         let mut values: Vec<(String, String)> = values.collect();
         values.sort();
         let (id, user) = (id.to_owned(), self.user.clone());
         let at = Instant::now();
         let run = Run { target: self.database.id(), id, user, text, values, at };
-        match self.database.group.ran(self.database.member, run) {
+        match self.database.group.record_run(self.database.member, run) {
             true => Ok(()),
-            false => Err(Ended::AnswerLost),
+            false => Err(ConnectionEnd::AnswerLost),
         }
     }
 
@@ -377,7 +396,7 @@
         Answer { rows: vec![lines::encode_status(&status)], proof: "-".to_owned() }
     }
 
-    async fn answer(&mut self, outcome: Outcome) -> Result<(), Ended> {
+    async fn answer(&mut self, outcome: Outcome) -> Result<(), ConnectionEnd> {
         match outcome {
             Ok(answer) => {
                 for row in &answer.rows {
@@ -387,8 +406,8 @@
                 Lines::encode_answer(&complete, &mut self.output);
             }
             Err(error) => {
-                if !matches!(self.open, Open::Nothing) {
-                    self.open = Open::Failed;
+                if !matches!(self.transaction, TransactionState::Inactive) {
+                    self.transaction = TransactionState::Failed;
                 }
                 self.push_error(error);
             }
@@ -403,41 +422,42 @@
     }
 
     fn push_ready(&mut self) {
-        let status = match self.open {
-            Open::Nothing => TransactionStatus::Idle,
-            Open::Transaction { .. } => TransactionStatus::Open,
-            Open::Failed => TransactionStatus::Failed,
+        let status = match self.transaction {
+            TransactionState::Inactive => TransactionStatus::Idle,
+            TransactionState::Active { .. } => TransactionStatus::Open,
+            TransactionState::Failed => TransactionStatus::Failed,
         };
         let applied = self.database.group.applied(self.database.member);
         let position = (applied != LogPosition::default()).then_some(applied);
         Lines::encode_answer(&TargetMessage::Ready { status, position }, &mut self.output);
     }
 
-    async fn message(&mut self) -> Result<BytesMut, Ended> {
+    async fn read_message(&mut self) -> Result<BytesMut, ConnectionEnd> {
         loop {
             let found = Lines::message_len(&self.input, MAX_MESSAGE_BYTES);
-            if let Some(length) = found.map_err(|_| Ended::Closed)? {
-                self.heard().await;
+            if let Some(length) = found.map_err(|_| ConnectionEnd::Closed)? {
+                self.wait_while_silent().await;
                 return Ok(self.input.split_to(length));
             }
-            if self.stream.read_buf(&mut self.input).await.map_err(|_| Ended::Closed)? == 0 {
-                return Err(Ended::Closed);
+            if self.stream.read_buf(&mut self.input).await.map_err(|_| ConnectionEnd::Closed)? == 0
+            {
+                return Err(ConnectionEnd::Closed);
             }
         }
     }
 
-    async fn flush(&mut self) -> Result<(), Ended> {
-        self.heard().await;
+    async fn flush(&mut self) -> Result<(), ConnectionEnd> {
+        self.wait_while_silent().await;
         let written = self.stream.write_all(&self.output).await;
         self.output.clear();
-        written.map_err(|_| Ended::Closed)
+        written.map_err(|_| ConnectionEnd::Closed)
     }
 
-    /// Waits while the target is silent.
-    async fn heard(&self) {
+    /// Waits while the target is set to exchange no bytes with callers.
+    async fn wait_while_silent(&self) {
         let mut changes = self.database.group.changes();
         while self.database.group.member(self.database.member).silent {
-            // The sender lives as long as the group.
+            // Waiting can't fail, because the group owns the sender.
             let _ = changes.changed().await;
         }
     }
--- a/crates/standin/src/typed/object_store.rs
+++ b/crates/standin/src/typed/object_store.rs
@@ -1,5 +1,5 @@
 //! The state of the platform's store: objects by kind and name under one revision counter, with a
-//! history that can be forgotten.
+//! history of events that can be discarded.
 
 use std::collections::BTreeMap;
 
@@ -12,31 +12,31 @@
 use skylark_platform::objects::Page;
 use tokio::sync::watch;
 
-/// The largest number of objects on a page. Small, so that a second page is nothing special.
-const PAGE: usize = 4;
+/// The maximum number of objects on a page. It is small so that tests regularly read several pages.
+const PAGE_SIZE: usize = 4;
 
 #[derive(Debug)]
 struct State {
     revision: u64,
     objects: BTreeMap<(String, String), Object>,
-    /// The events by kind in their order.
+    /// The revision, the kind and the event of each change, in the order of revisions.
     history: Vec<(u64, String, Event)>,
-    /// The events up to this revision are forgotten.
-    forgotten: u64,
+    /// The revision up to which events were discarded.
+    forgotten_through: u64,
 }
 
-/// Why a change was not made.
+/// The reason why a call was refused.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Refused {
-    /// The object has another revision, or exists already; this is it.
+    /// The object has another revision or exists already; holds the current object.
     Conflict(Box<Object>),
     /// There is no such object.
     NotFound,
-    /// The history that is asked for is gone.
+    /// The requested part of the history was discarded.
     HistoryGone,
 }
 
-/// The store.
+/// The objects and their history.
 #[derive(Debug)]
 pub struct ObjectStore {
     state: Mutex<State>,
@@ -45,44 +45,62 @@
 
 impl Default for ObjectStore {
     fn default() -> ObjectStore {
-        let state =
-            State { revision: 1, objects: BTreeMap::new(), history: Vec::new(), forgotten: 0 };
+        let state = State {
+            revision: 1,
+            objects: BTreeMap::new(),
+            history: Vec::new(),
+            forgotten_through: 0,
+        };
         ObjectStore { state: Mutex::new(state), changed: watch::Sender::new(1) }
     }
 }
 
 impl ObjectStore {
-    /// Notices of changes.
+    /// Subscribes to the store's revision.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// A page of the objects of a kind after a name.
+    /// Returns a page of the objects of a kind whose names sort after `after`.
     pub fn list(&self, kind: &str, after: &str) -> Page {
         let state = self.state.lock();
-        let of_kind =
-            state.objects.iter().filter(|((known, name), _)| known == kind && **name > *after);
+        let of_kind = state
+            .objects
+            .iter()
+            .filter(|((object_kind, name), _)| object_kind == kind && **name > *after);
         let mut items: Vec<Object> = of_kind.map(|(_, object)| object.clone()).collect();
-        let has_more = items.len() > PAGE;
-        items.truncate(PAGE);
+        let has_more = items.len() > PAGE_SIZE;
+        items.truncate(PAGE_SIZE);
         Page { items, has_more, revision: state.revision }
     }
 
-    /// One object.
+    /// Returns an object.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`Refused::NotFound`] if there is no such object.
     pub fn get(&self, kind: &str, name: &str) -> Result<Object, Refused> {
         let key = (kind.to_owned(), name.to_owned());
         self.state.lock().objects.get(&key).cloned().ok_or(Refused::NotFound)
     }
 
     /// Creates an object.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`Refused::Conflict`] if the object exists already.
     pub fn create(&self, kind: &str, name: &str, spec: Value) -> Result<Object, Refused> {
         match self.get(kind, name) {
-            Ok(known) => Err(Refused::Conflict(Box::new(known))),
+            Ok(existing) => Err(Refused::Conflict(Box::new(existing))),
             Err(_) => Ok(self.put(kind, name, spec)),
         }
     }
 
-    /// Replaces an object that must have this revision, if one is named.
+    /// Replaces an object.
+    ///
+    /// # Errors
+    ///
+    /// Fails if there is no such object, or if `revision` is given and the object has another one.
     pub fn replace(
         &self,
         kind: &str,
@@ -90,20 +108,21 @@
         spec: Value,
         revision: Option<u64>,
     ) -> Result<Object, Refused> {
-        let known = self.get(kind, name)?;
-        if revision.is_some() && known.meta.rev != revision {
-            return Err(Refused::Conflict(Box::new(known)));
+        let existing = self.get(kind, name)?;
+        if revision.is_some() && existing.meta.rev != revision {
+            return Err(Refused::Conflict(Box::new(existing)));
         }
         Ok(self.put(kind, name, spec))
     }
 
-    /// Writes an object whatever was there.
+    /// Writes an object unconditionally. A write that changes nothing makes no event or new revision.
     pub fn put(&self, kind: &str, name: &str, spec: Value) -> Object {
         let (object, revision) = {
             let mut state = self.state.lock();
             let key = (kind.to_owned(), name.to_owned());
-            if let Some(known) = state.objects.get(&key).filter(|known| known.spec == spec) {
-                return known.clone();
+            if let Some(existing) = state.objects.get(&key).filter(|existing| existing.spec == spec)
+            {
+                return existing.clone();
             }
             state.revision += 1;
             let meta = Meta { name: name.to_owned(), rev: Some(state.revision) };
@@ -118,7 +137,7 @@
         object
     }
 
-    /// Removes an object.
+    /// Removes an object; does nothing if there is none.
     pub fn remove(&self, kind: &str, name: &str) {
         let revision = {
             let mut state = self.state.lock();
@@ -134,20 +153,25 @@
         self.changed.send_replace(revision);
     }
 
-    /// Forgets the history.
+    /// Discards all events up to the current revision.
     pub fn forget_history(&self) {
         let mut state = self.state.lock();
-        state.forgotten = state.revision;
+        state.forgotten_through = state.revision;
         state.history.clear();
     }
 
-    /// The events of a kind after a revision.
+    /// Returns the events of a kind after a revision, and the current revision.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`Refused::HistoryGone`] if events after `after` were discarded.
     pub fn events(&self, kind: &str, after: u64) -> Result<Events, Refused> {
         let state = self.state.lock();
-        if after < state.forgotten {
+        if after < state.forgotten_through {
             return Err(Refused::HistoryGone);
         }
-        let later = state.history.iter().filter(|(at, known, _)| *at > after && known == kind);
+        let later =
+            state.history.iter().filter(|(at, event_kind, _)| *at > after && event_kind == kind);
         let events = later.map(|(_, _, event)| event.clone()).collect();
         Ok(Events { events, revision: state.revision })
     }
--- a/crates/standin/src/typed/platform.rs
+++ b/crates/standin/src/typed/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's HTTP side: the store, and the call that names a primary.
+//! The platform's HTTP API: the object store, and the call that promotes a target to primary.
 
 use std::io;
 use std::net::SocketAddr;
@@ -37,97 +37,96 @@
 use crate::typed::object_store::ObjectStore;
 use crate::typed::object_store::Refused;
 
-/// How the platform treats calls.
+/// How the platform handles calls.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub enum Mood {
-    /// It serves.
+pub enum PlatformMode {
+    /// Calls are served normally.
     #[default]
     Serving,
-    /// It takes calls and never answers, not even after it serves again.
+    /// Calls are accepted and never carried out or answered, not even after the mode changes.
     Silent,
-    /// It refuses with 503 and does nothing.
+    /// Calls are refused with 503 and have no effect.
     Busy,
-    /// It does what is asked and loses the answers to writes.
+    /// Calls are carried out, and writes are never answered.
     LosesAnswers,
-    /// It never answers what is asked of the configuration, and serves the rest.
+    /// Calls that list, watch or create configurations are never answered; all others are served.
     HidesConfiguration,
-    /// It serves, but names primaries after this many milliseconds and does not answer such calls.
+    /// Calls are served, but promotions take effect this many milliseconds later and are not answered.
     PromotesLate(u64),
 }
 
-/// The platform.
+/// The platform's state, shared by all calls.
 #[derive(Debug, Default)]
 pub struct Platform {
-    /// The objects.
+    /// The stored objects.
     pub objects: ObjectStore,
-    mood: Mutex<Mood>,
+    platform_mode: Mutex<PlatformMode>,
     groups: Mutex<Vec<Arc<Group>>>,
-    /// The highest token of each service.
+    /// The highest token of a promote call of each service, for fencing.
     tokens: Mutex<FastMap<String, u64>>,
-    /// Whether calls with a lower token than the highest are carried out all the same.
+    /// Whether promote calls with a lower token than the highest are carried out too.
     ignores_tokens: AtomicBool,
-    /// Whether targets can't change their entries.
-    keeps_entries: AtomicBool,
-    /// The calls that named a primary, in the order in which they came.
-    named: Mutex<Vec<Named>>,
-    /// How many promotions were accepted.
+    /// Whether updates of targets' entries are dropped.
+    entries_frozen: AtomicBool,
+    /// The promote calls that passed the check of the token, in the order of arrival.
+    promote_calls: Mutex<Vec<PromoteCall>>,
+    /// The number of accepted promotions.
     pub promotions: AtomicU64,
-    /// How many calls came.
+    /// The number of calls received, of any kind.
     pub calls: AtomicU64,
 }
 
-/// A call that named a primary.
+/// A call to promote a target to primary.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Named {
-    /// The service.
+pub struct PromoteCall {
+    /// The service whose primary is to change.
     pub service: String,
-    /// The target.
+    /// The id of the target to promote.
     pub target: String,
-    /// The VM that called.
+    /// The VM that called; empty if the call didn't state one.
     pub holder: String,
-    /// Its token.
+    /// The caller's fencing token.
     pub token: u64,
 }
 
 impl Platform {
-    /// Puts a configuration in force, as an operator does; without organisations where none are given.
+    /// Stores a configuration, with the organisations if given, as an operator does.
     pub fn configure(&self, table: &RouteTable, organisations: Option<&[TenantBody]>) {
         let (kind, name) = store::CONFIGURATION;
         self.objects.put(kind, name, objects::encode_configuration(table, organisations));
     }
 
-    /// A group by its service.
     fn group(&self, service: &str) -> Option<Arc<Group>> {
         let groups = self.groups.lock();
         groups.iter().find(|group| *group.options.service == *service).cloned()
     }
 
-    /// Has the platform carry out calls with a lower token than the highest.
+    /// Makes the platform carry out promote calls with a lower token than the highest.
     pub fn ignore_tokens(&self) {
         self.ignores_tokens.store(true, Ordering::Relaxed);
     }
 
-    /// Has the entries of targets stay as they are: none of them reaches the platform.
-    pub fn keep_entries(&self) {
-        self.keeps_entries.store(true, Ordering::Relaxed);
+    /// Makes the platform drop all updates of targets' entries, so that they stay as they are.
+    pub fn freeze_entries(&self) {
+        self.entries_frozen.store(true, Ordering::Relaxed);
     }
 
-    /// Whether targets can't change their entries.
-    pub fn keeps_entries(&self) -> bool {
-        self.keeps_entries.load(Ordering::Relaxed)
+    /// Returns whether updates of targets' entries are dropped.
+    pub fn entries_frozen(&self) -> bool {
+        self.entries_frozen.load(Ordering::Relaxed)
     }
 
-    /// Whether it refuses calls with a lower token than the highest.
+    /// Returns whether promote calls with a lower token than the highest are refused.
     pub fn checks_tokens(&self) -> bool {
         !self.ignores_tokens.load(Ordering::Relaxed)
     }
 
-    /// The calls that named a primary, in the order in which they came.
-    pub fn named(&self) -> Vec<Named> {
-        self.named.lock().clone()
+    /// Returns the promote calls that passed the check of the token, in the order of arrival.
+    pub fn promote_calls(&self) -> Vec<PromoteCall> {
+        self.promote_calls.lock().clone()
     }
 
-    /// Starts the platform on a free port of loopback.
+    /// Starts the platform on a free loopback port, and returns its address. Fails if it can't listen.
     pub async fn start(self: &Arc<Self>) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -136,42 +135,50 @@
         let router = Router::new()
             .route(&kinds, routing::get(list).post(create))
             .route(&names, routing::get(get).put(replace).delete(remove))
-            .route(promote::PATH, routing::post(name_primary))
-            .layer(middleware::from_fn_with_state(Arc::clone(self), treat))
+            .route(promote::PATH, routing::post(handle_promote))
+            .layer(middleware::from_fn_with_state(Arc::clone(self), apply_mode))
             .with_state(Arc::clone(self));
-        // It ends with the runtime that it is started on.
+        // The server runs until its runtime is shut down.
         tokio::spawn(async move { axum::serve(listener, router).await });
         Ok(address)
     }
 
-    /// Changes how calls are treated.
-    pub fn set_mood(&self, mood: Mood) {
-        *self.mood.lock() = mood;
+    /// Changes how further calls are handled.
+    pub fn set_platform_mode(&self, platform_mode: PlatformMode) {
+        *self.platform_mode.lock() = platform_mode;
     }
 
-    /// Adds a group whose primary can be named.
+    /// Adds a group whose members can be promoted.
     pub fn add_group(&self, group: &Arc<Group>) {
         self.groups.lock().push(Arc::clone(group));
     }
 }
 
-async fn treat(State(platform): State<Arc<Platform>>, request: Request, next: Next) -> Response {
+/// Counts a call, and handles it according to the current mode.
+async fn apply_mode(
+    State(platform): State<Arc<Platform>>,
+    request: Request,
+    next: Next,
+) -> Response {
     platform.calls.fetch_add(1, Ordering::Relaxed);
     let is_write = !request.method().is_safe();
-    let mood = *platform.mood.lock();
-    match mood {
-        Mood::Silent => std::future::pending().await,
-        Mood::Busy => StatusCode::SERVICE_UNAVAILABLE.into_response(),
-        Mood::LosesAnswers if is_write => {
+    let platform_mode = *platform.platform_mode.lock();
+    match platform_mode {
+        PlatformMode::Silent => std::future::pending().await,
+        PlatformMode::Busy => StatusCode::SERVICE_UNAVAILABLE.into_response(),
+        PlatformMode::LosesAnswers if is_write => {
             next.run(request).await;
             std::future::pending().await
         }
-        Mood::HidesConfiguration if request.uri().path().ends_with(store::CONFIGURATION.0) => {
+        PlatformMode::HidesConfiguration
+            if request.uri().path().ends_with(store::CONFIGURATION.0) =>
+        {
             std::future::pending().await
         }
-        Mood::Serving | Mood::LosesAnswers | Mood::HidesConfiguration | Mood::PromotesLate(_) => {
-            next.run(request).await
-        }
+        PlatformMode::Serving
+        | PlatformMode::LosesAnswers
+        | PlatformMode::HidesConfiguration
+        | PlatformMode::PromotesLate(_) => next.run(request).await,
     }
 }
 
@@ -214,7 +221,7 @@
         if !found.events.is_empty() {
             return Ok(found);
         }
-        // Either something changed, which is looked at next, or the time is over.
+        // After a change the events are read again; after the timeout the answer is empty.
         if time::timeout_at(until, changes.changed()).await.is_err() {
             return Ok(found);
         }
@@ -252,7 +259,7 @@
     StatusCode::OK.into_response()
 }
 
-async fn name_primary(
+async fn handle_promote(
     State(platform): State<Arc<Platform>>,
     headers: HeaderMap,
     Json(body): Json<promote::Body>,
@@ -272,7 +279,7 @@
     let holder = headers.get(promote::HOLDER).and_then(|holder| holder.to_str().ok());
     let holder = holder.unwrap_or_default().to_owned();
     let (service, target) = (body.service.clone(), body.id.clone());
-    platform.named.lock().push(Named { service, target, holder, token });
+    platform.promote_calls.lock().push(PromoteCall { service, target, holder, token });
     let Some(group) = platform.group(&body.service) else {
         return StatusCode::NOT_FOUND.into_response();
     };
@@ -281,16 +288,16 @@
         return StatusCode::CONFLICT.into_response();
     };
     platform.promotions.fetch_add(1, Ordering::Relaxed);
-    let late = match *platform.mood.lock() {
-        Mood::PromotesLate(late_ms) => Some(Duration::from_millis(late_ms)),
+    let extra_delay = match *platform.platform_mode.lock() {
+        PlatformMode::PromotesLate(late_ms) => Some(Duration::from_millis(late_ms)),
         _ => None,
     };
-    let takes = group.options.promote_takes + late.unwrap_or_default();
+    let delay = group.options.promotion_delay + extra_delay.unwrap_or_default();
     tokio::spawn(async move {
-        time::sleep(takes).await;
+        time::sleep(delay).await;
         group.promote(member);
     });
-    match late {
+    match extra_delay {
         Some(_) => std::future::pending().await,
         None => StatusCode::OK.into_response(),
     }
