--- a/crates/spec/src/lead/mod.rs
+++ b/crates/spec/src/lead/mod.rs
@@ -3,7 +3,7 @@
 //! The old primary continues in its term. A successor is promoted in a later term and acknowledges a commit
 //! once a replica holds it. Members restart with an empty log, members leave, and a fourth member joins. The
 //! proxy that serves the read requests reports from members at any time, and a report may take any time to
-//! arrive. The core's [`LeadWords`](skylark_core::request::lead_proof::LeadWords) decides whether the
+//! arrive. The core's [`LeadReports`](skylark_core::request::lead_proof::LeadReports) decides whether the
 //! reports prove that the old primary still leads.
 //!
 //! Invariant: no served read misses a commit that was acknowledged before the read arrived.
